--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,14 @@
-# The front door: make run, make test, make properties, make lint, make bench, make quarantine, make cooldowns, make limits, make upgrade, make soak, make compare, make fuzz, make generate.
+# The front door: make run, make test, make properties, make lint, make bench, make quarantine, make cooldowns, make limits, make upgrade, make soak, make compare, make fuzz, make gopls, make generate.
 
 BIN := $(CURDIR)/bin
 TOOLS := $(CURDIR)/.tools
 GOLANGCI_VERSION := v2.15.0
 GOLANGCI := $(TOOLS)/golangci-lint-$(GOLANGCI_VERSION)
+GOPLS_VERSION := v0.23.0
+GOPLS := $(TOOLS)/gopls-$(GOPLS_VERSION)
 FUZZTIME ?= 20s
 
-.PHONY: all build run test race properties lint bench quarantine cooldowns limits upgrade soak compare fuzz generate clean
+.PHONY: all build run test race properties lint bench quarantine cooldowns limits upgrade soak compare fuzz gopls generate clean
 
 all: build
 
@@ -38,6 +40,14 @@
 	GOBIN=$(TOOLS) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_VERSION)
 	mv $(TOOLS)/golangci-lint $(GOLANGCI)
 
+# The language server, whose rename command follows every use of an identifier.
+gopls: $(GOPLS)
+
+$(GOPLS):
+	@mkdir -p $(TOOLS)
+	GOBIN=$(TOOLS) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(TOOLS)/gopls $(GOPLS)
+
 bench:
 	go test -run '^$$' -bench . -benchmem ./...
 
