--- a/coordination/quarantine/burst.go
+++ b/coordination/quarantine/burst.go
@@ -2,16 +2,18 @@
 
 import "slices"
 
-// bursts are series of observations that were made together, close one after the other.
+// bursts groups observations that the same node made in close succession.
 type bursts struct {
-	// number is the burst of each observation.
+	// number holds the burst number of each observation, or noSeries.
 	number []int
-	// of are the bursts in which each ending was observed, size is the number of endings in each burst.
+	// of holds the bursts in which each ending was observed, size the number of endings in each
+	// burst.
 	of   map[int][]int
 	size map[int]int
 }
 
-// newBursts returns the bursts with the given numbers, cause being the ending of each observation.
+// newBursts returns the bursts with the given numbers. cause holds the number of the ending that
+// each observation belongs to.
 func newBursts(number, cause []int) *bursts {
 	b := &bursts{number: number, of: map[int][]int{}, size: map[int]int{}}
 	for i, n := range number {
@@ -24,8 +26,8 @@
 	return b
 }
 
-// shared returns, for each burst, in how many of its endings a request was under way, whichever node
-// sent it, given the request's observations.
+// shared returns, for each burst, in how many of its endings a request was in progress on any node.
+// list holds the indexes of the observations of that request.
 func (b *bursts) shared(list, cause []int) map[int]int {
 	with, done := map[int]int{}, map[int]bool{}
 	for _, i := range list {
@@ -40,18 +42,18 @@
 	return with
 }
 
-// massEndings is how many instances must end without a request, in one burst with one that ends
-// under it, for that ending to say nothing of the request: a rack, a hall or a link was lost, and
-// all that was under way there broke off at once. They must be massRatio times as many as those with
-// the request, so that two requests which both end instances do not hide each other.
+// massEndings is how many endings without a request a burst must contain for an ending with it in
+// the same burst not to count as evidence against it: the loss of a rack, a hall or a link
+// interrupts everything in progress there at once. They must also be massRatio times as many as the
+// endings with the request, so that two requests that both crash instances do not hide each other.
 const (
 	massEndings = 3
 	massRatio   = 4
 )
 
-// isMass reports whether an observation is one of many that were made together, for a cause that
-// is not the request. What the nodes on one side of a cut observe together says nothing of what
-// others do: the endings behind a cut must not account for those elsewhere.
+// isMass reports whether an observation belongs to a burst that has another cause than the request.
+// What nodes on one side of a network partition observe in a burst says nothing about instances
+// elsewhere: the endings behind a partition must not account for those on the other side.
 func (b *bursts) isMass(i int, with map[int]int) bool {
 	n := b.number[i]
 	if n == noSeries {
--- a/coordination/quarantine/cuthistory_test.go
+++ b/coordination/quarantine/cuthistory_test.go
@@ -9,33 +9,34 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// halls is the number of data halls over which nodes and instances of a history are spread.
+// halls is the number of data halls over which the nodes and instances of a history are
+// distributed.
 const halls = 3
 
-// Connections of a hall that is cut off are reset with the next packet on each of them: most within
-// resetSoon, one in resetRest, on which nothing has come yet, within resetLate.
+// Connections to a hall that is cut off are reset by the next packet on each of them: most within
+// resetSoon, one in resetRest, which has not carried data yet, within resetLate.
 const (
 	resetSoon = 150 * time.Millisecond
 	resetLate = 1100 * time.Millisecond
 	resetRest = 5
 )
 
-// cut is a time during which a hall is cut off from the others: connections between them are
+// cut is a network partition: a period in which connections between one hall and the others are
 // reset, and new ones refused.
 type cut struct {
 	hall     int
 	from, to time.Duration
 }
 
-// link is a node with its leader.
+// link is a node and its leader.
 type link struct{ node, leader int }
 
-// separates reports whether a cut is in force between two halls.
+// separates reports whether the cut separates two halls at a time after the start.
 func (c *cut) separates(a, b int, after time.Duration) bool {
 	return a != b && (a == c.hall || b == c.hall) && after >= c.from && after < c.to
 }
 
-// separated reports whether two halls are cut off from each other.
+// separated reports whether the halls of two nodes or instances are cut off from each other.
 func (h *history) separated(a, b int) bool {
 	for i := range h.cuts {
 		if h.cuts[i].separates(a%halls, b%halls, h.now.Sub(start)) {
@@ -45,16 +46,16 @@
 	return false
 }
 
-// reaches reports whether a node reaches an instance; both are spread over the halls in turn.
+// reaches reports whether a node reaches an instance. Both are assigned to the halls in rotation.
 func (h *history) reaches(node, worker int) bool { return !h.separated(node, worker) }
 
-// refuses reports whether an instance's address refuses a node's connections while the instance
-// is down, starts again, or is behind a cut.
+// refuses reports whether connections from a node to an incarnation are refused: the instance is
+// down, has restarted, or is cut off.
 func (h *history) refuses(node, worker int, in fleet.Incarnation) bool {
 	return !h.reaches(node, worker) || h.now.Before(h.workers[worker].backAt) || in != h.life(worker)
 }
 
-// inTouch reports whether a node's hall has not been cut off for as long as it may take to learn.
+// inTouch reports whether a node's hall has been connected to the others for at least learnTime.
 func (h *history) inTouch(node int) bool {
 	after := h.now.Sub(start)
 	for _, c := range h.cuts {
@@ -65,7 +66,7 @@
 	return true
 }
 
-// pick draws the instance for an attempt at a node, one that it reaches if any is found in some draws.
+// pick selects a random instance for an attempt at a node, preferably one that the node reaches.
 func (h *history) pick(node int) int {
 	const draws = 8
 	i := h.rng.IntN(len(h.workers))
@@ -78,7 +79,8 @@
 	return i
 }
 
-// leaderOf returns the leader of a node: node 0, or the first one of its hall while that is cut off.
+// leaderOf returns the leader of a node: node 0, or the first node of its hall while the hall is
+// cut off.
 func (h *history) leaderOf(node int) int {
 	if h.separated(node, 0) {
 		return node % halls
@@ -86,7 +88,7 @@
 	return 0
 }
 
-// reset resets the connections across cuts, on each of them some time after the cut began.
+// reset resets the connections across cuts, each some time after the cut began.
 func (h *history) reset() {
 	if len(h.cuts) == 0 {
 		return
@@ -115,7 +117,7 @@
 	}
 }
 
-// resetAfter draws how long after the beginning of a cut a connection is reset.
+// resetAfter returns a random time from the beginning of a cut to the reset of a connection.
 func (h *history) resetAfter() time.Duration {
 	if h.rng.IntN(resetRest) == 0 {
 		return time.Duration(h.rng.Int64N(int64(resetLate)))
@@ -123,7 +125,7 @@
 	return time.Duration(h.rng.Int64N(int64(resetSoon)))
 }
 
-// ask has the leader ask all instances for their reports once in an interval.
+// ask has the leader probe all instances once in each status interval.
 func (h *history) ask() {
 	if len(h.cuts) == 0 || h.now.Sub(start)%statusInterval != 0 {
 		return
@@ -135,7 +137,7 @@
 	}
 }
 
-// watch counts the nodes that no longer hold the deadly request back, though it ended its instances.
+// watch counts the nodes that release the deadly request from quarantine.
 func (h *history) watch() {
 	if !h.quarantined || h.deadly == 0 {
 		return
@@ -149,8 +151,8 @@
 	}
 }
 
-// cutShapes are histories in which a hall is cut off by resets beside the first endings under a
-// request, and again later.
+// cutShapes returns shapes in which a hall is cut off during the first endings of a request, and
+// further cuts follow.
 func cutShapes(deadly float64, sameLives bool, first time.Duration) []shape {
 	list := shapes(deadly, true)[:2]
 	for i := range list {
@@ -164,10 +166,10 @@
 	return list
 }
 
-// A request that all nodes held back was sent on as soon as a hall that had been cut off by resets
-// was back, and ended further instances: nodes of that hall had taken most instances of the others
-// for ended when the cut began, and a false ending and the true one after it became one, at the time
-// of the false one, so that the endings of some seconds fell into one moment.
+// A hall that was cut off must not release the deadly request when it is connected again. Its nodes
+// take most instances of the other halls for ended when the cut begins. If such a false ending is
+// merged with the real one after it, at the time of the false one, endings that are seconds apart
+// fall into one moment.
 func TestARequestThatIsHeldBackStaysSoInDrawnHistoriesWithCuts(t *testing.T) {
 	for _, sameLives := range []bool{true, false} {
 		for _, first := range []time.Duration{600 * time.Millisecond, 1200 * time.Millisecond, 2 * time.Second} {
@@ -182,7 +184,7 @@
 	}
 }
 
-// expectHeld plays a history and expects that no node takes back what it concluded of the deadly request.
+// expectHeld runs a history and expects that no node releases the deadly request from quarantine.
 func expectHeld(t *testing.T, s shape, seed uint64) {
 	out := play(s, seed)
 	g := NewWithT(t)
@@ -190,7 +192,7 @@
 	g.Expect(out.late).To(BeNumerically("<=", 3), "%s, cuts %v, seed %d: %+v", s.name(), s.cuts, seed, out)
 }
 
-// A hall that is cut off by resets has no sound request held back, however popular it is.
+// A network partition alone quarantines no sound request, however popular it is.
 func TestDrawnHistoriesWithCutsAloneHoldNothingBack(t *testing.T) {
 	for _, sameLives := range []bool{true, false} {
 		for _, s := range cutShapes(0, sameLives, 600*time.Millisecond) {
@@ -202,7 +204,7 @@
 	}
 }
 
-// BenchmarkHistoriesWithCuts reports what drawn histories with cuts come to, on average of some seeds.
+// BenchmarkHistoriesWithCuts reports the average outcome of random histories with cuts.
 func BenchmarkHistoriesWithCuts(b *testing.B) {
 	for _, deadly := range []float64{0, 0.5, 2, 8} {
 		for _, s := range cutShapes(deadly, true, 0) {
--- a/coordination/quarantine/doubt.go
+++ b/coordination/quarantine/doubt.go
@@ -8,27 +8,27 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// doubt is an instance on which requests broke off, and that may have ended.
+// doubt holds the attempts that were interrupted on an incarnation that may have ended.
 type doubt struct {
 	broken []broken
-	// asked counts the questions to the instance, askAt is when the next one is due.
+	// asked counts the probes sent to the instance, askAt is when the next one is due.
 	asked int
 	askAt time.Time
-	// examined is when a refused connection to the instance was last looked into.
+	// examined is when a refused connection to the instance was last investigated.
 	examined time.Time
 }
 
-// broken is one attempt without a whole answer.
+// broken is an attempt that was interrupted before its response was complete.
 type broken struct {
 	request Fingerprint
-	// began is when the attempt was sent, at when it broke off.
+	// began is when the attempt was sent, at when it was interrupted.
 	began, at time.Time
-	// apart tells that the request had broken off elsewhere just before this attempt began.
+	// apart is set if the request was interrupted elsewhere just before this attempt began.
 	apart bool
 }
 
-// Broken records that an attempt of a request that began at a time got no whole
-// answer, since one of some instances may have ended.
+// Broken records that an attempt of a request, sent at began, got no complete response because one
+// of the members may have ended.
 func (l *Ledger) Broken(f Fingerprint, members []fleet.Incarnation, began, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,8 +51,8 @@
 	}
 }
 
-// brokeJustBefore reports whether an attempt of a request broke off within a spacing
-// before a time. l.mu is held.
+// brokeJustBefore reports whether an attempt of a request was interrupted less than the spacing
+// before began. l.mu is held.
 func (l *Ledger) brokeJustBefore(f Fingerprint, began time.Time) bool {
 	just := func(at time.Time) bool { return !at.After(began) && began.Sub(at) < l.policy.Spacing }
 	for _, d := range l.pending {
@@ -70,12 +70,12 @@
 	return false
 }
 
-// endedBefore reports whether the instance had ended before an attempt began, and was back by then:
-// the attempt broke off for another reason than this ending.
+// endedBefore reports whether the instance had ended, and answered again, before an attempt began.
+// Such an attempt was interrupted for another reason than this ending.
 func (r *record) endedBefore(began time.Time) bool { return r.over() || began.After(r.last()) }
 
-// Alive records that an instance answered a question asked at a time: what broke
-// off before has another cause than its end. It reports whether its end had been proven.
+// Alive records that an instance answered a probe sent at asked. Attempts interrupted before then
+// have another cause than its ending. It reports whether the ending had been recorded as proven.
 func (l *Ledger) Alive(in fleet.Incarnation, asked time.Time) (back bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,8 +93,8 @@
 	return back
 }
 
-// markBack marks the observations of an ending after which the instance answered a question, and
-// reports whether there are any. l.mu is held.
+// markBack marks the observations of an ending that precede an answered probe, and reports whether
+// it marked any. l.mu is held.
 func (l *Ledger) markBack(r *record, asked time.Time) (back bool) {
 	for _, o := range r.seen {
 		if !o.back && asked.After(o.at) {
@@ -105,8 +105,8 @@
 	return back
 }
 
-// Ended records that an instance has ended for certain, and returns the requests
-// that it had under way, if that is news.
+// Ended records that an incarnation has provably ended. It returns the requests that were in
+// progress on it and that no observation of the ending contains yet.
 func (l *Ledger) Ended(in fleet.Incarnation, now time.Time) []Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,9 +136,9 @@
 	return news
 }
 
-// Current records that an instance was seen in one of its lives, by a question
-// asked at a time: its other lives have ended. It returns the requests that an
-// ended life had under way, if that is news.
+// Current records that a probe sent at asked found the instance in the given incarnation, so that
+// all its other incarnations have ended. It returns the requests that were in progress on an ended
+// incarnation, as Ended does.
 func (l *Ledger) Current(in fleet.Incarnation, asked, now time.Time) []Fingerprint {
 	var news []Fingerprint
 	for _, life := range l.doubtedLives(in.ID) {
@@ -150,8 +150,8 @@
 	return news
 }
 
-// Down records that nothing listens at the address of an instance, so that all of
-// its lives have ended; it returns as Current does.
+// Down records that nothing listens at the address of an instance, so that all its incarnations
+// have ended. It returns the same requests as Current.
 func (l *Ledger) Down(id state.InstanceID, now time.Time) []Fingerprint {
 	var news []Fingerprint
 	for _, life := range l.doubtedLives(id) {
@@ -160,8 +160,9 @@
 	return news
 }
 
-// Examine reports whether a refused connection to an instance is to be looked into: requests broke
-// off there, and none was looked into for a while.
+// Examine reports whether to investigate a refused connection to an instance: attempts were
+// interrupted there, and none was investigated within the check interval. If so, it records the
+// investigation.
 func (l *Ledger) Examine(in fleet.Incarnation, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,7 +174,8 @@
 	return true
 }
 
-// doubtedLives returns the lives of an instance on which requests broke off without proof so far.
+// doubtedLives returns the incarnations of an instance that have interrupted attempts but no proven
+// ending.
 func (l *Ledger) doubtedLives(id state.InstanceID) []fleet.Incarnation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -186,11 +188,12 @@
 	return list
 }
 
-// mostQuestions bounds the questions to an instance on which requests broke off: one that
-// ended refuses the first, and one that is silent would time out each of them at every node.
+// mostQuestions limits the probes to an instance on which attempts were interrupted. An instance
+// that ended refuses the first one, and each probe of an unresponsive one costs every node a
+// timeout.
 const mostQuestions = 2
 
-// Due returns the instances that are to be asked now whether they live.
+// Due returns the incarnations to probe for liveness now, and schedules their next probes.
 func (l *Ledger) Due(now time.Time) []fleet.Incarnation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/quarantine/fingerprint.go
+++ b/coordination/quarantine/fingerprint.go
@@ -1,6 +1,9 @@
-// Package quarantine finds requests that end the instances that run them, and
-// keeps such requests from further instances, on whatever node and as whatever
-// attempt they come again. The field's name for them is query of death.
+// Package quarantine detects requests that crash the instances that run them, known as queries of
+// death, and keeps them from further instances, whichever node and attempt they arrive with.
+//
+// An ending is the termination of one incarnation of an instance. A request is held back, that is
+// quarantined, after a number of independent endings during its attempts without a complete
+// response in between.
 package quarantine
 
 import (
@@ -11,28 +14,27 @@
 	"hash"
 )
 
-// fingerprintSize is the size of a fingerprint, in bytes: 128 bits, so that nobody
-// finds a second request with the fingerprint of a given one.
+// fingerprintSize is the length of a fingerprint in bytes. With 128 bits it is infeasible to find a
+// second request with the fingerprint of a given one.
 const fingerprintSize = 16
 
-// ErrBadFingerprint means that a text is no fingerprint.
-var ErrBadFingerprint = errors.New("quarantine: not a fingerprint of 32 hexadecimal digits")
+// ErrBadFingerprint reports a text that is not a fingerprint.
+var ErrBadFingerprint = errors.New("quarantine: fingerprint must have 32 hexadecimal digits")
 
-// Fingerprint names what a request asks for, alike on all nodes and for all
-// attempts. It is a truncated SHA-256, so that neither logs nor status reports
-// show what a caller sent.
+// Fingerprint identifies the content of a request, identically on all nodes and for all attempts.
+// It is a truncated SHA-256 hash, so that neither logs nor status reports reveal what a caller
+// sent.
 type Fingerprint [fingerprintSize]byte
 
-// Content is what makes two attempts the same request. Headers are not part of
-// it: an attempt has an id and a deadline of its own, and a stream that is taken
-// up names its last event.
+// Content is the part of a request that identifies it. Headers are excluded: each attempt has its
+// own id and deadline, and a resumed stream names its last event.
 type Content struct {
 	Method string
 	Host   string
-	// Target is the path with the query, as it stands in the request line.
+	// Target is the path with the query, as in the request line.
 	Target string
-	// Caller is the team whose key the request carries, or empty where none is asked for.
-	// With it, no caller can have another one's request held back.
+	// Caller is the team whose key the request carries, or empty where no key is required. It
+	// prevents a caller from having the requests of another one quarantined.
 	Caller string
 	Body   []byte
 }
@@ -47,7 +49,7 @@
 	return Fingerprint(h.Sum(nil)[:fingerprintSize])
 }
 
-// FingerprintOf returns the fingerprint with the given bytes, and whether they are one.
+// FingerprintOf returns the fingerprint with the given bytes, and false if their number is wrong.
 func FingerprintOf(raw []byte) (Fingerprint, bool) {
 	if len(raw) != fingerprintSize {
 		return Fingerprint{}, false
@@ -55,8 +57,8 @@
 	return Fingerprint(raw), true
 }
 
-// writeField hashes the length of a field before the field, so that bytes cannot
-// move from one field to the next unnoticed. A hash takes all that is written.
+// writeField hashes the length of a field before its content, so that moving bytes from one field
+// to the next changes the hash. Writing to a hash never fails.
 func writeField(h hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
@@ -64,7 +66,7 @@
 	h.Write(field)
 }
 
-// String returns the fingerprint in hexadecimal digits.
+// String returns the fingerprint as hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/coordination/quarantine/history.go
+++ b/coordination/quarantine/history.go
@@ -8,16 +8,17 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// history holds the observations of all nodes, ordered by time and alike on all of them.
+// history holds the observations of all nodes, ordered by time and identically on all nodes.
 type history struct {
 	order   []*Ending
 	spacing time.Duration
-	// cause numbers the ending that each observation is of: those of one life with less than a
-	// spacing between one and the next are of the same one, whichever nodes made them.
+	// cause holds the number of the ending that each observation belongs to. Observations of one
+	// incarnation with less than the spacing between consecutive ones belong to the same ending,
+	// whichever nodes made them.
 	cause []int
-	// bursts are those of each node.
+	// bursts holds the bursts of observations of each node.
 	bursts *bursts
-	// closed are the endings that a request which is held back accounts for.
+	// closed holds the endings that a quarantined request accounts for.
 	closed map[int]bool
 }
 
@@ -30,9 +31,9 @@
 	return h
 }
 
-// attributed returns the observations that count. Those of instances that had not ended do not. Those
-// without a node's name count only for requests that no named one has: nodes of a build that merges
-// observations repeat what they received, at the earliest time of all.
+// attributed returns the observations that count. Those of instances that had not ended do not. An
+// observation without a node counts only for requests that no observation with a node has: nodes of
+// builds that merge observations repeat what they received, at the earliest of all times.
 func attributed(endings []Ending) []*Ending {
 	list := make([]*Ending, 0, len(endings))
 	var unnamed []*Ending
@@ -58,7 +59,7 @@
 	return append(list, unnamed...)
 }
 
-// compareEndings orders observations by time, alike on all nodes.
+// compareEndings orders observations by time. Ties are broken identically on all nodes.
 func compareEndings(a, b *Ending) int {
 	return cmp.Or(
 		a.At.Compare(b.At),
@@ -69,11 +70,11 @@
 	)
 }
 
-// noSeries is the number of observations that belong to no series.
+// noSeries is the number of an observation that belongs to no series.
 const noSeries = -1
 
-// series numbers the observations so that those with the same key and less than a spacing between
-// one and the next share a number; those without a key have none.
+// series numbers the observations so that those with the same key and less than the spacing between
+// consecutive ones share a number. Observations without a key get noSeries.
 func series[K comparable](order []*Ending, spacing time.Duration, key func(e *Ending) (K, bool)) []int {
 	last := map[K]int{}
 	numbers := make([]int, len(order))
@@ -96,9 +97,9 @@
 	return numbers
 }
 
-// suspects returns the requests with a number of observations at least since they were last
-// cleared, with these by their place in the order. Most requests have one alone, and leaving them
-// out saves most of a judgement's time.
+// suspects returns the requests with at least the given number of observations, each with the
+// indexes of its observations since it was last cleared. Most requests have a single observation,
+// and omitting them saves most of the time of an evaluation.
 func (h *history) suspects(cleared map[Fingerprint]time.Time, least int) map[Fingerprint][]int {
 	counts := map[Fingerprint]int{}
 	for i := range h.order {
@@ -117,7 +118,7 @@
 	return under
 }
 
-// endingsUnder returns endings under a request, without the other requests.
+// endingsUnder returns the endings with the given indexes, with one request only.
 func (h *history) endingsUnder(f Fingerprint, list []int) []Ending {
 	var out []Ending
 	for _, i := range list {
--- a/coordination/quarantine/history_test.go
+++ b/coordination/quarantine/history_test.go
@@ -15,55 +15,59 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Times of drawn histories, as measured on the users' platform or set by the nodes' policy.
+// Times of random histories. They are measured in deployments or follow from the default policy.
 const (
 	tick           = 5 * time.Millisecond
 	statusInterval = 250 * time.Millisecond
-	// proofDelay is the longest time from a break-off to the proof of the ending.
+	// proofDelay is the maximum time from the interruption of an attempt to the proof of the
+	// ending.
 	proofDelay = 60 * time.Millisecond
-	// longestWay is the longest time of a message between nodes, with its wait at a busy one.
+	// longestWay is the maximum delay of a message between nodes, including the wait at a busy one.
 	longestWay = 40 * time.Millisecond
-	// downTime is how long an instance is away after it ended.
+	// downTime is how long an instance is unavailable after it ended.
 	downTime = 2 * time.Second
-	// historyLength is how long a history lasts.
+	// historyLength is the duration of a history.
 	historyLength = 30 * time.Second
-	// learnTime is how long nodes may take to know what any of them saw.
+	// learnTime is the maximum time until all nodes know what any of them observed.
 	learnTime = 3 * time.Second
-	// attempts is the number of instances that one attempt may run on, tries the attempts of one caller.
+	// attempts is the number of instances that a try may run on, tries the number of tries of a
+	// caller.
 	attempts, tries = 2, 2
 )
 
-// shape is the size and the traffic of a history.
+// shape is the size and the load of a history.
 type shape struct {
 	nodes, instances int
-	// sound and deadly are requests a second; a tenth of the sound ones are one popular request.
+	// sound and deadly are rates in requests a second. Deadly requests crash their instance, sound
+	// ones do not. A tenth of the sound ones are the same popular request.
 	sound, deadly float64
-	// deaths are instances that end by chance each second.
+	// deaths is the rate of random endings, in instances a second.
 	deaths float64
-	// quarantined reports whether the nodes refuse requests that are held back.
+	// quarantined is set if nodes refuse requests that are quarantined.
 	quarantined bool
-	// cuts are times at which a hall is cut off from the others by resets.
+	// cuts are the network partitions of the history.
 	cuts []cut
-	// sameLives has instances start again without telling their lives apart.
+	// sameLives is set if instances restart without reporting a new incarnation.
 	sameLives bool
 }
 
-// outcome is what a history came to.
+// outcome is the result of a history.
 type outcome struct {
 	ended int
-	// late is how often the deadly request was sent later than learnTime after the third ending.
+	// late counts the deadly attempts sent more than learnTime after the third ending.
 	late int
-	// refusedSound is how many attempts of sound requests were held back, brokenSound how many
-	// attempts got no answer, of allSound.
+	// refusedSound counts the attempts of sound requests that were quarantined, brokenSound those
+	// that got no response, allSound all of them.
 	refusedSound, brokenSound, allSound int
-	// released is how often a node that held the deadly request back no longer did.
+	// released counts the releases of the deadly request from quarantine, over all nodes.
 	released int
-	// nodeBytes is the most that a node was told or told in a second, on average of the history, kept the endings at a node.
+	// nodeBytes is the traffic of the busiest node in bytes a second, sent and received, on average
+	// over the history. kept is the number of endings retained at a node.
 	nodeBytes float64
 	kept      int
 }
 
-// attempt is one attempt of a request at work on an instance.
+// attempt is an attempt of a request in progress on an instance.
 type attempt struct {
 	request quarantine.Fingerprint
 	node    int
@@ -72,28 +76,29 @@
 	deadly  bool
 	runs    int
 	try     int
-	// resetAt is when a cut resets the connection, lost that it did.
+	// resetAt is when a cut resets the connection; lost is set once it has.
 	resetAt time.Time
 	lost    bool
 }
 
-// worker is one instance of a history.
+// worker is an instance of a history.
 type worker struct {
 	life   int
 	backAt time.Time
 	work   []attempt
 }
 
-// history plays requests, endings and status reports on a clock of its own.
+// history simulates requests, endings and status reports on a simulated clock.
 type history struct {
 	shape
 	rng     *rand.Rand
 	now     time.Time
 	ledgers []*quarantine.Ledger
 	workers []worker
-	// has and sent are, for a node and its leader, the versions of the leader's ledger that it has and of its own that it sent.
+	// has and sent hold, for a node and its leader, the version of the leader's ledger that the
+	// node has, and the version of its own ledger that it has sent.
 	has, sent map[link]uint64
-	// holds are the nodes that hold the deadly request back.
+	// holds is set for the nodes that quarantine the deadly request.
 	holds  []bool
 	bytes  []float64
 	proofs []proof
@@ -102,14 +107,14 @@
 	out    outcome
 }
 
-// proof is an ending that a node will have proven at a time.
+// proof is the proof of an ending that a node obtains at a time.
 type proof struct {
 	node, worker int
 	in           fleet.Incarnation
 	at           time.Time
 }
 
-// play plays a history.
+// play runs a history.
 func play(s shape, seed uint64) outcome {
 	h := &history{shape: s, rng: rand.New(rand.NewPCG(seed, 1)), now: start, has: map[link]uint64{}, sent: map[link]uint64{}, holds: make([]bool, s.nodes), bytes: make([]float64, s.nodes)}
 	for range s.nodes {
@@ -134,7 +139,7 @@
 	return h.out
 }
 
-// times draws how many events of a rate fall into one tick.
+// times returns a random number of events for one tick at a rate.
 func (h *history) times(rate float64) int {
 	mean := rate * tick.Seconds()
 	n := int(mean)
@@ -144,7 +149,7 @@
 	return n
 }
 
-// arrive draws the requests of one tick.
+// arrive generates the requests of one tick.
 func (h *history) arrive() {
 	for range h.times(h.deadly) {
 		h.send(attempt{request: request("deadly"), deadly: true})
@@ -159,7 +164,7 @@
 	}
 }
 
-// send has a new attempt begin at a node.
+// send starts a new try at a random node.
 func (h *history) send(a attempt) {
 	a.node = h.rng.IntN(h.nodes)
 	if !a.deadly {
@@ -174,12 +179,12 @@
 	h.run(a)
 }
 
-// held reports whether the attempt's node holds its request back.
+// held reports whether the node of an attempt quarantines its request.
 func (h *history) held(a attempt) bool {
 	return h.quarantined && h.ledgers[a.node].Verdict(a.request, h.now).Held(h.now)
 }
 
-// run has an attempt go to an instance that is there.
+// run sends an attempt to an instance, if the instance is up and reachable.
 func (h *history) run(a attempt) {
 	i := h.pick(a.node)
 	w := &h.workers[i]
@@ -198,7 +203,8 @@
 	w.work = append(w.work, a)
 }
 
-// work ends what is done, and the instances whose time has come.
+// work completes the attempts that are due, and crashes instances that run a deadly request or end
+// at random.
 func (h *history) work() {
 	for range h.times(h.deaths) {
 		h.crash(h.rng.IntN(len(h.workers)))
@@ -225,7 +231,8 @@
 	}
 }
 
-// crash ends an instance under all that it has at work; attempts go on elsewhere, or their callers try again.
+// crash ends an instance and interrupts its attempts, which are retried on other instances or by
+// their callers.
 func (h *history) crash(i int) {
 	w := &h.workers[i]
 	if h.now.Before(w.backAt) {
@@ -247,7 +254,7 @@
 	}
 }
 
-// life returns the current life of an instance.
+// life returns the current incarnation of an instance.
 func (h *history) life(i int) fleet.Incarnation {
 	in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprint("i", i))}
 	if !h.sameLives {
@@ -256,13 +263,13 @@
 	return in
 }
 
-// broke has an attempt's node see it break off, and later prove the ending of its instance.
+// broke records the interruption of an attempt at its node, and schedules the proof of the ending.
 func (h *history) broke(a attempt, i int, in fleet.Incarnation) {
 	h.ledgers[a.node].Broken(a.request, []fleet.Incarnation{in}, a.began, h.now)
 	h.proofs = append(h.proofs, proof{a.node, i, in, h.now.Add(time.Duration(h.rng.Int64N(int64(proofDelay))))})
 }
 
-// goOn has an attempt that broke off go on elsewhere, or its caller try again.
+// goOn retries an interrupted attempt on another instance, or has its caller try again.
 func (h *history) goOn(a attempt) {
 	switch {
 	case a.runs < attempts && !h.held(a):
@@ -277,7 +284,7 @@
 	}
 }
 
-// prove has nodes learn that instances ended.
+// prove delivers the proofs that are due to their nodes.
 func (h *history) prove() {
 	left := h.proofs[:0]
 	for _, p := range h.proofs {
@@ -292,7 +299,7 @@
 	h.proofs = left
 }
 
-// report has each node but the leader exchange with it once in an interval.
+// report has each node exchange ledgers with its leader once in each status interval.
 func (h *history) report() {
 	phase := int(h.now.Sub(start)/tick) % int(statusInterval/tick)
 	for n := 1; n < h.nodes; n++ {
@@ -312,8 +319,8 @@
 	}
 }
 
-// aged returns a delta as the other node gets it: the way of the message makes all that it
-// tells look a little younger.
+// aged returns a delta as another node receives it: the message delay makes everything in it look
+// younger.
 func (h *history) aged(d quarantine.Delta) quarantine.Delta {
 	way := time.Duration(h.rng.Int64N(int64(longestWay)))
 	out := quarantine.Delta{Endings: slices.Clone(d.Endings), Cleared: slices.Clone(d.Cleared)}
@@ -326,7 +333,7 @@
 	return out
 }
 
-// sizeOf returns about how many bytes a delta takes between nodes.
+// sizeOf returns the approximate size of a delta between nodes, in bytes.
 func sizeOf(d quarantine.Delta) int {
 	if d.Empty() {
 		return 0
@@ -335,7 +342,8 @@
 	return len(raw)
 }
 
-// shapes are the sizes of today, of a grown deployment, and one between it and the size that the product is meant for.
+// shapes returns a small deployment, a large one, and one between the large one and the size that
+// the system is designed for.
 func shapes(deadly float64, quarantined bool) []shape {
 	return []shape{
 		{nodes: 9, instances: 12, sound: 135, deadly: deadly, deaths: 0.1, quarantined: quarantined},
@@ -344,19 +352,19 @@
 	}
 }
 
-// name describes a shape.
+// name returns the name of the shape in benchmarks.
 func (s shape) name() string {
 	return fmt.Sprintf("nodes=%d/groups=%d/deadly=%g/quarantine=%v", s.nodes, s.instances, s.deadly, s.quarantined)
 }
 
-// Without the quarantine the deadly request goes on for ever; with it, it is known on
-// all nodes in time, and no sound request is held back. Only where 11 of 12 groups ended
-// within a second, and none of the popular request's answers came meanwhile, is that one
-// held back for two of 4,128 attempts, until a further ending tells the two apart.
+// Without the quarantine a deadly request ends instances without limit. With it, all nodes
+// quarantine the request in time, and no sound request. The exception is a history in which 11 of
+// 12 groups end within a second and the popular request gets no response meanwhile: two of its
+// 4,128 attempts are quarantined, until a further ending distinguishes it from the deadly one.
 func TestDrawnHistoriesEndTheDeadlyRequest(t *testing.T) {
 	for _, c := range []struct {
 		deadly float64
-		// held is how many attempts of sound requests may be held back at nine nodes.
+		// held is the maximum number of quarantined attempts of sound requests with nine nodes.
 		held int
 	}{{0.5, 0}, {2, 0}, {20, 2}} {
 		for _, s := range shapes(c.deadly, true)[:2] {
@@ -373,13 +381,13 @@
 				}
 				without := s
 				without.quarantined = false
-				g.Expect(play(without, 0).late).To(BeNumerically(">", 3), "the history shows no fault")
+				g.Expect(play(without, 0).late).To(BeNumerically(">", 3), "without the quarantine the deadly request must keep being sent")
 			})
 		}
 	}
 }
 
-// Chance endings and a popular request have nothing held back.
+// Random endings and a popular request quarantine nothing.
 func TestDrawnHistoriesWithoutADeadlyRequestHoldNothingBack(t *testing.T) {
 	for _, s := range shapes(0, true)[:2] {
 		s.deaths *= 10
@@ -390,13 +398,13 @@
 	}
 }
 
-// totals adds up what some histories came to.
+// totals is the sum of the outcomes of some histories.
 type totals struct {
 	outcome
 	histories float64
 }
 
-// add adds one history.
+// add adds the outcome of one history.
 func (t *totals) add(o outcome) {
 	t.histories++
 	t.ended += o.ended
@@ -409,7 +417,7 @@
 	t.kept += o.kept
 }
 
-// report reports the averages.
+// report reports the averages as benchmark metrics.
 func (t *totals) report(b *testing.B) {
 	b.ReportMetric(float64(t.ended)/t.histories, "ended")
 	b.ReportMetric(float64(t.late)/t.histories, "late-sends")
@@ -420,8 +428,8 @@
 	b.ReportMetric(float64(t.kept)/t.histories, "kept")
 }
 
-// BenchmarkHistories reports what drawn histories of 30 s come to, on average of some
-// seeds, with and without the quarantine: docs/EXPERIMENTS.md has the figures.
+// BenchmarkHistories reports the average outcome of random histories of 30 s, with and without the
+// quarantine. docs/EXPERIMENTS.md lists the results.
 func BenchmarkHistories(b *testing.B) {
 	for _, quarantined := range []bool{false, true} {
 		for _, deadly := range []float64{0.5, 2, 20} {
@@ -438,7 +446,7 @@
 	}
 }
 
-// BenchmarkJudge measures one judgement of as many endings as are kept.
+// BenchmarkJudge measures one evaluation of the maximum number of retained endings.
 func BenchmarkJudge(b *testing.B) {
 	p := quarantine.DefaultPolicy()
 	p.JudgeInterval = 0
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -9,49 +9,49 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Ending is what one node observed of the end of an instance: the requests that it had under way there.
+// Ending is the observation of an ending by one node: the requests that this node had in progress
+// on the instance.
 type Ending struct {
 	Instance fleet.Incarnation
-	// Episode numbers the endings of one life: it ends once, but may seem to have ended
-	// before, while it was cut off, and a process may start again without telling its lives apart.
+	// Episode numbers the endings of one incarnation. It ends once, but may have seemed to end
+	// before, during a network partition, and a process may restart without a new incarnation.
 	Episode int
-	// By is the node that observed it; zero where that was not told or not kept.
+	// By is the node that made the observation; zero if it was not reported or not stored.
 	By Source
-	// At is when the first of the requests broke off, as far as is known.
+	// At is the earliest known time at which one of the requests was interrupted.
 	At       time.Time
 	Requests []Fingerprint
-	// Apart are those of the requests that had broken off elsewhere just before they were
-	// sent to this instance, so that the two endings have no cause in common but the request.
+	// Apart are those of the requests that were interrupted elsewhere just before they were sent to
+	// this instance, so that the two endings have no common cause but the request.
 	Apart []Fingerprint
-	// Back tells that the instance answered later on.
+	// Back is set if the instance answered later.
 	Back bool
 }
 
-// void reports whether the instance had not ended but was cut off: it is back in the same
-// life. One that does not tell its lives apart is taken to have started again.
+// void reports whether the instance had not ended but was unreachable: it answered again in the
+// same incarnation. An instance that does not report its incarnation is assumed to have restarted.
 func (e *Ending) void() bool { return e.Back && e.Instance.Life != "" }
 
-// episode is the key of an ending.
+// episode identifies an ending.
 type episode struct {
 	instance fleet.Incarnation
 	number   int
 }
 
-// key returns the key of the ending.
 func (e *Ending) key() episode { return episode{e.Instance, e.Episode} }
 
-// Verdict is what a ledger concludes about one request.
+// Verdict is the conclusion about one request.
 type Verdict struct {
-	// Endings is how many times in a row instances ended under the request that no other
-	// request accounts for; those that came together count once.
+	// Endings counts the consecutive endings during the request that no other request accounts for.
+	// Endings that coincide count once.
 	Endings int
-	// Until is when the request is no longer held back; zero if it is not.
+	// Until is when the quarantine of the request ends; zero if it is not quarantined.
 	Until time.Time
-	// Under are these endings, without what else was under way.
+	// Under holds these endings, without the other requests in progress.
 	Under []Ending
 }
 
-// Instances returns the ids of the instances that ended under the request.
+// Instances returns the ids of the instances that ended during the request.
 func (v Verdict) Instances() []state.InstanceID {
 	ids := make([]state.InstanceID, len(v.Under))
 	for i, e := range v.Under {
@@ -60,17 +60,17 @@
 	return ids
 }
 
-// Held reports whether the request is to be held back.
+// Held reports whether the request is quarantined at now.
 func (v Verdict) Held(now time.Time) bool { return now.Before(v.Until) }
 
-// judge returns the verdicts on the requests that one more ending, or less, would have
-// held back. cleared tells when a request last got a whole answer.
+// judge returns the verdicts on the requests that are to be quarantined, or would be after one more
+// ending. cleared holds the time of the last complete response to each request.
 //
-// Each ending has many requests under way and one cause. The request under which
-// most instances ended accounts for these endings, so that they no longer count
-// against the others, which were only beside it; then the next one is looked for.
-// Requests that never got a whole answer come first: a popular sound request is under way
-// on every instance that ends, and must not account for the endings of a deadly one.
+// Many requests are in progress at each ending, but only one causes it. The request with the most
+// endings accounts for them, so that they no longer count against the requests that merely ran
+// beside it; then the next one is determined. Requests that never got a complete response come
+// first: a popular sound request is in progress on every instance that ends, and must not account
+// for the endings of a deadly one.
 func judge(endings []Ending, cleared map[Fingerprint]time.Time, policy *Policy) map[Fingerprint]Verdict {
 	h := newHistory(endings, policy.Spacing)
 	under := h.suspects(cleared, max(policy.Endings-1, 1))
@@ -94,7 +94,7 @@
 	return verdicts
 }
 
-// holdWorst adds the verdicts on those of some requests that are to be held back, and closes
+// holdWorst adds the verdicts on those of the given requests that are to be quarantined, and closes
 // the endings that they account for.
 func (h *history) holdWorst(under map[Fingerprint][]int, verdicts map[Fingerprint]Verdict, policy *Policy) {
 	for {
@@ -113,9 +113,9 @@
 	}
 }
 
-// worstRequests returns the requests not yet judged that are to be held back and that most speaks
-// against. Of requests with as many moments, the one with more endings was under those that the
-// others were not.
+// worstRequests returns the requests without a verdict that are to be quarantined and have the most
+// evidence against them. Of requests with the same number of moments, the one with more endings was
+// also in progress at endings where the others were not.
 func (h *history) worstRequests(under map[Fingerprint][]int, judged map[Fingerprint]Verdict, policy *Policy) map[Fingerprint]blame {
 	worst := map[Fingerprint]blame{}
 	var most blame
@@ -136,7 +136,8 @@
 	return worst
 }
 
-// heldBack returns the verdict on a request that accounts for its open endings.
+// heldBack returns the verdict on a request that accounts for its open endings. The quarantine
+// doubles with each ending beyond the required number, up to the retention period.
 func (h *history) heldBack(f Fingerprint, b blame, policy *Policy) Verdict {
 	v := Verdict{Endings: b.moments, Under: h.endingsUnder(f, b.counted)}
 	hold := policy.Hold
@@ -147,22 +148,22 @@
 	return v
 }
 
-// blame is how much speaks against a request.
+// blame is the evidence against a request.
 type blame struct {
-	// moments are its open endings, those that came together and not apart counted once.
+	// moments counts its open endings. Those that coincide and are not apart count once.
 	moments int
-	// counted are the observations of all of its open endings, one of each.
+	// counted holds the index of one observation of each of its open endings.
 	counted []int
 }
 
-// compare orders by moments first.
+// compare orders by moments, then by the number of endings.
 func (b blame) compare(other blame) int {
 	return cmp.Or(cmp.Compare(b.moments, other.moments), cmp.Compare(len(b.counted), len(other.counted)))
 }
 
-// blameOf counts the open endings under a request, and those within a spacing as one
-// moment unless they came apart: a request that ends instances within milliseconds is sent on from
-// one to the next.
+// blameOf counts the open endings of a request. Those within the spacing count as one moment unless
+// they are apart: a request that crashes instances within milliseconds is retried from one to the
+// next.
 func (h *history) blameOf(f Fingerprint, list []int) blame {
 	var b blame
 	var m moment
@@ -186,21 +187,22 @@
 	return b
 }
 
-// orderError is how far the times of two endings, each told by a message with its own way,
-// may be off from each other: closer ones have no known order.
+// orderError is the largest error between the times of two endings. Each is reported in a message
+// with its own delay, so that the order of closer endings is unknown.
 const orderError = 50 * time.Millisecond
 
-// moment is a series of endings under one request with less than a spacing between them.
+// moment is a series of endings of one request with less than the spacing between consecutive ones.
 type moment struct {
 	// first is the time of the first ending, last that of the last one that counts.
 	first, last time.Time
-	// together tells that those which came together have been counted, once.
+	// together is set once the endings that coincide have been counted.
 	together bool
 }
 
-// countsAlso reports whether a further ending of the moment counts beside those before it.
-// One that did not come apart counts if it may be the earliest: the request was then sent on
-// from it, and nodes that were told of the endings in another order must conclude the same.
+// countsAlso reports whether a further ending of the moment counts separately, and updates the
+// moment. An ending that is not apart counts if it may be the earliest: the request was then
+// retried from it, and nodes that received the endings in another order must reach the same
+// conclusion.
 func (m *moment) countsAlso(at time.Time, apart bool) bool {
 	if apart {
 		m.last = at
--- a/coordination/quarantine/ledger.go
+++ b/coordination/quarantine/ledger.go
@@ -11,12 +11,12 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Ledger keeps which instances ended under which requests, as far as this node
-// and those that it hears from know; safe for concurrent use.
+// Ledger records which instances ended during which requests, as observed by this node and reported
+// by others. It is safe for concurrent use.
 //
-// A request that broke off waits for proof that its instance ended: a cut, a
-// reset or a stall alone is none. What nodes know joins as sets do, so that the
-// order and number of exchanges don't matter.
+// An interrupted request counts only once it is proven that its instance ended: a network
+// partition, a connection reset or a stall alone is no proof. Ledgers merge like sets, so that
+// neither the order nor the number of exchanges matters.
 type Ledger struct {
 	policy Policy
 
@@ -24,38 +24,39 @@
 	pending map[fleet.Incarnation]*doubt
 	endings map[episode]*record
 	cleared map[Fingerprint]map[Source]*clearing
-	// own is the source under which other nodes know what this one has observed and cleared.
+	// own identifies this node as the source of its observations and clearings.
 	own Source
-	// answered holds the time of the last whole answer to recent requests at this node. An ending
-	// is often reported only after later answers have come: without this cache up to 19 attempts of
-	// the most popular request were held back in 4 shapes of TestDrawnHistoriesEndTheDeadlyRequest.
+	// answered caches the time of the last complete response of this node to recent requests. An
+	// ending is often reported only after later responses. Without this cache up to 19 attempts of
+	// the most popular request were quarantined in 4 shapes of
+	// TestDrawnHistoriesEndTheDeadlyRequest.
 	answered *lru.Cache[Fingerprint, time.Time]
 	// version counts the changes of endings and cleared.
 	version uint64
-	// dirty tells that the verdicts are older than the endings, judged when they were last made.
+	// dirty is set if endings or cleared have changed since the verdicts were computed, at judged.
 	dirty  bool
 	judged time.Time
 
 	verdicts atomic.Pointer[map[Fingerprint]Verdict]
 }
 
-// clearing is when a request last got a whole answer at one node after instances ended
-// under it. That node numbers its clearings: nodes tell each other ages, in which the way of
-// a message counts as well, so that times alone would move with each exchange.
+// clearing holds when a request last got a complete response at one node, after instances had ended
+// during it. The node numbers its clearings: nodes exchange ages, which omit the delay of the
+// message, so that the times alone would shift with each exchange.
 type clearing struct {
 	number uint64
 	at     time.Time
 	change
 }
 
-// change tells at which version of the ledger something last changed, and by whose word.
+// change is the ledger version at which an entry last changed, and the source of the change.
 type change struct {
 	version uint64
 	from    Source
 }
 
-// maxSource bounds the numbers that nodes draw for themselves: few digits in each message, and no two
-// nodes of some hundred with the same.
+// maxSource bounds the random numbers that identify nodes. They take few digits in each message,
+// and a collision among some hundred nodes is unlikely.
 const maxSource = 1 << 40
 
 // NewLedger returns an empty Ledger.
@@ -72,43 +73,44 @@
 	return l
 }
 
-// newAnswers returns a memory of a number of answers, one at least.
+// newAnswers returns a cache of at least one response.
 func newAnswers(size int) *lru.Cache[Fingerprint, time.Time] {
 	c, err := lru.New[Fingerprint, time.Time](max(size, 1))
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // unreachable: lru.New fails only for a size below one
 	}
 	return c
 }
 
-// Verdict returns what is concluded about a request.
+// Verdict returns the conclusion about a request.
 func (l *Ledger) Verdict(f Fingerprint, now time.Time) Verdict {
 	l.judge(now)
 	return (*l.verdicts.Load())[f]
 }
 
-// Verdicts returns what is concluded about all requests that instances ended
-// under; the map must not be changed.
+// Verdicts returns the conclusions about all requests that are quarantined, or may be after one
+// more ending. The map must not be modified.
 func (l *Ledger) Verdicts(now time.Time) map[Fingerprint]Verdict {
 	l.judge(now)
 	return *l.verdicts.Load()
 }
 
-// recall clears a request, of which an ending has become known, by its last whole answer here. l.mu is held.
+// recall clears a request with a newly known ending as of its last complete response at this node.
+// l.mu is held.
 func (l *Ledger) recall(f Fingerprint) {
 	if at, known := l.answered.Peek(f); known {
 		l.clearAt(f, at)
 	}
 }
 
-// touch marks a change of what others need to know. l.mu is held.
+// touch marks a change that other nodes need to receive. l.mu is held.
 func (l *Ledger) touch(c *change, from Source) {
 	l.version++
 	*c = change{version: l.version, from: from}
 	l.dirty = true
 }
 
-// newest returns the last episode that is known of a life, or nil. l.mu is held.
+// newest returns the last known episode of an incarnation, or nil. l.mu is held.
 func (l *Ledger) newest(in fleet.Incarnation) *record {
 	var last *record
 	for number := 0; ; number++ {
@@ -120,8 +122,8 @@
 	}
 }
 
-// Answered records that a request got a whole answer, which clears it if the next
-// ending under it would have it held back.
+// Answered records a complete response to a request. It clears the request if the next ending would
+// quarantine it.
 func (l *Ledger) Answered(f Fingerprint, now time.Time) {
 	l.answered.Add(f, now)
 	if l.Verdict(f, now).Endings >= max(l.policy.Endings-1, 1) {
@@ -129,14 +131,15 @@
 	}
 }
 
-// Clear has the endings so far no longer count against a request.
+// Clear discards the endings before now as evidence against a request.
 func (l *Ledger) Clear(f Fingerprint, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.clearAt(f, now)
 }
 
-// clearAt records a whole answer here, unless one was recorded a moment before. l.mu is held.
+// clearAt records a complete response at this node, unless one was recorded within the spacing
+// before. l.mu is held.
 func (l *Ledger) clearAt(f Fingerprint, now time.Time) {
 	number := uint64(1)
 	if c := l.cleared[f][l.own]; c != nil {
@@ -148,7 +151,8 @@
 	l.mergeCleared(Cleared{Request: f, By: l.own, Number: number, At: now}, self)
 }
 
-// judge makes the verdicts anew if endings have changed, and forgets what is old.
+// judge recomputes the verdicts if endings have changed or the verdicts are old, and removes
+// expired entries.
 func (l *Ledger) judge(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -172,17 +176,18 @@
 	l.dirty, l.judged = false, now
 }
 
-// laterOf sets the time of a request to another one if that is later.
+// laterOf sets the time of a request to at if that is later.
 func laterOf(times map[Fingerprint]time.Time, f Fingerprint, at time.Time) {
 	if at.After(times[f]) {
 		times[f] = at
 	}
 }
 
-// judgePart is the part of the holding time after which verdicts are made anew though nothing has changed.
+// judgePart is the fraction of Policy.Hold after which verdicts are recomputed even if nothing has
+// changed.
 const judgePart = 10
 
-// forget drops what is older than the memory. l.mu is held.
+// forget removes entries older than Policy.Memory. l.mu is held.
 func (l *Ledger) forget(now time.Time) {
 	for key, r := range l.endings {
 		if now.Sub(r.last()) > l.policy.Memory {
@@ -201,7 +206,8 @@
 	}
 }
 
-// bound drops the oldest endings beyond the bound. l.mu is held.
+// bound removes the oldest endings, and arbitrary clearings, beyond Policy.MaxEndings. l.mu is
+// held.
 func (l *Ledger) bound() {
 	for len(l.endings) > l.policy.MaxEndings {
 		var oldest episode
--- a/coordination/quarantine/ledger_test.go
+++ b/coordination/quarantine/ledger_test.go
@@ -14,23 +14,23 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// start is when the tests begin.
+// start is the time at which the tests begin.
 var start = time.Unix(1000, 0)
 
-// runTime is how long a request has been under way when its instance ends.
+// runTime is how long a request has been in progress when its instance ends.
 const runTime = 500 * time.Millisecond
 
-// request returns the fingerprint of a request with a body.
+// request returns the fingerprint of a request with the given body.
 func request(body string) quarantine.Fingerprint {
 	return quarantine.NewFingerprint(quarantine.Content{Method: "POST", Host: "h", Target: "/x", Caller: "team", Body: []byte(body)})
 }
 
-// instance returns one life of an instance.
+// instance returns an incarnation of an instance that does not report its incarnation.
 func instance(id string) fleet.Incarnation {
 	return fleet.Incarnation{ID: state.InstanceID(id)}
 }
 
-// end has an instance end under requests at a time after the start.
+// end ends an instance during the given requests, at a time after the start.
 func end(l *quarantine.Ledger, id string, after time.Duration, requests ...string) {
 	at := start.Add(after)
 	for _, r := range requests {
@@ -39,7 +39,7 @@
 	l.Ended(instance(id), at.Add(10*time.Millisecond))
 }
 
-// held reports whether a request is held back at a time after the start.
+// held reports whether a request is quarantined at a time after the start.
 func held(l *quarantine.Ledger, r string, after time.Duration) bool {
 	now := start.Add(after)
 	return l.Verdict(request(r), now).Held(now)
@@ -80,8 +80,8 @@
 	}
 }
 
-// The request under which three instances ended is held back on its own: those that
-// were beside it go on.
+// Only the request that was in progress at three endings is quarantined, not the requests beside
+// it.
 func TestTheRequestUnderEachEndingIsHeldBack(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
@@ -97,8 +97,8 @@
 	g.Expect(l.Verdict(request("deadly"), start.Add(5*time.Second)).Instances()).To(ConsistOf(state.InstanceID("a"), state.InstanceID("b"), state.InstanceID("c")))
 }
 
-// A request that was beside the deadly one under three endings is no longer held
-// back once a fourth one tells them apart.
+// A request that was in progress beside the deadly one at three endings is released once a fourth
+// ending distinguishes the two.
 func TestAnEndingThatAnotherRequestAccountsForDoesNotCount(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
@@ -110,16 +110,16 @@
 	g.Expect(held(l, "beside", 5*time.Second)).To(BeFalse())
 }
 
-// An instance that was cut off, and ended under the deadly request later on, has ended once;
-// one that does not tell its lives apart has ended twice.
+// An instance that was cut off, and ended later during the deadly request, has ended once. One that
+// does not report its incarnation has ended twice.
 func TestAnInstanceMayEndAgain(t *testing.T) {
 	for _, c := range []struct {
 		name, life string
-		// first is set if the endings from before the instances answered again count.
+		// first is set if the endings before the instances answered again count.
 		first bool
 	}{
-		{"it tells its lives apart", "1", false},
-		{"it does not", "", true},
+		{"it reports its incarnation", "1", false},
+		{"it does not report its incarnation", "", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -146,17 +146,17 @@
 	}
 }
 
-// A request that went on at a second instance at once, which ended too, has two
-// endings, however soon the second one came.
+// A request that is retried on a second instance, which ends too, counts two endings, however soon
+// the second one follows.
 func TestEndingsOneAfterTheOtherCountEachHoweverSoon(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// began is when the request was sent to each instance, after the one before ended.
+		// began is when the request is sent to each instance, relative to the previous ending.
 		began time.Duration
 		held  bool
 	}{
-		{"sent after the last ending", time.Millisecond, true},
-		{"sent before it", -runTime, false},
+		{"sent after the previous ending", time.Millisecond, true},
+		{"sent before the previous ending", -runTime, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := quarantine.NewLedger(quarantine.DefaultPolicy())
@@ -172,23 +172,22 @@
 	}
 }
 
-// Engines that ended within milliseconds under the attempts of one request were counted one by
-// one at the node that sent it, and as two at the next node, which sent the request on to three
-// more. Nodes tell each other ages, each message errs by its own way, and so endings that are closer than
-// that come in another order elsewhere: the first one, sent after no other, then looked like one that
-// came together with the second.
+// Instances that end within milliseconds during the attempts of one request must count alike on all
+// nodes. Nodes exchange ages, and each message has its own delay, so that close endings arrive in
+// another order. The first ending, which is not apart, must not be mistaken for one that coincides
+// with the second: a node that counts fewer endings sends the request on.
 func TestTheOrderInWhichCloseEndingsAreToldDoesNotCount(t *testing.T) {
 	const pause, way = 3 * time.Millisecond, 8 * time.Millisecond
 	for _, c := range []struct {
 		name string
 		late []time.Duration
 	}{
-		{"as they came", []time.Duration{0, 0, 0}},
-		{"the first one is told later", []time.Duration{way, 0, 0}},
-		{"the second one is told later", []time.Duration{0, way, 0}},
-		{"the first two are told later", []time.Duration{way, way, 0}},
+		{"in order", []time.Duration{0, 0, 0}},
+		{"the first one is late", []time.Duration{way, 0, 0}},
+		{"the second one is late", []time.Duration{0, way, 0}},
+		{"the first two are late", []time.Duration{way, way, 0}},
 		{"in reverse", []time.Duration{2 * way, way, 0}},
-		{"rounded to the same moment", []time.Duration{2 * pause, pause, 0}},
+		{"rounded to the same time", []time.Duration{2 * pause, pause, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -210,10 +209,9 @@
 	}
 }
 
-// A popular sound request, or one that a client sends again and again, is under way on every
-// instance, so that more endings fall on it than on the deadly one. It must not account for the
-// deadly one's endings: held back itself, it could never be cleared, and the deadly one would go
-// on.
+// A popular sound request, or one that a client repeats, is in progress on every instance, so that
+// more endings count against it than against the deadly one. It must not account for the endings of
+// the deadly one: it would be quarantined, and so never cleared, while the deadly one is sent on.
 func TestAPopularRequestDoesNotShieldTheDeadlyOne(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
@@ -261,12 +259,12 @@
 			end(l, "a", time.Second, "popular")
 			end(l, "b", 2*time.Second, "popular")
 		}},
-		{"many instances end together, as a rack does", func(l *quarantine.Ledger) {
+		{"many instances end together, as with a rack", func(l *quarantine.Ledger) {
 			for i := range 9 {
 				end(l, fmt.Sprintf("i%d", i), time.Second+time.Duration(i)*10*time.Millisecond, "popular")
 			}
 		}},
-		{"a hall is cut off, and each attempt goes on at the next instance that is cut off", func(l *quarantine.Ledger) {
+		{"a hall is cut off, and each attempt is retried on the next instance that is cut off", func(l *quarantine.Ledger) {
 			for i := range 20 {
 				in, at := instance(fmt.Sprintf("i%d", i)), start.Add(time.Second+time.Duration(i)*5*time.Millisecond)
 				l.Broken(request(fmt.Sprint("beside ", i)), []fleet.Incarnation{in}, start, at)
@@ -284,14 +282,14 @@
 				l.Alive(in, start.Add(4*time.Second))
 			}
 		}},
-		{"a whole answer in between", func(l *quarantine.Ledger) {
+		{"a complete response in between", func(l *quarantine.Ledger) {
 			end(l, "a", time.Second, "popular")
 			end(l, "b", 2*time.Second, "popular")
 			l.Answered(request("popular"), start.Add(2500*time.Millisecond))
 			end(l, "c", 3*time.Second, "popular")
 			end(l, "d", 4*time.Second, "popular")
 		}},
-		{"it broke off on instances that live", func(l *quarantine.Ledger) {
+		{"it was interrupted on instances that are alive", func(l *quarantine.Ledger) {
 			for i := range 9 {
 				in := instance(fmt.Sprintf("i%d", i))
 				at := start.Add(time.Duration(i) * time.Second / 2)
@@ -300,7 +298,7 @@
 				l.Ended(in, at.Add(10*time.Millisecond))
 			}
 		}},
-		{"its instances ended long after it broke off", func(l *quarantine.Ledger) {
+		{"its instances ended long after it was interrupted", func(l *quarantine.Ledger) {
 			for i := range 9 {
 				in := instance(fmt.Sprintf("i%d", i))
 				l.Broken(request("popular"), []fleet.Incarnation{in}, start.Add(-2*time.Minute), start.Add(-time.Minute+time.Duration(i)*time.Second))
@@ -322,9 +320,9 @@
 	}
 }
 
-// A deadly request that all nodes held back was sent on again eight seconds later, and ended three
-// more instances: beside its first endings a hall was cut off by resets, and once the instances there
-// were known to refuse connections, they accounted for the endings in the other halls too.
+// A deadly request must not be released when a hall is cut off during its first endings. Once the
+// instances of that hall refuse connections, their false endings must not account for the real ones
+// in the other halls.
 func TestARequestThatIsHeldBackStaysSoWhenAHallIsCutOffBesideIt(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
@@ -342,10 +340,10 @@
 	g.Expect(held(l, "deadly", 4*time.Second)).To(BeTrue())
 }
 
-// A deadly request that all nodes held back was sent on as soon as a hall was no longer cut off. Nodes
-// of that hall had been refused by most instances of the others when the cut began; some of these ended
-// under the request a little later. A false ending and the true one that followed it became one, at the
-// time of the false one, so that endings of two seconds fell into one moment.
+// A deadly request must not be released when a hall is connected again. When the cut began, the
+// instances of the other halls refused connections from its nodes; some of them ended during the
+// request a little later. If a false ending is merged with the real one after it, at the time of
+// the false one, endings that are two seconds apart fall into one moment.
 func TestAFalseEndingBeforeATrueOneTakesNoVerdictBack(t *testing.T) {
 	const cutAt = 900 * time.Millisecond
 	observeCut := func(l *quarantine.Ledger) {
@@ -360,11 +358,11 @@
 	}
 	for _, c := range []struct {
 		name string
-		// between is told before the other node observes anything.
+		// between is set if the false endings are sent before the other node observes anything.
 		between bool
 	}{
-		{"both are told afterwards", false},
-		{"the false endings are told first", true},
+		{"both are sent afterwards", false},
+		{"the false endings are sent first", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -387,8 +385,8 @@
 	}
 }
 
-// A build that merges what all nodes observed tells it again as one ending, at the earliest time of all
-// and without their names.
+// A build that merges the observations of all nodes sends them back as one ending, at the earliest
+// of their times and without the nodes.
 func TestWhatABuildWithoutNamesTellsAgainTakesNoVerdictBack(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
@@ -422,7 +420,8 @@
 	g.Expect(held(l, "deadly", again+2*p.Memory)).To(BeFalse())
 }
 
-// A late break-off counts under an ending that is known already, whoever told of it.
+// An attempt whose interruption is noticed late counts against an ending that is already known,
+// whichever node reported it.
 func TestABreakOffThatIsNoticedLateCounts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -432,7 +431,7 @@
 		{"after the ending is known", func(l *quarantine.Ledger, in fleet.Incarnation, at time.Time) {
 			l.Merge(quarantine.Delta{Endings: []quarantine.Ending{{Instance: in, At: at, Requests: []quarantine.Fingerprint{request("other")}}}}, 7)
 		}, false},
-		{"before another node tells of it", func(l *quarantine.Ledger, in fleet.Incarnation, at time.Time) {
+		{"before another node reports it", func(l *quarantine.Ledger, in fleet.Incarnation, at time.Time) {
 			l.Merge(quarantine.Delta{Endings: []quarantine.Ending{{Instance: in, At: at, Requests: []quarantine.Fingerprint{request("other")}}}}, 7)
 		}, true},
 	} {
--- a/coordination/quarantine/property_test.go
+++ b/coordination/quarantine/property_test.go
@@ -16,13 +16,13 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// drawn is a history of some nodes, each with a ledger of its own.
+// drawn is a random history of some nodes, each with its own ledger.
 type drawn struct {
 	nodes []*quarantine.Ledger
-	// told is the version of one node's ledger that another was told.
+	// told holds the version of one node's ledger that another one has received.
 	told map[[2]int]uint64
 	now  time.Time
-	// delay is that of a message between two nodes, by which the ages that it tells are too low.
+	// delay is the delay of a message between two nodes, by which the ages in it are too low.
 	delay time.Duration
 }
 
@@ -45,7 +45,8 @@
 	return list
 }
 
-// tell has one node tell another what that one may lack; lost is an answer that never came.
+// tell sends one node the changes of another. If lost is set, the sender does not learn that they
+// arrived.
 func (d *drawn) tell(from, to int, lost bool) {
 	link := [2]int{from, to}
 	delta, version := d.nodes[from].Since(d.told[link], quarantine.Source(to+1))
@@ -61,7 +62,7 @@
 	}
 }
 
-// step draws one event of the history.
+// step generates one random event of the history.
 func (d *drawn) step(t *rapid.T) {
 	d.now = d.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 	node := rapid.IntRange(0, len(d.nodes)-1).Draw(t, "node")
@@ -87,8 +88,8 @@
 	}
 }
 
-// Whatever is told in which order, twice or with lost answers, nodes that have heard of
-// each other conclude the same.
+// Nodes that have exchanged their ledgers reach the same verdicts, whatever the order of the
+// exchanges, and also with repeated exchanges and lost responses.
 func TestNodesThatHeardOfEachOtherConcludeTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &drawn{told: map[[2]int]uint64{}, now: start}
@@ -98,7 +99,8 @@
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			d.step(t)
 		}
-		// What waits for proof here may be proven elsewhere, so that a second round may bring news.
+		// An interruption without proof at one node may be proven at another, so that a second
+		// round may bring changes.
 		for range 3 {
 			d.tellAll()
 		}
@@ -106,15 +108,15 @@
 		first := d.nodes[0].Verdicts(d.now)
 		for i, n := range d.nodes[1:] {
 			if v := n.Verdicts(d.now); !reflect.DeepEqual(v, first) {
-				t.Fatalf("node %d concludes %v, node 0 %v", i+1, v, first)
+				t.Fatalf("node %d has verdicts %v, node 0 has %v", i+1, v, first)
 			}
 		}
 	})
 }
 
-// Nodes tell each other ages, and each way takes time, so that what is told again comes
-// back a little younger. Exchanges come to rest all the same: nothing is told for ever,
-// and no ending moves towards the present.
+// Nodes exchange ages, and each message is delayed, so that an entry that is sent back looks
+// younger. Exchanges must converge all the same: no entry is sent for ever, and no ending moves
+// towards the present.
 func TestExchangesComeToRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &drawn{told: map[[2]int]uint64{}, now: start, delay: time.Duration(rapid.IntRange(1, 60).Draw(t, "way")) * time.Millisecond}
@@ -136,14 +138,14 @@
 	})
 }
 
-// However endings fall, a request is held back only with three of them, at moments
-// apart from each other or each sent just after the last, and without a whole answer since.
+// A request is quarantined only after three endings without a complete response in between. Each of
+// them comes at a moment of its own, or during an attempt sent just after the previous one.
 func TestNothingIsHeldBackForLessThanThreeEndings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := quarantine.DefaultPolicy()
 		l := quarantine.NewLedger(p)
 		now := start
-		var moments, all []time.Time // of the endings in a row under the request, and of all
+		var moments, all []time.Time // of the consecutive endings that count against the request, and of all endings
 		endings := 0
 		for i := range rapid.IntRange(1, 30).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
@@ -167,13 +169,13 @@
 			v := l.Verdict(request("r"), now)
 			want := len(moments)
 			if endings < p.Endings-1 {
-				want = 0 // no further ending alone would have it held back
+				want = 0 // one more ending could not quarantine the request
 			}
 			if v.Endings != want || v.Held(now) != (len(moments) >= p.Endings) {
-				t.Fatalf("after %d moments of endings the verdict is %+v", len(moments), v)
+				t.Fatalf("after %d moments the verdict is %+v", len(moments), v)
 			}
 			if l.Verdict(request(fmt.Sprint("beside ", i)), now).Held(now) {
-				t.Fatal("a request under one ending is held back")
+				t.Fatal("a request with a single ending is quarantined")
 			}
 		}
 	})
--- a/coordination/quarantine/record.go
+++ b/coordination/quarantine/record.go
@@ -7,10 +7,11 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// record is one ending of a life as the nodes observed it, each with a time and requests of its own.
+// record holds the observations of one ending, each with its own time and requests.
 //
-// Observations are not merged: a node behind a cut takes an instance for ended when the cut
-// begins, and its time would replace that of a true ending under other requests some time later.
+// Observations are not merged. A node behind a network partition takes an instance for ended when
+// the partition begins, and its time would replace that of a real ending with other requests some
+// time later.
 type record struct {
 	instance fleet.Incarnation
 	episode  int
@@ -18,9 +19,9 @@
 }
 
 // observation is what one node observed of an ending. Only that node adds requests; any node may
-// learn that the instance is back.
+// find that the instance answers again.
 type observation struct {
-	// at is when the first of the requests broke off.
+	// at is when the first of the requests was interrupted.
 	at       time.Time
 	requests []Fingerprint
 	apart    []Fingerprint
@@ -33,7 +34,6 @@
 	return &record{instance: key.instance, episode: key.number, seen: map[Source]*observation{}}
 }
 
-// key returns the key of the record.
 func (r *record) key() episode { return episode{r.instance, r.episode} }
 
 // last returns the time of the latest observation.
@@ -47,8 +47,8 @@
 	return last
 }
 
-// over reports whether the instance answered after each of the observations, so that a further
-// ending is another one.
+// over reports whether the instance answered after every observation, so that a further ending is a
+// new episode.
 func (r *record) over() bool {
 	for _, o := range r.seen {
 		if !o.back {
@@ -67,7 +67,7 @@
 	return n
 }
 
-// knows reports whether an observation names a request.
+// knows reports whether an observation contains a request.
 func (r *record) knows(f Fingerprint) bool {
 	for _, o := range r.seen {
 		if slices.Contains(o.requests, f) {
@@ -77,8 +77,8 @@
 	return false
 }
 
-// appendTo appends the observations that are told, or all of them if tells is nil. The lists
-// are those of the record.
+// appendTo appends the observations whose change tells selects, or all of them if it is nil. The
+// endings share the slices of the record.
 func (r *record) appendTo(list []Ending, tells func(c *change) bool) []Ending {
 	for by, o := range r.seen {
 		if tells == nil || tells(&o.told) {
@@ -88,7 +88,7 @@
 	return list
 }
 
-// observe adds a request that broke off at this node to an ending. l.mu is held.
+// observe adds a request that was interrupted at this node to an ending. l.mu is held.
 func (l *Ledger) observe(r *record, b broken) {
 	o := r.seen[l.own]
 	if o == nil {
--- a/coordination/quarantine/share.go
+++ b/coordination/quarantine/share.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// Source names whose word a node has something by: the number of another node, or self.
+// Source identifies where information comes from: the number of another node, or one of the
+// constants below.
 type Source int64
 
-// Sources that are no other node.
+// Sources other than another node.
 const (
-	// self is what a node has seen itself.
+	// self is this node; in Ending.By it means that the node is unknown.
 	self Source = 0
-	// Kept is what the store kept, which all nodes read.
+	// Kept is the store, which all nodes read.
 	Kept Source = -1
-	// Peer is any node, where all is told to whoever asks.
+	// Peer is any other node, in exchanges that do not distinguish peers.
 	Peer Source = -2
 )
 
-// Cleared tells when a request last got a whole answer at one node after instances
-// ended under it.
+// Cleared holds when a request last got a complete response at one node, after instances had ended
+// during it.
 type Cleared struct {
 	Request Fingerprint
-	// By is the node, Number that of the clearing among its own of the request.
+	// By is the node, Number the sequence number of the clearing among its clearings of the
+	// request.
 	By     Source
 	Number uint64
 	At     time.Time
 }
 
-// Delta is what one node tells another of its ledger.
+// Delta is a set of changes that one node sends to another.
 type Delta struct {
 	Endings []Ending
 	Cleared []Cleared
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether the delta has no changes.
 func (d *Delta) Empty() bool { return len(d.Endings) == 0 && len(d.Cleared) == 0 }
 
-// Since returns what changed after a version, but for what a source told itself,
-// and the version now.
+// Since returns the changes after a version, without those that came from except, and the current
+// version.
 func (l *Ledger) Since(version uint64, except Source) (Delta, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,12 +65,13 @@
 	return d, l.version
 }
 
-// tells reports whether a change came after a version and by the word of another than a source.
+// tells reports whether a change is later than a version and did not come from except.
 func (c *change) tells(version uint64, except Source) bool {
 	return c.version > version && (c.from != except || except == self)
 }
 
-// Merge joins what another node told, whose times are those of this node's clock.
+// Merge merges a delta from another node. Its times are already converted to the clock of this
+// node.
 func (l *Ledger) Merge(d Delta, from Source) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,8 +84,8 @@
 	l.bound()
 }
 
-// mergeEnding joins what another node told of an observation with what this node knows of it, and
-// adds requests that broke off here on the same instance. l.mu is held.
+// mergeEnding merges an observation from another node, and adds requests that were interrupted at
+// this node on the same instance. l.mu is held.
 func (l *Ledger) mergeEnding(e Ending, from Source) {
 	if len(e.Requests) == 0 {
 		return
@@ -116,7 +119,7 @@
 		}
 	}
 	if news && o.knowsMore(&e) {
-		from = self // the other node may lack what this one had
+		from = self // the sender may lack what this node had
 	}
 	if news {
 		l.touch(&o.told, from)
@@ -124,12 +127,12 @@
 	l.settle(r, e.At)
 }
 
-// knowsMore reports whether an observation holds more than another node told.
+// knowsMore reports whether an observation holds more than the one received.
 func (o *observation) knowsMore(e *Ending) bool {
 	return o.at.Before(e.At) || o.back && !e.Back || len(o.requests) > len(e.Requests) || len(o.apart) > len(e.Apart)
 }
 
-// mergeCleared joins another node's word on a whole answer with what this node knows. l.mu is held.
+// mergeCleared merges a clearing from another node, or one of this node. l.mu is held.
 func (l *Ledger) mergeCleared(c Cleared, from Source) {
 	by := l.cleared[c.Request]
 	if by == nil {
@@ -147,8 +150,9 @@
 	}
 }
 
-// settle adds the requests that broke off here on an instance of which another node tells that it
-// ended at a time. An attempt that began later broke off for another reason. l.mu is held.
+// settle adds the requests that were interrupted at this node on an instance that another node
+// reports as ended. An attempt that began after the ending was interrupted for another reason. l.mu
+// is held.
 func (l *Ledger) settle(r *record, ended time.Time) {
 	d := l.pending[r.instance]
 	if d == nil || r.over() {
