--- a/coordination/quarantine/burst.go
+++ b/coordination/quarantine/burst.go
@@ -4,61 +4,62 @@
 
 // bursts groups observations that the same node made in close succession.
 type bursts struct {
-	// number holds the burst number of each observation, or noSeries.
-	number []int
-	// of holds the bursts in which each ending was observed, size the number of endings in each
-	// burst.
-	of   map[int][]int
-	size map[int]int
+	// numbers holds the burst number of each observation, or noSeries.
+	numbers []int
+	// byEnding holds the bursts in which each ending was observed, sizes the number of endings in
+	// each burst.
+	byEnding map[int][]int
+	sizes    map[int]int
 }
 
-// newBursts returns the bursts with the given numbers. cause holds the number of the ending that
+// newBursts returns the bursts with the given numbers. endingOf holds the number of the ending that
 // each observation belongs to.
-func newBursts(number, cause []int) *bursts {
-	b := &bursts{number: number, of: map[int][]int{}, size: map[int]int{}}
-	for i, n := range number {
-		if n == noSeries || slices.Contains(b.of[cause[i]], n) {
+func newBursts(numbers, endingOf []int) *bursts {
+	b := &bursts{numbers: numbers, byEnding: map[int][]int{}, sizes: map[int]int{}}
+	for i, n := range numbers {
+		if n == noSeries || slices.Contains(b.byEnding[endingOf[i]], n) {
 			continue
 		}
-		b.of[cause[i]] = append(b.of[cause[i]], n)
-		b.size[n]++
+		b.byEnding[endingOf[i]] = append(b.byEnding[endingOf[i]], n)
+		b.sizes[n]++
 	}
 	return b
 }
 
-// shared returns, for each burst, in how many of its endings a request was in progress on any node.
-// list holds the indexes of the observations of that request.
-func (b *bursts) shared(list, cause []int) map[int]int {
-	with, done := map[int]int{}, map[int]bool{}
-	for _, i := range list {
-		if done[cause[i]] {
+// endingsWith returns, for each burst, in how many of its endings a request was in progress on any
+// node. indexes holds the indexes of the observations of that request.
+func (b *bursts) endingsWith(indexes, endingOf []int) map[int]int {
+	counts, counted := map[int]int{}, map[int]bool{}
+	for _, i := range indexes {
+		if counted[endingOf[i]] {
 			continue
 		}
-		done[cause[i]] = true
-		for _, n := range b.of[cause[i]] {
-			with[n]++
+		counted[endingOf[i]] = true
+		for _, n := range b.byEnding[endingOf[i]] {
+			counts[n]++
 		}
 	}
-	return with
+	return counts
 }
 
-// massEndings is how many endings without a request a burst must contain for an ending with it in
-// the same burst not to count as evidence against it: the loss of a rack, a hall or a link
-// interrupts everything in progress there at once. They must also be massRatio times as many as the
-// endings with the request, so that two requests that both crash instances do not hide each other.
+// massFailureEndings is how many endings without a request a burst must contain for an ending with
+// it in the same burst not to count as evidence against it: the loss of a rack, a hall or a link
+// interrupts everything in progress there at once. They must also be massFailureRatio times as many
+// as the endings with the request, so that two requests that both crash instances do not hide each
+// other.
 const (
-	massEndings = 3
-	massRatio   = 4
+	massFailureEndings = 3
+	massFailureRatio   = 4
 )
 
-// isMass reports whether an observation belongs to a burst that has another cause than the request.
-// What nodes on one side of a network partition observe in a burst says nothing about instances
-// elsewhere: the endings behind a partition must not account for those on the other side.
-func (b *bursts) isMass(i int, with map[int]int) bool {
-	n := b.number[i]
+// isMassFailure reports whether an observation belongs to a burst that has another cause than the
+// request. What nodes on one side of a network partition observe in a burst says nothing about
+// instances elsewhere: the endings behind a partition must not account for those on the other side.
+func (b *bursts) isMassFailure(i int, endingsWith map[int]int) bool {
+	n := b.numbers[i]
 	if n == noSeries {
 		return false
 	}
-	without := b.size[n] - with[n]
-	return without >= massEndings && without >= massRatio*with[n]
+	without := b.sizes[n] - endingsWith[n]
+	return without >= massFailureEndings && without >= massFailureRatio*endingsWith[n]
 }
--- a/coordination/quarantine/doubt.go
+++ b/coordination/quarantine/doubt.go
@@ -8,23 +8,23 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// doubt holds the attempts that were interrupted on an incarnation that may have ended.
-type doubt struct {
-	broken []broken
-	// asked counts the probes sent to the instance, askAt is when the next one is due.
-	asked int
-	askAt time.Time
-	// examined is when a refused connection to the instance was last investigated.
-	examined time.Time
+// suspicion holds the attempts that were interrupted on an incarnation that may have ended.
+type suspicion struct {
+	interruptions []interruption
+	// probes counts the probes sent to the instance, nextProbe is when the next one is due.
+	probes    int
+	nextProbe time.Time
+	// investigatedAt is when a refused connection to the instance was last investigated.
+	investigatedAt time.Time
 }
 
-// broken is an attempt that was interrupted before its response was complete.
-type broken struct {
+// interruption is an attempt that was interrupted before its response was complete.
+type interruption struct {
 	request Fingerprint
 	// began is when the attempt was sent, at when it was interrupted.
 	began, at time.Time
-	// apart is set if the request was interrupted elsewhere just before this attempt began.
-	apart bool
+	// retried is set if the request was interrupted elsewhere just before this attempt began.
+	retried bool
 }
 
 // Broken records that an attempt of a request, sent at began, got no complete response because one
@@ -32,9 +32,9 @@
 func (l *Ledger) Broken(f Fingerprint, members []fleet.Incarnation, began, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := broken{request: f, began: began, at: now, apart: l.brokeJustBefore(f, began)}
+	b := interruption{request: f, began: began, at: now, retried: l.interruptedJustBefore(f, began)}
 	for _, m := range members {
-		if r := l.newest(m); r != nil && !r.endedBefore(began) {
+		if r := l.latestEpisode(m); r != nil && !r.endedBefore(began) {
 			if now.Sub(r.last()) < l.policy.EvidenceWindow {
 				l.observe(r, b)
 			}
@@ -42,27 +42,27 @@
 		}
 		d := l.pending[m]
 		if d == nil {
-			d = &doubt{askAt: now}
+			d = &suspicion{nextProbe: now}
 			l.pending[m] = d
 		}
-		if len(d.broken) < l.policy.MaxRequests {
-			d.broken = append(d.broken, b)
+		if len(d.interruptions) < l.policy.MaxRequests {
+			d.interruptions = append(d.interruptions, b)
 		}
 	}
 }
 
-// brokeJustBefore reports whether an attempt of a request was interrupted less than the spacing
-// before began. l.mu is held.
-func (l *Ledger) brokeJustBefore(f Fingerprint, began time.Time) bool {
-	just := func(at time.Time) bool { return !at.After(began) && began.Sub(at) < l.policy.Spacing }
+// interruptedJustBefore reports whether an attempt of a request was interrupted less than the
+// spacing before began. l.mu is held.
+func (l *Ledger) interruptedJustBefore(f Fingerprint, began time.Time) bool {
+	isJustBefore := func(at time.Time) bool { return !at.After(began) && began.Sub(at) < l.policy.Spacing }
 	for _, d := range l.pending {
-		if slices.ContainsFunc(d.broken, func(b broken) bool { return b.request == f && just(b.at) }) {
+		if slices.ContainsFunc(d.interruptions, func(b interruption) bool { return b.request == f && isJustBefore(b.at) }) {
 			return true
 		}
 	}
 	for _, r := range l.endings {
-		for _, o := range r.seen {
-			if just(o.at) && slices.Contains(o.requests, f) {
+		for _, o := range r.observations {
+			if isJustBefore(o.at) && slices.Contains(o.requests, f) {
 				return true
 			}
 		}
@@ -70,39 +70,40 @@
 	return false
 }
 
-// endedBefore reports whether the instance had ended, and answered again, before an attempt began.
-// Such an attempt was interrupted for another reason than this ending.
-func (r *record) endedBefore(began time.Time) bool { return r.over() || began.After(r.last()) }
+// endedBefore reports whether the instance had ended, and answered again, before an attempt was
+// sent. Such an attempt was interrupted for another reason than this ending.
+func (r *endingRecord) endedBefore(sent time.Time) bool { return r.isOver() || sent.After(r.last()) }
 
-// Alive records that an instance answered a probe sent at asked. Attempts interrupted before then
-// have another cause than its ending. It reports whether the ending had been recorded as proven.
-func (l *Ledger) Alive(in fleet.Incarnation, asked time.Time) (back bool) {
+// Alive records that an instance answered a probe sent at probedAt. Attempts interrupted before
+// then have another cause than its ending. It reports whether the ending had been recorded as
+// proven.
+func (l *Ledger) Alive(in fleet.Incarnation, probedAt time.Time) (wasEnded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r := l.newest(in); r != nil {
-		back = l.markBack(r, asked)
+	if r := l.latestEpisode(in); r != nil {
+		wasEnded = l.markResponded(r, probedAt)
 	}
 	d := l.pending[in]
 	if d == nil {
-		return back
+		return wasEnded
 	}
-	d.broken = slices.DeleteFunc(d.broken, func(b broken) bool { return b.at.Before(asked) })
-	if len(d.broken) == 0 {
+	d.interruptions = slices.DeleteFunc(d.interruptions, func(b interruption) bool { return b.at.Before(probedAt) })
+	if len(d.interruptions) == 0 {
 		delete(l.pending, in)
 	}
-	return back
+	return wasEnded
 }
 
-// markBack marks the observations of an ending that precede an answered probe, and reports whether
-// it marked any. l.mu is held.
-func (l *Ledger) markBack(r *record, asked time.Time) (back bool) {
-	for _, o := range r.seen {
-		if !o.back && asked.After(o.at) {
-			o.back, back = true, true
-			l.touch(&o.told, self)
+// markResponded marks the observations of an ending that precede an answered probe, and reports
+// whether it marked any. l.mu is held.
+func (l *Ledger) markResponded(r *endingRecord, probedAt time.Time) (marked bool) {
+	for _, o := range r.observations {
+		if !o.responded && probedAt.After(o.at) {
+			o.responded, marked = true, true
+			l.markChanged(&o.lastChange, self)
 		}
 	}
-	return back
+	return marked
 }
 
 // Ended records that an incarnation has provably ended. It returns the requests that were in
@@ -115,68 +116,68 @@
 		return nil
 	}
 	delete(l.pending, in)
-	r := l.newest(in)
+	r := l.latestEpisode(in)
 	switch {
 	case r == nil:
-		r = newRecord(episode{instance: in})
-	case r.endedBefore(d.broken[0].began):
-		r = newRecord(episode{in, r.episode + 1})
+		r = newEndingRecord(endingKey{instance: in})
+	case r.endedBefore(d.interruptions[0].began):
+		r = newEndingRecord(endingKey{in, r.episode + 1})
 	}
-	var news []Fingerprint
-	for _, b := range d.broken {
-		if now.Sub(b.at) < l.policy.EvidenceWindow && !r.knows(b.request) {
+	var added []Fingerprint
+	for _, b := range d.interruptions {
+		if now.Sub(b.at) < l.policy.EvidenceWindow && !r.contains(b.request) {
 			l.observe(r, b)
-			news = append(news, b.request)
+			added = append(added, b.request)
 		}
 	}
-	if len(r.seen) > 0 {
+	if len(r.observations) > 0 {
 		l.endings[r.key()] = r
-		l.bound()
+		l.enforceLimits()
 	}
-	return news
+	return added
 }
 
-// Current records that a probe sent at asked found the instance in the given incarnation, so that
-// all its other incarnations have ended. It returns the requests that were in progress on an ended
-// incarnation, as Ended does.
-func (l *Ledger) Current(in fleet.Incarnation, asked, now time.Time) []Fingerprint {
-	var news []Fingerprint
-	for _, life := range l.doubtedLives(in.ID) {
-		if life != in {
-			news = append(news, l.Ended(life, now)...)
+// Current records that a probe sent at probedAt found the instance in the given incarnation, so
+// that all its other incarnations have ended. It returns the requests that were in progress on an
+// ended incarnation, as Ended does.
+func (l *Ledger) Current(in fleet.Incarnation, probedAt, now time.Time) []Fingerprint {
+	var added []Fingerprint
+	for _, other := range l.suspectedIncarnations(in.ID) {
+		if other != in {
+			added = append(added, l.Ended(other, now)...)
 		}
 	}
-	l.Alive(in, asked)
-	return news
+	l.Alive(in, probedAt)
+	return added
 }
 
 // Down records that nothing listens at the address of an instance, so that all its incarnations
 // have ended. It returns the same requests as Current.
 func (l *Ledger) Down(id state.InstanceID, now time.Time) []Fingerprint {
-	var news []Fingerprint
-	for _, life := range l.doubtedLives(id) {
-		news = append(news, l.Ended(life, now)...)
+	var added []Fingerprint
+	for _, in := range l.suspectedIncarnations(id) {
+		added = append(added, l.Ended(in, now)...)
 	}
-	return news
+	return added
 }
 
 // Examine reports whether to investigate a refused connection to an instance: attempts were
-// interrupted there, and none was investigated within the check interval. If so, it records the
-// investigation.
+// interrupted there, and no refusal was investigated within the check interval. If so, it records
+// the investigation.
 func (l *Ledger) Examine(in fleet.Incarnation, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.pending[in]
-	if d == nil || !d.examined.IsZero() && now.Sub(d.examined) < l.policy.CheckInterval {
+	if d == nil || !d.investigatedAt.IsZero() && now.Sub(d.investigatedAt) < l.policy.CheckInterval {
 		return false
 	}
-	d.examined = now
+	d.investigatedAt = now
 	return true
 }
 
-// doubtedLives returns the incarnations of an instance that have interrupted attempts but no proven
-// ending.
-func (l *Ledger) doubtedLives(id state.InstanceID) []fleet.Incarnation {
+// suspectedIncarnations returns the incarnations of an instance that have interrupted attempts but
+// no proven ending.
+func (l *Ledger) suspectedIncarnations(id state.InstanceID) []fleet.Incarnation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []fleet.Incarnation
@@ -188,10 +189,9 @@
 	return list
 }
 
-// mostQuestions limits the probes to an instance on which attempts were interrupted. An instance
-// that ended refuses the first one, and each probe of an unresponsive one costs every node a
-// timeout.
-const mostQuestions = 2
+// maxProbes limits the probes to an instance on which attempts were interrupted. An instance that
+// ended refuses the first one, and each probe of an unresponsive one costs every node a timeout.
+const maxProbes = 2
 
 // Due returns the incarnations to probe for liveness now, and schedules their next probes.
 func (l *Ledger) Due(now time.Time) []fleet.Incarnation {
@@ -199,13 +199,13 @@
 	defer l.mu.Unlock()
 	var due []fleet.Incarnation
 	for in, d := range l.pending {
-		last := d.broken[len(d.broken)-1].at
+		last := d.interruptions[len(d.interruptions)-1].at
 		switch {
 		case now.Sub(last) > l.policy.EvidenceWindow:
 			delete(l.pending, in)
-		case d.asked < mostQuestions && !now.Before(d.askAt):
-			d.askAt = now.Add(l.policy.CheckInterval << d.asked)
-			d.asked++
+		case d.probes < maxProbes && !now.Before(d.nextProbe):
+			d.nextProbe = now.Add(l.policy.CheckInterval << d.probes)
+			d.probes++
 			due = append(due, in)
 		}
 	}
--- a/coordination/quarantine/history.go
+++ b/coordination/quarantine/history.go
@@ -10,36 +10,36 @@
 
 // history holds the observations of all nodes, ordered by time and identically on all nodes.
 type history struct {
-	order   []*Ending
-	spacing time.Duration
-	// cause holds the number of the ending that each observation belongs to. Observations of one
+	observations []*Ending
+	spacing      time.Duration
+	// endingOf holds the number of the ending that each observation belongs to. Observations of one
 	// incarnation with less than the spacing between consecutive ones belong to the same ending,
 	// whichever nodes made them.
-	cause []int
+	endingOf []int
 	// bursts holds the bursts of observations of each node.
 	bursts *bursts
-	// closed holds the endings that a quarantined request accounts for.
-	closed map[int]bool
+	// explained holds the endings that a quarantined request accounts for.
+	explained map[int]bool
 }
 
 // newHistory returns the history of observations, without those of instances that had not ended.
 func newHistory(endings []Ending, spacing time.Duration) *history {
-	h := &history{order: attributed(endings), spacing: spacing, closed: map[int]bool{}}
-	slices.SortFunc(h.order, compareEndings)
-	h.cause = series(h.order, spacing, func(e *Ending) (fleet.Incarnation, bool) { return e.Instance, true })
-	h.bursts = newBursts(series(h.order, spacing, func(e *Ending) (Source, bool) { return e.By, e.By != self }), h.cause)
+	h := &history{observations: countedObservations(endings), spacing: spacing, explained: map[int]bool{}}
+	slices.SortFunc(h.observations, compareEndings)
+	h.endingOf = numberSeries(h.observations, spacing, func(e *Ending) (fleet.Incarnation, bool) { return e.Instance, true })
+	h.bursts = newBursts(numberSeries(h.observations, spacing, func(e *Ending) (Source, bool) { return e.By, e.By != self }), h.endingOf)
 	return h
 }
 
-// attributed returns the observations that count. Those of instances that had not ended do not. An
-// observation without a node counts only for requests that no observation with a node has: nodes of
-// builds that merge observations repeat what they received, at the earliest of all times.
-func attributed(endings []Ending) []*Ending {
+// countedObservations returns the observations that count. Those of instances that had not ended do
+// not. An observation without a node counts only for requests that no observation with a node has:
+// nodes of builds that merge observations repeat what they received, at the earliest of all times.
+func countedObservations(endings []Ending) []*Ending {
 	list := make([]*Ending, 0, len(endings))
 	var unnamed []*Ending
 	for i := range endings {
 		switch e := &endings[i]; {
-		case e.void():
+		case e.isFalse():
 		case e.By == self:
 			unnamed = append(unnamed, e)
 		default:
@@ -49,7 +49,7 @@
 	if len(unnamed) == 0 {
 		return list
 	}
-	named := map[episode][]Fingerprint{}
+	named := map[endingKey][]Fingerprint{}
 	for _, e := range list {
 		named[e.key()] = append(named[e.key()], e.Requests...)
 	}
@@ -73,22 +73,22 @@
 // noSeries is the number of an observation that belongs to no series.
 const noSeries = -1
 
-// series numbers the observations so that those with the same key and less than the spacing between
-// consecutive ones share a number. Observations without a key get noSeries.
-func series[K comparable](order []*Ending, spacing time.Duration, key func(e *Ending) (K, bool)) []int {
+// numberSeries numbers the observations so that those with the same key and less than the spacing
+// between consecutive ones share a number. Observations without a key get noSeries.
+func numberSeries[K comparable](observations []*Ending, spacing time.Duration, key func(e *Ending) (K, bool)) []int {
 	last := map[K]int{}
-	numbers := make([]int, len(order))
+	numbers := make([]int, len(observations))
 	next := 0
-	for i := range order {
-		k, has := key(order[i])
+	for i := range observations {
+		k, has := key(observations[i])
 		if !has {
 			numbers[i] = noSeries
 			continue
 		}
-		before, known := last[k]
+		previous, known := last[k]
 		last[k] = i
-		if known && order[i].At.Sub(order[before].At) < spacing {
-			numbers[i] = numbers[before]
+		if known && observations[i].At.Sub(observations[previous].At) < spacing {
+			numbers[i] = numbers[previous]
 			continue
 		}
 		numbers[i] = next
@@ -97,33 +97,33 @@
 	return numbers
 }
 
-// suspects returns the requests with at least the given number of observations, each with the
-// indexes of its observations since it was last cleared. Most requests have a single observation,
-// and omitting them saves most of the time of an evaluation.
-func (h *history) suspects(cleared map[Fingerprint]time.Time, least int) map[Fingerprint][]int {
+// suspects returns the requests with at least minObservations observations, each with the indexes
+// of its observations since it was last cleared. Most requests have a single observation, and
+// omitting them saves most of the time of an evaluation.
+func (h *history) suspects(cleared map[Fingerprint]time.Time, minObservations int) map[Fingerprint][]int {
 	counts := map[Fingerprint]int{}
-	for i := range h.order {
-		for _, f := range h.order[i].Requests {
+	for i := range h.observations {
+		for _, f := range h.observations[i].Requests {
 			counts[f]++
 		}
 	}
-	under := map[Fingerprint][]int{}
-	for i := range h.order {
-		for _, f := range h.order[i].Requests {
-			if counts[f] >= least && h.order[i].At.After(cleared[f]) {
-				under[f] = append(under[f], i)
+	byRequest := map[Fingerprint][]int{}
+	for i := range h.observations {
+		for _, f := range h.observations[i].Requests {
+			if counts[f] >= minObservations && h.observations[i].At.After(cleared[f]) {
+				byRequest[f] = append(byRequest[f], i)
 			}
 		}
 	}
-	return under
+	return byRequest
 }
 
-// endingsUnder returns the endings with the given indexes, with one request only.
-func (h *history) endingsUnder(f Fingerprint, list []int) []Ending {
+// endingsOf returns the endings with the given indexes, with one request only.
+func (h *history) endingsOf(f Fingerprint, indexes []int) []Ending {
 	var out []Ending
-	for _, i := range list {
-		e := Ending{Instance: h.order[i].Instance, At: h.order[i].At, Requests: []Fingerprint{f}}
-		if slices.Contains(h.order[i].Apart, f) {
+	for _, i := range indexes {
+		e := Ending{Instance: h.observations[i].Instance, At: h.observations[i].At, Requests: []Fingerprint{f}}
+		if slices.Contains(h.observations[i].Apart, f) {
 			e.Apart = e.Requests
 		}
 		out = append(out, e)
--- a/coordination/quarantine/history_test.go
+++ b/coordination/quarantine/history_test.go
@@ -19,42 +19,43 @@
 const (
 	tick           = 5 * time.Millisecond
 	statusInterval = 250 * time.Millisecond
-	// proofDelay is the maximum time from the interruption of an attempt to the proof of the
+	// maxProofDelay is the maximum time from the interruption of an attempt to the proof of the
 	// ending.
-	proofDelay = 60 * time.Millisecond
-	// longestWay is the maximum delay of a message between nodes, including the wait at a busy one.
-	longestWay = 40 * time.Millisecond
+	maxProofDelay = 60 * time.Millisecond
+	// maxMessageDelay is the maximum delay of a message between nodes, including the wait at a busy
+	// one.
+	maxMessageDelay = 40 * time.Millisecond
 	// downTime is how long an instance is unavailable after it ended.
 	downTime = 2 * time.Second
-	// historyLength is the duration of a history.
+	// historyLength is the duration of a simulated history.
 	historyLength = 30 * time.Second
-	// learnTime is the maximum time until all nodes know what any of them observed.
-	learnTime = 3 * time.Second
-	// attempts is the number of instances that a try may run on, tries the number of tries of a
+	// maxPropagation is the maximum time until all nodes know what any of them observed.
+	maxPropagation = 3 * time.Second
+	// maxRuns is the number of instances that a try may run on, maxTries the number of tries of a
 	// caller.
-	attempts, tries = 2, 2
+	maxRuns, maxTries = 2, 2
 )
 
-// shape is the size and the load of a history.
-type shape struct {
+// scenario is the size and the load of a simulation.
+type scenario struct {
 	nodes, instances int
 	// sound and deadly are rates in requests a second. Deadly requests crash their instance, sound
 	// ones do not. A tenth of the sound ones are the same popular request.
 	sound, deadly float64
-	// deaths is the rate of random endings, in instances a second.
-	deaths float64
-	// quarantined is set if nodes refuse requests that are quarantined.
-	quarantined bool
-	// cuts are the network partitions of the history.
-	cuts []cut
-	// sameLives is set if instances restart without reporting a new incarnation.
-	sameLives bool
+	// randomEndings is the rate of endings without a deadly request, in instances a second.
+	randomEndings float64
+	// quarantineEnabled is set if nodes refuse requests that are quarantined.
+	quarantineEnabled bool
+	// partitions are the network partitions of the simulation.
+	partitions []partition
+	// noIncarnations is set if instances restart without reporting a new incarnation.
+	noIncarnations bool
 }
 
-// outcome is the result of a history.
+// outcome is the result of a simulation.
 type outcome struct {
 	ended int
-	// late counts the deadly attempts sent more than learnTime after the third ending.
+	// late counts the deadly attempts sent more than maxPropagation after the third ending.
 	late int
 	// refusedSound counts the attempts of sound requests that were quarantined, brokenSound those
 	// that got no response, allSound all of them.
@@ -62,7 +63,7 @@
 	// released counts the releases of the deadly request from quarantine, over all nodes.
 	released int
 	// nodeBytes is the traffic of the busiest node in bytes a second, sent and received, on average
-	// over the history. kept is the number of endings retained at a node.
+	// over the simulation. kept is the number of endings retained at a node.
 	nodeBytes float64
 	kept      int
 }
@@ -76,35 +77,35 @@
 	deadly  bool
 	runs    int
 	try     int
-	// resetAt is when a cut resets the connection; lost is set once it has.
+	// resetAt is when a partition resets the connection; lost is set once it has.
 	resetAt time.Time
 	lost    bool
 }
 
-// worker is an instance of a history.
+// worker is an instance of a simulation.
 type worker struct {
-	life   int
-	backAt time.Time
-	work   []attempt
+	incarnation int
+	backAt      time.Time
+	work        []attempt
 }
 
-// history simulates requests, endings and status reports on a simulated clock.
-type history struct {
-	shape
+// simulation runs requests, endings and status reports on a simulated clock.
+type simulation struct {
+	scenario
 	rng     *rand.Rand
 	now     time.Time
 	ledgers []*quarantine.Ledger
 	workers []worker
-	// has and sent hold, for a node and its leader, the version of the leader's ledger that the
-	// node has, and the version of its own ledger that it has sent.
-	has, sent map[link]uint64
-	// holds is set for the nodes that quarantine the deadly request.
-	holds  []bool
-	bytes  []float64
-	proofs []proof
-	third  time.Time
-	number int
-	out    outcome
+	// received and sent hold, for a node and its leader, the version of the leader's ledger that
+	// the node has, and the version of its own ledger that it has sent.
+	received, sent map[link]uint64
+	// quarantining is set for the nodes that quarantine the deadly request.
+	quarantining []bool
+	traffic      []float64
+	proofs       []proof
+	thirdEnding  time.Time
+	soundSent    int
+	out          outcome
 }
 
 // proof is the proof of an ending that a node obtains at a time.
@@ -114,24 +115,24 @@
 	at           time.Time
 }
 
-// play runs a history.
-func play(s shape, seed uint64) outcome {
-	h := &history{shape: s, rng: rand.New(rand.NewPCG(seed, 1)), now: start, has: map[link]uint64{}, sent: map[link]uint64{}, holds: make([]bool, s.nodes), bytes: make([]float64, s.nodes)}
+// simulate runs a simulation.
+func simulate(s scenario, seed uint64) outcome {
+	h := &simulation{scenario: s, rng: rand.New(rand.NewPCG(seed, 1)), now: start, received: map[link]uint64{}, sent: map[link]uint64{}, quarantining: make([]bool, s.nodes), traffic: make([]float64, s.nodes)}
 	for range s.nodes {
 		h.ledgers = append(h.ledgers, quarantine.NewLedger(quarantine.DefaultPolicy()))
 	}
 	h.workers = make([]worker, s.instances)
 	for h.now.Sub(start) < historyLength {
 		h.now = h.now.Add(tick)
-		h.arrive()
-		h.reset()
-		h.work()
-		h.prove()
-		h.ask()
-		h.report()
-		h.watch()
+		h.generateRequests()
+		h.resetConnections()
+		h.completeAttempts()
+		h.deliverProofs()
+		h.probe()
+		h.exchangeLedgers()
+		h.countReleases()
 	}
-	for _, b := range h.bytes {
+	for _, b := range h.traffic {
 		h.out.nodeBytes = max(h.out.nodeBytes, b/historyLength.Seconds())
 	}
 	d, _ := h.ledgers[0].Since(0, 0)
@@ -139,8 +140,8 @@
 	return h.out
 }
 
-// times returns a random number of events for one tick at a rate.
-func (h *history) times(rate float64) int {
+// randomCount returns a random number of events for one tick at a rate.
+func (h *simulation) randomCount(rate float64) int {
 	mean := rate * tick.Seconds()
 	n := int(mean)
 	if h.rng.Float64() < mean-float64(n) {
@@ -149,28 +150,28 @@
 	return n
 }
 
-// arrive generates the requests of one tick.
-func (h *history) arrive() {
-	for range h.times(h.deadly) {
+// generateRequests generates the requests of one tick.
+func (h *simulation) generateRequests() {
+	for range h.randomCount(h.deadly) {
 		h.send(attempt{request: request("deadly"), deadly: true})
 	}
-	for range h.times(h.sound) {
+	for range h.randomCount(h.sound) {
 		body := "popular"
 		if h.rng.IntN(10) > 0 {
-			h.number++
-			body = fmt.Sprint("sound ", h.number)
+			h.soundSent++
+			body = fmt.Sprint("sound ", h.soundSent)
 		}
 		h.send(attempt{request: request(body)})
 	}
 }
 
 // send starts a new try at a random node.
-func (h *history) send(a attempt) {
+func (h *simulation) send(a attempt) {
 	a.node = h.rng.IntN(h.nodes)
 	if !a.deadly {
 		h.out.allSound++
 	}
-	if h.held(a) {
+	if h.isQuarantined(a) {
 		if !a.deadly {
 			h.out.refusedSound++
 		}
@@ -179,19 +180,19 @@
 	h.run(a)
 }
 
-// held reports whether the node of an attempt quarantines its request.
-func (h *history) held(a attempt) bool {
-	return h.quarantined && h.ledgers[a.node].Verdict(a.request, h.now).Held(h.now)
+// isQuarantined reports whether the node of an attempt quarantines its request.
+func (h *simulation) isQuarantined(a attempt) bool {
+	return h.quarantineEnabled && h.ledgers[a.node].Verdict(a.request, h.now).Held(h.now)
 }
 
 // run sends an attempt to an instance, if the instance is up and reachable.
-func (h *history) run(a attempt) {
-	i := h.pick(a.node)
+func (h *simulation) run(a attempt) {
+	i := h.pickInstance(a.node)
 	w := &h.workers[i]
 	if h.now.Before(w.backAt) || !h.reaches(a.node, i) {
 		return
 	}
-	if a.deadly && !h.third.IsZero() && h.now.Sub(h.third) > learnTime && h.inTouch(a.node) {
+	if a.deadly && !h.thirdEnding.IsZero() && h.now.Sub(h.thirdEnding) > maxPropagation && h.isConnected(a.node) {
 		h.out.late++
 	}
 	a.runs++
@@ -203,10 +204,10 @@
 	w.work = append(w.work, a)
 }
 
-// work completes the attempts that are due, and crashes instances that run a deadly request or end
-// at random.
-func (h *history) work() {
-	for range h.times(h.deaths) {
+// completeAttempts completes the attempts that are due, and crashes instances that run a deadly
+// request or end at random.
+func (h *simulation) completeAttempts() {
+	for range h.randomCount(h.randomEndings) {
 		h.crash(h.rng.IntN(len(h.workers)))
 	}
 	for i := range h.workers {
@@ -233,48 +234,49 @@
 
 // crash ends an instance and interrupts its attempts, which are retried on other instances or by
 // their callers.
-func (h *history) crash(i int) {
+func (h *simulation) crash(i int) {
 	w := &h.workers[i]
 	if h.now.Before(w.backAt) {
 		return
 	}
-	in := h.life(i)
-	broken := slices.DeleteFunc(w.work, func(a attempt) bool { return a.lost })
+	in := h.incarnation(i)
+	interrupted := slices.DeleteFunc(w.work, func(a attempt) bool { return a.lost })
 	deadly := slices.ContainsFunc(w.work, func(a attempt) bool { return a.deadly })
-	w.work, w.life, w.backAt = nil, w.life+1, h.now.Add(downTime)
+	w.work, w.incarnation, w.backAt = nil, w.incarnation+1, h.now.Add(downTime)
 	h.out.ended++
-	for _, a := range broken {
-		h.broke(a, i, in)
+	for _, a := range interrupted {
+		h.interrupt(a, i, in)
 	}
-	if deadly && h.third.IsZero() && h.out.ended >= 3 {
-		h.third = h.now
+	if deadly && h.thirdEnding.IsZero() && h.out.ended >= 3 {
+		h.thirdEnding = h.now
 	}
-	for _, a := range broken {
-		h.goOn(a)
+	for _, a := range interrupted {
+		h.retry(a)
 	}
 }
 
-// life returns the current incarnation of an instance.
-func (h *history) life(i int) fleet.Incarnation {
+// incarnation returns the current incarnation of an instance.
+func (h *simulation) incarnation(i int) fleet.Incarnation {
 	in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprint("i", i))}
-	if !h.sameLives {
-		in.Life = fmt.Sprint(h.workers[i].life)
+	if !h.noIncarnations {
+		in.Life = fmt.Sprint(h.workers[i].incarnation)
 	}
 	return in
 }
 
-// broke records the interruption of an attempt at its node, and schedules the proof of the ending.
-func (h *history) broke(a attempt, i int, in fleet.Incarnation) {
+// interrupt records the interruption of an attempt at its node, and schedules the proof of the
+// ending.
+func (h *simulation) interrupt(a attempt, i int, in fleet.Incarnation) {
 	h.ledgers[a.node].Broken(a.request, []fleet.Incarnation{in}, a.began, h.now)
-	h.proofs = append(h.proofs, proof{a.node, i, in, h.now.Add(time.Duration(h.rng.Int64N(int64(proofDelay))))})
+	h.proofs = append(h.proofs, proof{a.node, i, in, h.now.Add(time.Duration(h.rng.Int64N(int64(maxProofDelay))))})
 }
 
-// goOn retries an interrupted attempt on another instance, or has its caller try again.
-func (h *history) goOn(a attempt) {
+// retry sends an interrupted attempt to another instance, or has its caller try again.
+func (h *simulation) retry(a attempt) {
 	switch {
-	case a.runs < attempts && !h.held(a):
+	case a.runs < maxRuns && !h.isQuarantined(a):
 		h.run(a)
-	case a.try+1 < tries:
+	case a.try+1 < maxTries:
 		if !a.deadly {
 			h.out.brokenSound++
 		}
@@ -284,8 +286,8 @@
 	}
 }
 
-// prove delivers the proofs that are due to their nodes.
-func (h *history) prove() {
+// deliverProofs delivers the proofs that are due to their nodes.
+func (h *simulation) deliverProofs() {
 	left := h.proofs[:0]
 	for _, p := range h.proofs {
 		if h.now.Before(p.at) {
@@ -299,8 +301,8 @@
 	h.proofs = left
 }
 
-// report has each node exchange ledgers with its leader once in each status interval.
-func (h *history) report() {
+// exchangeLedgers has each node exchange ledgers with its leader once in each status interval.
+func (h *simulation) exchangeLedgers() {
 	phase := int(h.now.Sub(start)/tick) % int(statusInterval/tick)
 	for n := 1; n < h.nodes; n++ {
 		leader := h.leaderOf(n)
@@ -309,26 +311,26 @@
 		}
 		l, source := link{n, leader}, quarantine.Source(1000+leader)
 		own, version := h.ledgers[n].Since(h.sent[l], source)
-		h.ledgers[leader].Merge(h.aged(own), quarantine.Source(n))
-		theirs, now := h.ledgers[leader].Since(h.has[l], quarantine.Source(n))
-		h.ledgers[n].Merge(h.aged(theirs), source)
-		h.sent[l], h.has[l] = version, now
+		h.ledgers[leader].Merge(h.delayed(own), quarantine.Source(n))
+		theirs, now := h.ledgers[leader].Since(h.received[l], quarantine.Source(n))
+		h.ledgers[n].Merge(h.delayed(theirs), source)
+		h.sent[l], h.received[l] = version, now
 		size := float64(sizeOf(own) + sizeOf(theirs))
-		h.bytes[n] += size
-		h.bytes[leader] += size
+		h.traffic[n] += size
+		h.traffic[leader] += size
 	}
 }
 
-// aged returns a delta as another node receives it: the message delay makes everything in it look
-// younger.
-func (h *history) aged(d quarantine.Delta) quarantine.Delta {
-	way := time.Duration(h.rng.Int64N(int64(longestWay)))
+// delayed returns a delta as another node receives it: the message delay makes everything in it
+// look younger.
+func (h *simulation) delayed(d quarantine.Delta) quarantine.Delta {
+	delay := time.Duration(h.rng.Int64N(int64(maxMessageDelay)))
 	out := quarantine.Delta{Endings: slices.Clone(d.Endings), Cleared: slices.Clone(d.Cleared)}
 	for i := range out.Endings {
-		out.Endings[i].At = out.Endings[i].At.Add(way)
+		out.Endings[i].At = out.Endings[i].At.Add(delay)
 	}
 	for i := range out.Cleared {
-		out.Cleared[i].At = out.Cleared[i].At.Add(way)
+		out.Cleared[i].At = out.Cleared[i].At.Add(delay)
 	}
 	return out
 }
@@ -342,69 +344,70 @@
 	return len(raw)
 }
 
-// shapes returns a small deployment, a large one, and one between the large one and the size that
-// the system is designed for.
-func shapes(deadly float64, quarantined bool) []shape {
-	return []shape{
-		{nodes: 9, instances: 12, sound: 135, deadly: deadly, deaths: 0.1, quarantined: quarantined},
-		{nodes: 85, instances: 75, sound: 500, deadly: deadly, deaths: 0.3, quarantined: quarantined},
-		{nodes: 85, instances: 300, sound: 2000, deadly: deadly, deaths: 0.5, quarantined: quarantined},
+// scenarios returns a small deployment, a large one, and one between the large one and the size
+// that the system is designed for.
+func scenarios(deadly float64, quarantineEnabled bool) []scenario {
+	return []scenario{
+		{nodes: 9, instances: 12, sound: 135, deadly: deadly, randomEndings: 0.1, quarantineEnabled: quarantineEnabled},
+		{nodes: 85, instances: 75, sound: 500, deadly: deadly, randomEndings: 0.3, quarantineEnabled: quarantineEnabled},
+		{nodes: 85, instances: 300, sound: 2000, deadly: deadly, randomEndings: 0.5, quarantineEnabled: quarantineEnabled},
 	}
 }
 
-// name returns the name of the shape in benchmarks.
-func (s shape) name() string {
-	return fmt.Sprintf("nodes=%d/groups=%d/deadly=%g/quarantine=%v", s.nodes, s.instances, s.deadly, s.quarantined)
+// name returns the name of the scenario in benchmarks.
+func (s scenario) name() string {
+	return fmt.Sprintf("nodes=%d/groups=%d/deadly=%g/quarantine=%v", s.nodes, s.instances, s.deadly, s.quarantineEnabled)
 }
 
 // Without the quarantine a deadly request ends instances without limit. With it, all nodes
 // quarantine the request in time, and no sound request. The exception is a history in which 11 of
 // 12 groups end within a second and the popular request gets no response meanwhile: two of its
 // 4,128 attempts are quarantined, until a further ending distinguishes it from the deadly one.
-func TestDrawnHistoriesEndTheDeadlyRequest(t *testing.T) {
+func TestRandomHistoriesQuarantineDeadlyRequest(t *testing.T) {
 	for _, c := range []struct {
 		deadly float64
-		// held is the maximum number of quarantined attempts of sound requests with nine nodes.
-		held int
+		// maxQuarantined is the maximum number of quarantined attempts of sound requests with nine
+		// nodes.
+		maxQuarantined int
 	}{{0.5, 0}, {2, 0}, {20, 2}} {
-		for _, s := range shapes(c.deadly, true)[:2] {
+		for _, s := range scenarios(c.deadly, true)[:2] {
 			t.Run(s.name(), func(t *testing.T) {
 				g := NewWithT(t)
-				most := c.held
+				maxQuarantined := c.maxQuarantined
 				if s.nodes > 9 {
-					most = 0
+					maxQuarantined = 0
 				}
 				for seed := range uint64(3) {
-					with := play(s, seed)
+					with := simulate(s, seed)
 					g.Expect(with.late).To(BeNumerically("<=", 3), "seed %d: %+v", seed, with)
-					g.Expect(with.refusedSound).To(BeNumerically("<=", most), "seed %d: %+v", seed, with)
+					g.Expect(with.refusedSound).To(BeNumerically("<=", maxQuarantined), "seed %d: %+v", seed, with)
 				}
 				without := s
-				without.quarantined = false
-				g.Expect(play(without, 0).late).To(BeNumerically(">", 3), "without the quarantine the deadly request must keep being sent")
+				without.quarantineEnabled = false
+				g.Expect(simulate(without, 0).late).To(BeNumerically(">", 3), "without the quarantine the deadly request must keep being sent")
 			})
 		}
 	}
 }
 
 // Random endings and a popular request quarantine nothing.
-func TestDrawnHistoriesWithoutADeadlyRequestHoldNothingBack(t *testing.T) {
-	for _, s := range shapes(0, true)[:2] {
-		s.deaths *= 10
+func TestRandomHistoriesWithoutDeadlyRequestQuarantineNothing(t *testing.T) {
+	for _, s := range scenarios(0, true)[:2] {
+		s.randomEndings *= 10
 		for seed := range uint64(10) {
-			out := play(s, seed)
+			out := simulate(s, seed)
 			NewWithT(t).Expect(out.refusedSound).To(BeZero(), "%s, seed %d: %+v", s.name(), seed, out)
 		}
 	}
 }
 
-// totals is the sum of the outcomes of some histories.
+// totals is the sum of the outcomes of some simulations.
 type totals struct {
 	outcome
 	histories float64
 }
 
-// add adds the outcome of one history.
+// add adds the outcome of one simulation.
 func (t *totals) add(o outcome) {
 	t.histories++
 	t.ended += o.ended
@@ -433,11 +436,11 @@
 func BenchmarkHistories(b *testing.B) {
 	for _, quarantined := range []bool{false, true} {
 		for _, deadly := range []float64{0.5, 2, 20} {
-			for _, s := range shapes(deadly, quarantined) {
+			for _, s := range scenarios(deadly, quarantined) {
 				b.Run(s.name(), func(b *testing.B) {
 					var sum totals
 					for seed := uint64(0); b.Loop(); seed++ {
-						sum.add(play(s, seed))
+						sum.add(simulate(s, seed))
 					}
 					sum.report(b)
 				})
@@ -457,7 +460,7 @@
 		for r := range under {
 			requests = append(requests, fmt.Sprint("r", i*(under-2)+r))
 		}
-		end(l, fmt.Sprint(i), time.Duration(i)*time.Second, requests...)
+		endInstance(l, fmt.Sprint(i), time.Duration(i)*time.Second, requests...)
 	}
 	now := start.Add(time.Duration(p.MaxEndings) * time.Second)
 	b.ReportAllocs()
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -28,17 +28,17 @@
 	Back bool
 }
 
-// void reports whether the instance had not ended but was unreachable: it answered again in the
+// isFalse reports whether the instance had not ended but was unreachable: it answered again in the
 // same incarnation. An instance that does not report its incarnation is assumed to have restarted.
-func (e *Ending) void() bool { return e.Back && e.Instance.Life != "" }
+func (e *Ending) isFalse() bool { return e.Back && e.Instance.Life != "" }
 
-// episode identifies an ending.
-type episode struct {
+// endingKey identifies an ending.
+type endingKey struct {
 	instance fleet.Incarnation
-	number   int
+	episode  int
 }
 
-func (e *Ending) key() episode { return episode{e.Instance, e.Episode} }
+func (e *Ending) key() endingKey { return endingKey{e.Instance, e.Episode} }
 
 // Verdict is the conclusion about one request.
 type Verdict struct {
@@ -47,7 +47,8 @@
 	Endings int
 	// Until is when the quarantine of the request ends; zero if it is not quarantined.
 	Until time.Time
-	// Under holds these endings, without the other requests in progress.
+	// Under holds all these endings, including those that coincide, without the other requests in
+	// progress.
 	Under []Ending
 }
 
@@ -63,48 +64,48 @@
 // Held reports whether the request is quarantined at now.
 func (v Verdict) Held(now time.Time) bool { return now.Before(v.Until) }
 
-// judge returns the verdicts on the requests that are to be quarantined, or would be after one more
-// ending. cleared holds the time of the last complete response to each request.
+// evaluate returns the verdicts on the requests that are to be quarantined, or may be after one
+// more ending. cleared holds the time of the last complete response to each request.
 //
 // Many requests are in progress at each ending, but only one causes it. The request with the most
 // endings accounts for them, so that they no longer count against the requests that merely ran
 // beside it; then the next one is determined. Requests that never got a complete response come
 // first: a popular sound request is in progress on every instance that ends, and must not account
 // for the endings of a deadly one.
-func judge(endings []Ending, cleared map[Fingerprint]time.Time, policy *Policy) map[Fingerprint]Verdict {
+func evaluate(endings []Ending, cleared map[Fingerprint]time.Time, policy *Policy) map[Fingerprint]Verdict {
 	h := newHistory(endings, policy.Spacing)
-	under := h.suspects(cleared, max(policy.Endings-1, 1))
-	never, once := map[Fingerprint][]int{}, map[Fingerprint][]int{}
-	for f, list := range under {
+	byRequest := h.suspects(cleared, max(policy.Endings-1, 1))
+	neverAnswered, onceAnswered := map[Fingerprint][]int{}, map[Fingerprint][]int{}
+	for f, list := range byRequest {
 		if _, answered := cleared[f]; answered {
-			once[f] = list
+			onceAnswered[f] = list
 		} else {
-			never[f] = list
+			neverAnswered[f] = list
 		}
 	}
-	verdicts := make(map[Fingerprint]Verdict, len(under))
-	h.holdWorst(never, verdicts, policy)
-	h.holdWorst(once, verdicts, policy)
-	for f, list := range under {
-		if _, judged := verdicts[f]; !judged {
-			b := h.blameOf(f, list)
-			verdicts[f] = Verdict{Endings: b.moments, Under: h.endingsUnder(f, b.counted)}
+	verdicts := make(map[Fingerprint]Verdict, len(byRequest))
+	h.quarantineWorst(neverAnswered, verdicts, policy)
+	h.quarantineWorst(onceAnswered, verdicts, policy)
+	for f, list := range byRequest {
+		if _, decided := verdicts[f]; !decided {
+			b := h.evidenceAgainst(f, list)
+			verdicts[f] = Verdict{Endings: b.independent, Under: h.endingsOf(f, b.counted)}
 		}
 	}
 	return verdicts
 }
 
-// holdWorst adds the verdicts on those of the given requests that are to be quarantined, and closes
-// the endings that they account for.
-func (h *history) holdWorst(under map[Fingerprint][]int, verdicts map[Fingerprint]Verdict, policy *Policy) {
+// quarantineWorst adds the verdicts on those of the given requests that are to be quarantined, and
+// marks the endings that they account for as explained.
+func (h *history) quarantineWorst(byRequest map[Fingerprint][]int, verdicts map[Fingerprint]Verdict, policy *Policy) {
 	for {
-		worst := h.worstRequests(under, verdicts, policy)
+		worst := h.worstRequests(byRequest, verdicts, policy)
 		for f, b := range worst {
-			verdicts[f] = h.heldBack(f, b, policy)
+			verdicts[f] = h.quarantineVerdict(f, b, policy)
 		}
 		for f := range worst {
-			for _, i := range under[f] {
-				h.closed[h.cause[i]] = true
+			for _, i := range byRequest[f] {
+				h.explained[h.endingOf[i]] = true
 			}
 		}
 		if len(worst) == 0 {
@@ -114,17 +115,17 @@
 }
 
 // worstRequests returns the requests without a verdict that are to be quarantined and have the most
-// evidence against them. Of requests with the same number of moments, the one with more endings was
-// also in progress at endings where the others were not.
-func (h *history) worstRequests(under map[Fingerprint][]int, judged map[Fingerprint]Verdict, policy *Policy) map[Fingerprint]blame {
-	worst := map[Fingerprint]blame{}
-	var most blame
-	for f, list := range under {
-		if _, done := judged[f]; done || len(list) < policy.Endings {
+// evidence against them. Of requests with the same number of independent endings, the one with more
+// endings in total was also in progress at endings where the others were not.
+func (h *history) worstRequests(byRequest map[Fingerprint][]int, verdicts map[Fingerprint]Verdict, policy *Policy) map[Fingerprint]evidence {
+	worst := map[Fingerprint]evidence{}
+	var most evidence
+	for f, list := range byRequest {
+		if _, done := verdicts[f]; done || len(list) < policy.Endings {
 			continue
 		}
-		b := h.blameOf(f, list)
-		if b.moments < policy.Endings || b.compare(most) < 0 {
+		b := h.evidenceAgainst(f, list)
+		if b.independent < policy.Endings || b.compare(most) < 0 {
 			continue
 		}
 		if b.compare(most) > 0 {
@@ -136,79 +137,80 @@
 	return worst
 }
 
-// heldBack returns the verdict on a request that accounts for its open endings. The quarantine
-// doubles with each ending beyond the required number, up to the retention period.
-func (h *history) heldBack(f Fingerprint, b blame, policy *Policy) Verdict {
-	v := Verdict{Endings: b.moments, Under: h.endingsUnder(f, b.counted)}
+// quarantineVerdict returns the verdict on a request that accounts for its unexplained endings. The
+// quarantine doubles with each ending beyond the required number, up to the retention period.
+func (h *history) quarantineVerdict(f Fingerprint, b evidence, policy *Policy) Verdict {
+	v := Verdict{Endings: b.independent, Under: h.endingsOf(f, b.counted)}
 	hold := policy.Hold
-	for range b.moments - policy.Endings {
+	for range b.independent - policy.Endings {
 		hold = min(2*hold, policy.Memory)
 	}
 	v.Until = v.Under[len(v.Under)-1].At.Add(hold)
 	return v
 }
 
-// blame is the evidence against a request.
-type blame struct {
-	// moments counts its open endings. Those that coincide and are not apart count once.
-	moments int
-	// counted holds the index of one observation of each of its open endings.
+// evidence is what counts against a request.
+type evidence struct {
+	// independent counts its unexplained endings. Those that coincide count once, unless the
+	// request was retried between them.
+	independent int
+	// counted holds the index of one observation of each of its unexplained endings.
 	counted []int
 }
 
-// compare orders by moments, then by the number of endings.
-func (b blame) compare(other blame) int {
-	return cmp.Or(cmp.Compare(b.moments, other.moments), cmp.Compare(len(b.counted), len(other.counted)))
+// compare orders by independent endings, then by all endings.
+func (b evidence) compare(other evidence) int {
+	return cmp.Or(cmp.Compare(b.independent, other.independent), cmp.Compare(len(b.counted), len(other.counted)))
 }
 
-// blameOf counts the open endings of a request. Those within the spacing count as one moment unless
-// they are apart: a request that crashes instances within milliseconds is retried from one to the
-// next.
-func (h *history) blameOf(f Fingerprint, list []int) blame {
-	var b blame
-	var m moment
-	with := h.bursts.shared(list, h.cause)
-	episodes, causes := map[episode]bool{}, map[int]bool{}
-	for _, i := range list {
-		e := h.order[i]
-		if h.closed[h.cause[i]] || episodes[e.key()] || causes[h.cause[i]] || h.bursts.isMass(i, with) {
+// evidenceAgainst counts the unexplained endings of a request. Those within the spacing count as
+// one unless the request was retried between them: a request that crashes instances within
+// milliseconds is retried from one to the next.
+func (h *history) evidenceAgainst(f Fingerprint, indexes []int) evidence {
+	var b evidence
+	var m cluster
+	endingsWith := h.bursts.endingsWith(indexes, h.endingOf)
+	countedKeys, countedEndings := map[endingKey]bool{}, map[int]bool{}
+	for _, i := range indexes {
+		e := h.observations[i]
+		if h.explained[h.endingOf[i]] || countedKeys[e.key()] || countedEndings[h.endingOf[i]] || h.bursts.isMassFailure(i, endingsWith) {
 			continue
 		}
-		episodes[e.key()], causes[h.cause[i]] = true, true
+		countedKeys[e.key()], countedEndings[h.endingOf[i]] = true, true
 		b.counted = append(b.counted, i)
-		apart := slices.Contains(e.Apart, f)
+		retried := slices.Contains(e.Apart, f)
 		if m.first.IsZero() || e.At.Sub(m.last) >= h.spacing {
-			m = moment{first: e.At, last: e.At, together: !apart}
-			b.moments++
-		} else if m.countsAlso(e.At, apart) {
-			b.moments++
+			m = cluster{first: e.At, last: e.At, coincidingCounted: !retried}
+			b.independent++
+		} else if m.add(e.At, retried) {
+			b.independent++
 		}
 	}
 	return b
 }
 
-// orderError is the largest error between the times of two endings. Each is reported in a message
+// maxTimeError is the largest error between the times of two endings. Each is reported in a message
 // with its own delay, so that the order of closer endings is unknown.
-const orderError = 50 * time.Millisecond
+const maxTimeError = 50 * time.Millisecond
 
-// moment is a series of endings of one request with less than the spacing between consecutive ones.
-type moment struct {
+// cluster is a series of endings of one request with less than the spacing between consecutive
+// ones.
+type cluster struct {
 	// first is the time of the first ending, last that of the last one that counts.
 	first, last time.Time
-	// together is set once the endings that coincide have been counted.
-	together bool
+	// coincidingCounted is set once the endings that coincide have been counted.
+	coincidingCounted bool
 }
 
-// countsAlso reports whether a further ending of the moment counts separately, and updates the
-// moment. An ending that is not apart counts if it may be the earliest: the request was then
-// retried from it, and nodes that received the endings in another order must reach the same
-// conclusion.
-func (m *moment) countsAlso(at time.Time, apart bool) bool {
-	if apart {
+// add reports whether a further ending of the cluster counts separately, and updates the cluster.
+// An ending without a retry counts if it may be the earliest: the request was then retried from it,
+// and nodes that received the endings in another order must reach the same conclusion.
+func (m *cluster) add(at time.Time, retried bool) bool {
+	if retried {
 		m.last = at
 		return true
 	}
-	counts := !m.together && at.Sub(m.first) < orderError
-	m.together = m.together || counts
+	counts := !m.coincidingCounted && at.Sub(m.first) < maxTimeError
+	m.coincidingCounted = m.coincidingCounted || counts
 	return counts
 }
--- a/coordination/quarantine/ledger.go
+++ b/coordination/quarantine/ledger.go
@@ -21,21 +21,22 @@
 	policy Policy
 
 	mu      sync.Mutex
-	pending map[fleet.Incarnation]*doubt
-	endings map[episode]*record
+	pending map[fleet.Incarnation]*suspicion
+	endings map[endingKey]*endingRecord
 	cleared map[Fingerprint]map[Source]*clearing
 	// own identifies this node as the source of its observations and clearings.
 	own Source
-	// answered caches the time of the last complete response of this node to recent requests. An
+	// lastAnswers caches the time of the last complete response of this node to recent requests. An
 	// ending is often reported only after later responses. Without this cache up to 19 attempts of
-	// the most popular request were quarantined in 4 shapes of
-	// TestDrawnHistoriesEndTheDeadlyRequest.
-	answered *lru.Cache[Fingerprint, time.Time]
+	// the most popular request were quarantined in 4 scenarios of
+	// TestRandomHistoriesQuarantineDeadlyRequest.
+	lastAnswers *lru.Cache[Fingerprint, time.Time]
 	// version counts the changes of endings and cleared.
 	version uint64
-	// dirty is set if endings or cleared have changed since the verdicts were computed, at judged.
-	dirty  bool
-	judged time.Time
+	// dirty is set if endings or cleared have changed since the verdicts were computed, at
+	// evaluatedAt.
+	dirty       bool
+	evaluatedAt time.Time
 
 	verdicts atomic.Pointer[map[Fingerprint]Verdict]
 }
@@ -63,18 +64,18 @@
 func NewLedger(p Policy) *Ledger {
 	l := &Ledger{
 		policy:  p,
-		pending: map[fleet.Incarnation]*doubt{},
-		endings: map[episode]*record{},
+		pending: map[fleet.Incarnation]*suspicion{},
+		endings: map[endingKey]*endingRecord{},
 		cleared: map[Fingerprint]map[Source]*clearing{},
 		own:     Source(1 + rand.Int64N(maxSource)),
 	}
 	l.verdicts.Store(&map[Fingerprint]Verdict{})
-	l.answered = newAnswers(p.MaxAnswers)
+	l.lastAnswers = newAnswerCache(p.MaxAnswers)
 	return l
 }
 
-// newAnswers returns a cache of at least one response.
-func newAnswers(size int) *lru.Cache[Fingerprint, time.Time] {
+// newAnswerCache returns a cache of at least one response.
+func newAnswerCache(size int) *lru.Cache[Fingerprint, time.Time] {
 	c, err := lru.New[Fingerprint, time.Time](max(size, 1))
 	if err != nil {
 		panic(err) // unreachable: lru.New fails only for a size below one
@@ -84,37 +85,37 @@
 
 // Verdict returns the conclusion about a request.
 func (l *Ledger) Verdict(f Fingerprint, now time.Time) Verdict {
-	l.judge(now)
+	l.refreshVerdicts(now)
 	return (*l.verdicts.Load())[f]
 }
 
 // Verdicts returns the conclusions about all requests that are quarantined, or may be after one
 // more ending. The map must not be modified.
 func (l *Ledger) Verdicts(now time.Time) map[Fingerprint]Verdict {
-	l.judge(now)
+	l.refreshVerdicts(now)
 	return *l.verdicts.Load()
 }
 
-// recall clears a request with a newly known ending as of its last complete response at this node.
-// l.mu is held.
-func (l *Ledger) recall(f Fingerprint) {
-	if at, known := l.answered.Peek(f); known {
+// clearFromCache clears a request with a newly known ending as of its last complete response at
+// this node. l.mu is held.
+func (l *Ledger) clearFromCache(f Fingerprint) {
+	if at, known := l.lastAnswers.Peek(f); known {
 		l.clearAt(f, at)
 	}
 }
 
-// touch marks a change that other nodes need to receive. l.mu is held.
-func (l *Ledger) touch(c *change, from Source) {
+// markChanged marks a change that other nodes need to receive. l.mu is held.
+func (l *Ledger) markChanged(c *change, from Source) {
 	l.version++
 	*c = change{version: l.version, from: from}
 	l.dirty = true
 }
 
-// newest returns the last known episode of an incarnation, or nil. l.mu is held.
-func (l *Ledger) newest(in fleet.Incarnation) *record {
-	var last *record
+// latestEpisode returns the last known ending of an incarnation, or nil. l.mu is held.
+func (l *Ledger) latestEpisode(in fleet.Incarnation) *endingRecord {
+	var last *endingRecord
 	for number := 0; ; number++ {
-		r := l.endings[episode{in, number}]
+		r := l.endings[endingKey{in, number}]
 		if r == nil {
 			return last
 		}
@@ -125,7 +126,7 @@
 // Answered records a complete response to a request. It clears the request if the next ending would
 // quarantine it.
 func (l *Ledger) Answered(f Fingerprint, now time.Time) {
-	l.answered.Add(f, now)
+	l.lastAnswers.Add(f, now)
 	if l.Verdict(f, now).Endings >= max(l.policy.Endings-1, 1) {
 		l.Clear(f, now)
 	}
@@ -151,16 +152,16 @@
 	l.mergeCleared(Cleared{Request: f, By: l.own, Number: number, At: now}, self)
 }
 
-// judge recomputes the verdicts if endings have changed or the verdicts are old, and removes
-// expired entries.
-func (l *Ledger) judge(now time.Time) {
+// refreshVerdicts recomputes the verdicts if endings have changed or the verdicts are old, and
+// removes expired entries.
+func (l *Ledger) refreshVerdicts(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	since := now.Sub(l.judged)
-	if !l.dirty && since < l.policy.Hold/judgePart || since < l.policy.JudgeInterval {
+	since := now.Sub(l.evaluatedAt)
+	if !l.dirty && since < l.policy.Hold/refreshDivisor || since < l.policy.JudgeInterval {
 		return
 	}
-	l.forget(now)
+	l.removeExpired(now)
 	var endings []Ending
 	for _, r := range l.endings {
 		endings = r.appendTo(endings, nil)
@@ -168,27 +169,27 @@
 	cleared := make(map[Fingerprint]time.Time, len(l.cleared))
 	for f, by := range l.cleared {
 		for _, c := range by {
-			laterOf(cleared, f, c.at)
+			setIfLater(cleared, f, c.at)
 		}
 	}
-	verdicts := judge(endings, cleared, &l.policy)
+	verdicts := evaluate(endings, cleared, &l.policy)
 	l.verdicts.Store(&verdicts)
-	l.dirty, l.judged = false, now
+	l.dirty, l.evaluatedAt = false, now
 }
 
-// laterOf sets the time of a request to at if that is later.
-func laterOf(times map[Fingerprint]time.Time, f Fingerprint, at time.Time) {
+// setIfLater sets the time of a request to at if that is later.
+func setIfLater(times map[Fingerprint]time.Time, f Fingerprint, at time.Time) {
 	if at.After(times[f]) {
 		times[f] = at
 	}
 }
 
-// judgePart is the fraction of Policy.Hold after which verdicts are recomputed even if nothing has
-// changed.
-const judgePart = 10
+// refreshDivisor divides Policy.Hold into the age at which verdicts are recomputed even if nothing
+// has changed.
+const refreshDivisor = 10
 
-// forget removes entries older than Policy.Memory. l.mu is held.
-func (l *Ledger) forget(now time.Time) {
+// removeExpired removes entries older than Policy.Memory. l.mu is held.
+func (l *Ledger) removeExpired(now time.Time) {
 	for key, r := range l.endings {
 		if now.Sub(r.last()) > l.policy.Memory {
 			delete(l.endings, key)
@@ -206,11 +207,11 @@
 	}
 }
 
-// bound removes the oldest endings, and arbitrary clearings, beyond Policy.MaxEndings. l.mu is
-// held.
-func (l *Ledger) bound() {
+// enforceLimits removes the oldest endings, and arbitrary clearings, beyond Policy.MaxEndings. l.mu
+// is held.
+func (l *Ledger) enforceLimits() {
 	for len(l.endings) > l.policy.MaxEndings {
-		var oldest episode
+		var oldest endingKey
 		var at time.Time
 		for key, r := range l.endings {
 			if last := r.last(); at.IsZero() || last.Before(at) {
--- a/coordination/quarantine/ledger_test.go
+++ b/coordination/quarantine/ledger_test.go
@@ -30,8 +30,8 @@
 	return fleet.Incarnation{ID: state.InstanceID(id)}
 }
 
-// end ends an instance during the given requests, at a time after the start.
-func end(l *quarantine.Ledger, id string, after time.Duration, requests ...string) {
+// endInstance ends an instance during the given requests, at a time after the start.
+func endInstance(l *quarantine.Ledger, id string, after time.Duration, requests ...string) {
 	at := start.Add(after)
 	for _, r := range requests {
 		l.Broken(request(r), []fleet.Incarnation{instance(id)}, at.Add(-runTime), at)
@@ -39,13 +39,13 @@
 	l.Ended(instance(id), at.Add(10*time.Millisecond))
 }
 
-// held reports whether a request is quarantined at a time after the start.
-func held(l *quarantine.Ledger, r string, after time.Duration) bool {
+// isQuarantined reports whether a request is quarantined at a time after the start.
+func isQuarantined(l *quarantine.Ledger, r string, after time.Duration) bool {
 	now := start.Add(after)
 	return l.Verdict(request(r), now).Held(now)
 }
 
-func TestAFingerprintNamesWhatIsAskedFor(t *testing.T) {
+func TestFingerprintIdentifiesContent(t *testing.T) {
 	g := NewWithT(t)
 	base := quarantine.Content{Method: "POST", Host: "h", Target: "/x?q=1", Caller: "team", Body: []byte("body")}
 	g.Expect(quarantine.NewFingerprint(base)).To(Equal(quarantine.NewFingerprint(base)))
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestAFingerprintIsReadAsItWasWritten(t *testing.T) {
+func TestFingerprintTextRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	f := request("a")
 	var back quarantine.Fingerprint
@@ -82,41 +82,41 @@
 
 // Only the request that was in progress at three endings is quarantined, not the requests beside
 // it.
-func TestTheRequestUnderEachEndingIsHeldBack(t *testing.T) {
+func TestRequestCommonToAllEndingsIsQuarantined(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
-	end(l, "a", time.Second, "deadly", "s1", "s2", "s3")
-	end(l, "b", 2*time.Second, "deadly", "s1", "s2", "s4")
-	g.Expect(held(l, "deadly", 2500*time.Millisecond)).To(BeFalse())
-	end(l, "c", 3*time.Second, "deadly", "s5")
-	end(l, "d", 4*time.Second, "s3", "s4")
-	g.Expect(held(l, "deadly", 5*time.Second)).To(BeTrue())
+	endInstance(l, "a", time.Second, "deadly", "s1", "s2", "s3")
+	endInstance(l, "b", 2*time.Second, "deadly", "s1", "s2", "s4")
+	g.Expect(isQuarantined(l, "deadly", 2500*time.Millisecond)).To(BeFalse())
+	endInstance(l, "c", 3*time.Second, "deadly", "s5")
+	endInstance(l, "d", 4*time.Second, "s3", "s4")
+	g.Expect(isQuarantined(l, "deadly", 5*time.Second)).To(BeTrue())
 	for _, s := range []string{"s1", "s2", "s3", "s4", "s5", "never seen"} {
-		g.Expect(held(l, s, 5*time.Second)).To(BeFalse(), s)
+		g.Expect(isQuarantined(l, s, 5*time.Second)).To(BeFalse(), s)
 	}
 	g.Expect(l.Verdict(request("deadly"), start.Add(5*time.Second)).Instances()).To(ConsistOf(state.InstanceID("a"), state.InstanceID("b"), state.InstanceID("c")))
 }
 
 // A request that was in progress beside the deadly one at three endings is released once a fourth
 // ending distinguishes the two.
-func TestAnEndingThatAnotherRequestAccountsForDoesNotCount(t *testing.T) {
+func TestEndingOfAnotherRequestDoesNotCount(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
 	for i, id := range []string{"a", "b", "c"} {
-		end(l, id, time.Duration(i+1)*time.Second, "deadly", "beside")
+		endInstance(l, id, time.Duration(i+1)*time.Second, "deadly", "beside")
 	}
-	end(l, "d", 4*time.Second, "deadly")
-	g.Expect(held(l, "deadly", 5*time.Second)).To(BeTrue())
-	g.Expect(held(l, "beside", 5*time.Second)).To(BeFalse())
+	endInstance(l, "d", 4*time.Second, "deadly")
+	g.Expect(isQuarantined(l, "deadly", 5*time.Second)).To(BeTrue())
+	g.Expect(isQuarantined(l, "beside", 5*time.Second)).To(BeFalse())
 }
 
 // An instance that was cut off, and ended later during the deadly request, has ended once. One that
 // does not report its incarnation has ended twice.
-func TestAnInstanceMayEndAgain(t *testing.T) {
+func TestInstanceMayEndAgain(t *testing.T) {
 	for _, c := range []struct {
 		name, life string
-		// first is set if the endings before the instances answered again count.
-		first bool
+		// countsEarlier is set if the endings before the instances answered again count.
+		countsEarlier bool
 	}{
 		{"it reports its incarnation", "1", false},
 		{"it does not report its incarnation", "", true},
@@ -137,10 +137,10 @@
 				l.Merge(d, 8)
 			}
 			endAll(2, 0)
-			g.Expect(held(l, "deadly", 4*time.Second)).To(BeFalse())
+			g.Expect(isQuarantined(l, "deadly", 4*time.Second)).To(BeFalse())
 			endAll(1, 10*time.Second)
 			for _, node := range []*quarantine.Ledger{l, other} {
-				g.Expect(held(node, "deadly", 14*time.Second)).To(Equal(c.first))
+				g.Expect(isQuarantined(node, "deadly", 14*time.Second)).To(Equal(c.countsEarlier))
 			}
 		})
 	}
@@ -148,12 +148,12 @@
 
 // A request that is retried on a second instance, which ends too, counts two endings, however soon
 // the second one follows.
-func TestEndingsOneAfterTheOtherCountEachHoweverSoon(t *testing.T) {
+func TestEndingsAfterRetryCountSeparately(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// began is when the request is sent to each instance, relative to the previous ending.
-		began time.Duration
-		held  bool
+		began       time.Duration
+		quarantined bool
 	}{
 		{"sent after the previous ending", time.Millisecond, true},
 		{"sent before the previous ending", -runTime, false},
@@ -167,26 +167,26 @@
 				l.Broken(request("deadly"), []fleet.Incarnation{in}, began, ended)
 				l.Ended(in, ended.Add(5*time.Millisecond))
 			}
-			NewWithT(t).Expect(held(l, "deadly", time.Second)).To(Equal(c.held))
+			NewWithT(t).Expect(isQuarantined(l, "deadly", time.Second)).To(Equal(c.quarantined))
 		})
 	}
 }
 
 // Instances that end within milliseconds during the attempts of one request must count alike on all
 // nodes. Nodes exchange ages, and each message has its own delay, so that close endings arrive in
-// another order. The first ending, which is not apart, must not be mistaken for one that coincides
-// with the second: a node that counts fewer endings sends the request on.
-func TestTheOrderInWhichCloseEndingsAreToldDoesNotCount(t *testing.T) {
-	const pause, way = 3 * time.Millisecond, 8 * time.Millisecond
+// another order. The first ending, which follows no retry, must not be mistaken for one that
+// coincides with the second: a node that counts fewer endings sends the request on.
+func TestReportOrderOfCloseEndingsDoesNotMatter(t *testing.T) {
+	const pause, delay = 3 * time.Millisecond, 8 * time.Millisecond
 	for _, c := range []struct {
-		name string
-		late []time.Duration
+		name   string
+		delays []time.Duration
 	}{
 		{"in order", []time.Duration{0, 0, 0}},
-		{"the first one is late", []time.Duration{way, 0, 0}},
-		{"the second one is late", []time.Duration{0, way, 0}},
-		{"the first two are late", []time.Duration{way, way, 0}},
-		{"in reverse", []time.Duration{2 * way, way, 0}},
+		{"the first one is late", []time.Duration{delay, 0, 0}},
+		{"the second one is late", []time.Duration{0, delay, 0}},
+		{"the first two are late", []time.Duration{delay, delay, 0}},
+		{"in reverse", []time.Duration{2 * delay, delay, 0}},
 		{"rounded to the same time", []time.Duration{2 * pause, pause, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -200,11 +200,11 @@
 			d, _ := sender.Since(0, 0)
 			slices.SortFunc(d.Endings, func(a, b quarantine.Ending) int { return cmp.Compare(a.Instance.ID, b.Instance.ID) })
 			for i := range d.Endings {
-				d.Endings[i].At = d.Endings[i].At.Add(c.late[i])
+				d.Endings[i].At = d.Endings[i].At.Add(c.delays[i])
 			}
 			other.Merge(d, 7)
-			g.Expect(held(sender, "deadly", time.Second)).To(BeTrue())
-			g.Expect(held(other, "deadly", time.Second)).To(BeTrue())
+			g.Expect(isQuarantined(sender, "deadly", time.Second)).To(BeTrue())
+			g.Expect(isQuarantined(other, "deadly", time.Second)).To(BeTrue())
 		})
 	}
 }
@@ -212,56 +212,56 @@
 // A popular sound request, or one that a client repeats, is in progress on every instance, so that
 // more endings count against it than against the deadly one. It must not account for the endings of
 // the deadly one: it would be quarantined, and so never cleared, while the deadly one is sent on.
-func TestAPopularRequestDoesNotShieldTheDeadlyOne(t *testing.T) {
+func TestPopularRequestDoesNotShieldDeadlyOne(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
 	l.Answered(request("popular"), start)
-	end(l, "chance", time.Second, "popular")
+	endInstance(l, "chance", time.Second, "popular")
 	for i := range 3 {
-		end(l, fmt.Sprint(i), time.Duration(2+i)*time.Second, "popular", "deadly", fmt.Sprint("beside ", i))
+		endInstance(l, fmt.Sprint(i), time.Duration(2+i)*time.Second, "popular", "deadly", fmt.Sprint("beside ", i))
 	}
-	g.Expect(held(l, "deadly", 6*time.Second)).To(BeTrue())
-	g.Expect(held(l, "popular", 6*time.Second)).To(BeFalse())
+	g.Expect(isQuarantined(l, "deadly", 6*time.Second)).To(BeTrue())
+	g.Expect(isQuarantined(l, "popular", 6*time.Second)).To(BeFalse())
 }
 
-func TestDeadlyRequestsThatEndInstancesTogetherAreAllFound(t *testing.T) {
+func TestConcurrentDeadlyRequestsAreAllQuarantined(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
 	for i := range 12 {
 		for _, r := range []string{"one", "two", "three"} {
-			end(l, fmt.Sprint(r, i), time.Second+time.Duration(i)*60*time.Millisecond, "deadly "+r, fmt.Sprint("beside ", r, i))
+			endInstance(l, fmt.Sprint(r, i), time.Second+time.Duration(i)*60*time.Millisecond, "deadly "+r, fmt.Sprint("beside ", r, i))
 		}
 	}
 	for _, r := range []string{"one", "two", "three"} {
-		g.Expect(held(l, "deadly "+r, 3*time.Second)).To(BeTrue(), r)
+		g.Expect(isQuarantined(l, "deadly "+r, 3*time.Second)).To(BeTrue(), r)
 	}
 }
 
-func TestTwoDeadlyRequestsAreBothFound(t *testing.T) {
+func TestTwoDeadlyRequestsAreBothQuarantined(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
 	for i := range 4 {
-		end(l, fmt.Sprintf("a%d", i), time.Duration(2*i+1)*time.Second, "deadly one", fmt.Sprintf("s%d", i))
+		endInstance(l, fmt.Sprintf("a%d", i), time.Duration(2*i+1)*time.Second, "deadly one", fmt.Sprintf("s%d", i))
 	}
 	for i := range 3 {
-		end(l, fmt.Sprintf("b%d", i), time.Duration(2*i+2)*time.Second, "deadly two", fmt.Sprintf("t%d", i))
+		endInstance(l, fmt.Sprintf("b%d", i), time.Duration(2*i+2)*time.Second, "deadly two", fmt.Sprintf("t%d", i))
 	}
-	g.Expect(held(l, "deadly one", 9*time.Second)).To(BeTrue())
-	g.Expect(held(l, "deadly two", 9*time.Second)).To(BeTrue())
+	g.Expect(isQuarantined(l, "deadly one", 9*time.Second)).To(BeTrue())
+	g.Expect(isQuarantined(l, "deadly two", 9*time.Second)).To(BeTrue())
 }
 
-func TestWhatProvesNoFaultOfARequest(t *testing.T) {
+func TestInsufficientEvidenceQuarantinesNothing(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		play func(l *quarantine.Ledger)
 	}{
 		{"two endings", func(l *quarantine.Ledger) {
-			end(l, "a", time.Second, "popular")
-			end(l, "b", 2*time.Second, "popular")
+			endInstance(l, "a", time.Second, "popular")
+			endInstance(l, "b", 2*time.Second, "popular")
 		}},
 		{"many instances end together, as with a rack", func(l *quarantine.Ledger) {
 			for i := range 9 {
-				end(l, fmt.Sprintf("i%d", i), time.Second+time.Duration(i)*10*time.Millisecond, "popular")
+				endInstance(l, fmt.Sprintf("i%d", i), time.Second+time.Duration(i)*10*time.Millisecond, "popular")
 			}
 		}},
 		{"a hall is cut off, and each attempt is retried on the next instance that is cut off", func(l *quarantine.Ledger) {
@@ -274,7 +274,7 @@
 				l.Ended(in, at.Add(time.Millisecond))
 			}
 		}},
-		{"its instances answer again after the cut", func(l *quarantine.Ledger) {
+		{"its instances answer again after the partition", func(l *quarantine.Ledger) {
 			for i := range 4 {
 				in, at := fleet.Incarnation{ID: "i", Life: fmt.Sprint(i)}, start.Add(time.Duration(i)*time.Second)
 				l.Broken(request("popular"), []fleet.Incarnation{in}, at.Add(-runTime), at)
@@ -283,11 +283,11 @@
 			}
 		}},
 		{"a complete response in between", func(l *quarantine.Ledger) {
-			end(l, "a", time.Second, "popular")
-			end(l, "b", 2*time.Second, "popular")
+			endInstance(l, "a", time.Second, "popular")
+			endInstance(l, "b", 2*time.Second, "popular")
 			l.Answered(request("popular"), start.Add(2500*time.Millisecond))
-			end(l, "c", 3*time.Second, "popular")
-			end(l, "d", 4*time.Second, "popular")
+			endInstance(l, "c", 3*time.Second, "popular")
+			endInstance(l, "d", 4*time.Second, "popular")
 		}},
 		{"it was interrupted on instances that are alive", func(l *quarantine.Ledger) {
 			for i := range 9 {
@@ -307,7 +307,7 @@
 		}},
 		{"an operator cleared it", func(l *quarantine.Ledger) {
 			for i := range 3 {
-				end(l, fmt.Sprintf("i%d", i), time.Duration(i)*time.Second, "popular")
+				endInstance(l, fmt.Sprintf("i%d", i), time.Duration(i)*time.Second, "popular")
 			}
 			l.Clear(request("popular"), start.Add(4*time.Second))
 		}},
@@ -315,7 +315,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := quarantine.NewLedger(quarantine.DefaultPolicy())
 			c.play(l)
-			NewWithT(t).Expect(held(l, "popular", 5*time.Second)).To(BeFalse())
+			NewWithT(t).Expect(isQuarantined(l, "popular", 5*time.Second)).To(BeFalse())
 		})
 	}
 }
@@ -323,43 +323,44 @@
 // A deadly request must not be released when a hall is cut off during its first endings. Once the
 // instances of that hall refuse connections, their false endings must not account for the real ones
 // in the other halls.
-func TestARequestThatIsHeldBackStaysSoWhenAHallIsCutOffBesideIt(t *testing.T) {
+func TestPartitionDuringEndingsReleasesNoRequest(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
 	moments := []time.Duration{time.Second, 1500 * time.Millisecond, 2 * time.Second}
 	for i, at := range moments {
-		end(l, fmt.Sprint("other hall ", i), at, "deadly")
+		endInstance(l, fmt.Sprint("other hall ", i), at, "deadly")
 	}
-	g.Expect(held(l, "deadly", 3*time.Second)).To(BeTrue())
+	g.Expect(isQuarantined(l, "deadly", 3*time.Second)).To(BeTrue())
 	for i, at := range moments {
 		for n := range 5 {
 			in := instance(fmt.Sprint("cut off ", i, n))
 			l.Merge(quarantine.Delta{Endings: []quarantine.Ending{{Instance: in, At: start.Add(at), Requests: []quarantine.Fingerprint{request(fmt.Sprint("beside ", i, n))}}}}, 7)
 		}
 	}
-	g.Expect(held(l, "deadly", 4*time.Second)).To(BeTrue())
+	g.Expect(isQuarantined(l, "deadly", 4*time.Second)).To(BeTrue())
 }
 
-// A deadly request must not be released when a hall is connected again. When the cut began, the
-// instances of the other halls refused connections from its nodes; some of them ended during the
-// request a little later. If a false ending is merged with the real one after it, at the time of
-// the false one, endings that are two seconds apart fall into one moment.
-func TestAFalseEndingBeforeATrueOneTakesNoVerdictBack(t *testing.T) {
-	const cutAt = 900 * time.Millisecond
-	observeCut := func(l *quarantine.Ledger) {
+// A deadly request must not be released when a hall is connected again. When the partition began,
+// the instances of the other halls refused connections from its nodes; some of them ended during
+// the request a little later. If a false ending is merged with the real one after it, at the time
+// of the false one, endings that are two seconds apart count as one.
+func TestFalseEndingBeforeRealOneReleasesNoRequest(t *testing.T) {
+	const partitionAt = 900 * time.Millisecond
+	observePartition := func(l *quarantine.Ledger) {
 		for i := range 3 {
-			end(l, fmt.Sprint(i), cutAt, fmt.Sprint("beside ", i))
+			endInstance(l, fmt.Sprint(i), partitionAt, fmt.Sprint("beside ", i))
 		}
 	}
 	observeEndings := func(l *quarantine.Ledger) {
 		for i := range 3 {
-			end(l, fmt.Sprint(i), time.Second+time.Duration(i)*700*time.Millisecond, "deadly")
+			endInstance(l, fmt.Sprint(i), time.Second+time.Duration(i)*700*time.Millisecond, "deadly")
 		}
 	}
 	for _, c := range []struct {
 		name string
-		// between is set if the false endings are sent before the other node observes anything.
-		between bool
+		// falseEndingsFirst is set if the false endings are sent before the other node observes
+		// anything.
+		falseEndingsFirst bool
 	}{
 		{"both are sent afterwards", false},
 		{"the false endings are sent first", true},
@@ -367,66 +368,66 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			cutOff, other := quarantine.NewLedger(quarantine.DefaultPolicy()), quarantine.NewLedger(quarantine.DefaultPolicy())
-			tell := func(from, to *quarantine.Ledger, source quarantine.Source) {
+			send := func(from, to *quarantine.Ledger, source quarantine.Source) {
 				d, _ := from.Since(0, 0)
 				to.Merge(d, source)
 			}
-			observeCut(cutOff)
-			if c.between {
-				tell(cutOff, other, 7)
+			observePartition(cutOff)
+			if c.falseEndingsFirst {
+				send(cutOff, other, 7)
 			}
 			observeEndings(other)
-			g.Expect(held(other, "deadly", 3*time.Second)).To(BeTrue())
-			tell(cutOff, other, 7)
-			tell(other, cutOff, 8)
-			g.Expect(held(other, "deadly", 4*time.Second)).To(BeTrue())
-			g.Expect(held(cutOff, "deadly", 4*time.Second)).To(BeTrue())
+			g.Expect(isQuarantined(other, "deadly", 3*time.Second)).To(BeTrue())
+			send(cutOff, other, 7)
+			send(other, cutOff, 8)
+			g.Expect(isQuarantined(other, "deadly", 4*time.Second)).To(BeTrue())
+			g.Expect(isQuarantined(cutOff, "deadly", 4*time.Second)).To(BeTrue())
 		})
 	}
 }
 
 // A build that merges the observations of all nodes sends them back as one ending, at the earliest
 // of their times and without the nodes.
-func TestWhatABuildWithoutNamesTellsAgainTakesNoVerdictBack(t *testing.T) {
+func TestMergedObservationsReleaseNoRequest(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
 	var merged []quarantine.Ending
 	for i := range 3 {
-		end(l, fmt.Sprint(i), time.Second+time.Duration(i)*700*time.Millisecond, "deadly")
+		endInstance(l, fmt.Sprint(i), time.Second+time.Duration(i)*700*time.Millisecond, "deadly")
 		merged = append(merged, quarantine.Ending{
 			Instance: instance(fmt.Sprint(i)), At: start.Add(900 * time.Millisecond),
 			Requests: []quarantine.Fingerprint{request("deadly"), request(fmt.Sprint("beside ", i))},
 		})
 	}
 	l.Merge(quarantine.Delta{Endings: merged}, 7)
-	g.Expect(held(l, "deadly", 4*time.Second)).To(BeTrue())
+	g.Expect(isQuarantined(l, "deadly", 4*time.Second)).To(BeTrue())
 	g.Expect(l.Verdict(request("deadly"), start.Add(4*time.Second)).Endings).To(Equal(3))
 }
 
-func TestARequestIsHeldBackLongerWithEachEnding(t *testing.T) {
+func TestQuarantineDoublesWithEachEnding(t *testing.T) {
 	g := NewWithT(t)
 	p := quarantine.DefaultPolicy()
 	l := quarantine.NewLedger(p)
 	for i := range 3 {
-		end(l, fmt.Sprintf("i%d", i), time.Duration(i)*time.Second, "deadly")
+		endInstance(l, fmt.Sprintf("i%d", i), time.Duration(i)*time.Second, "deadly")
 	}
-	over := 2*time.Second + p.Hold
-	g.Expect(held(l, "deadly", over-time.Second)).To(BeTrue())
-	g.Expect(held(l, "deadly", over+time.Second)).To(BeFalse())
-	again := over + 2*time.Second
-	end(l, "again", again, "deadly")
-	g.Expect(held(l, "deadly", again+p.Hold+time.Second)).To(BeTrue())
-	g.Expect(held(l, "deadly", again+2*p.Hold+time.Second)).To(BeFalse())
-	g.Expect(held(l, "deadly", again+2*p.Memory)).To(BeFalse())
+	quarantineEnd := 2*time.Second + p.Hold
+	g.Expect(isQuarantined(l, "deadly", quarantineEnd-time.Second)).To(BeTrue())
+	g.Expect(isQuarantined(l, "deadly", quarantineEnd+time.Second)).To(BeFalse())
+	again := quarantineEnd + 2*time.Second
+	endInstance(l, "again", again, "deadly")
+	g.Expect(isQuarantined(l, "deadly", again+p.Hold+time.Second)).To(BeTrue())
+	g.Expect(isQuarantined(l, "deadly", again+2*p.Hold+time.Second)).To(BeFalse())
+	g.Expect(isQuarantined(l, "deadly", again+2*p.Memory)).To(BeFalse())
 }
 
 // An attempt whose interruption is noticed late counts against an ending that is already known,
 // whichever node reported it.
-func TestABreakOffThatIsNoticedLateCounts(t *testing.T) {
+func TestLateInterruptionCounts(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		tell  func(l *quarantine.Ledger, in fleet.Incarnation, at time.Time)
-		first bool
+		name             string
+		report           func(l *quarantine.Ledger, in fleet.Incarnation, at time.Time)
+		interruptedFirst bool
 	}{
 		{"after the ending is known", func(l *quarantine.Ledger, in fleet.Incarnation, at time.Time) {
 			l.Merge(quarantine.Delta{Endings: []quarantine.Ending{{Instance: in, At: at, Requests: []quarantine.Fingerprint{request("other")}}}}, 7)
@@ -439,20 +440,20 @@
 			l := quarantine.NewLedger(quarantine.DefaultPolicy())
 			for i := range 3 {
 				in, at := instance(fmt.Sprintf("i%d", i)), start.Add(time.Duration(i)*time.Second)
-				if c.first {
+				if c.interruptedFirst {
 					l.Broken(request("deadly"), []fleet.Incarnation{in}, at.Add(-runTime), at)
 				}
-				c.tell(l, in, at)
-				if !c.first {
+				c.report(l, in, at)
+				if !c.interruptedFirst {
 					l.Broken(request("deadly"), []fleet.Incarnation{in}, at.Add(-runTime), at.Add(time.Second))
 				}
 			}
-			NewWithT(t).Expect(held(l, "deadly", 5*time.Second)).To(BeTrue())
+			NewWithT(t).Expect(isQuarantined(l, "deadly", 5*time.Second)).To(BeTrue())
 		})
 	}
 }
 
-func TestWhatIsKeptIsBounded(t *testing.T) {
+func TestRetainedEndingsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	p := quarantine.DefaultPolicy()
 	l := quarantine.NewLedger(p)
--- a/coordination/quarantine/property_test.go
+++ b/coordination/quarantine/property_test.go
@@ -16,27 +16,27 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// drawn is a random history of some nodes, each with its own ledger.
-type drawn struct {
+// randomHistory is a random history of some nodes, each with its own ledger.
+type randomHistory struct {
 	nodes []*quarantine.Ledger
-	// told holds the version of one node's ledger that another one has received.
-	told map[[2]int]uint64
-	now  time.Time
+	// received holds the version of one node's ledger that another one has received.
+	received map[[2]int]uint64
+	now      time.Time
 	// delay is the delay of a message between two nodes, by which the ages in it are too low.
 	delay time.Duration
 }
 
-// tellAll sends the changes of every node to every other node.
-func (d *drawn) tellAll() {
+// sendAll sends the changes of every node to every other node.
+func (d *randomHistory) sendAll() {
 	for from := range d.nodes {
 		for to := range d.nodes {
-			d.tell(from, to, false)
+			d.send(from, to, false)
 		}
 	}
 }
 
 // versions returns the versions of all ledgers.
-func (d *drawn) versions() []uint64 {
+func (d *randomHistory) versions() []uint64 {
 	var list []uint64
 	for _, n := range d.nodes {
 		_, version := n.Since(0, 0)
@@ -45,11 +45,11 @@
 	return list
 }
 
-// tell sends one node the changes of another. If lost is set, the sender does not learn that they
+// send sends one node the changes of another. If lost is set, the sender does not learn that they
 // arrived.
-func (d *drawn) tell(from, to int, lost bool) {
+func (d *randomHistory) send(from, to int, lost bool) {
 	link := [2]int{from, to}
-	delta, version := d.nodes[from].Since(d.told[link], quarantine.Source(to+1))
+	delta, version := d.nodes[from].Since(d.received[link], quarantine.Source(to+1))
 	for i := range delta.Endings {
 		delta.Endings[i].At = delta.Endings[i].At.Add(d.delay)
 	}
@@ -58,12 +58,12 @@
 	}
 	d.nodes[to].Merge(delta, quarantine.Source(from+1))
 	if !lost {
-		d.told[link] = version
+		d.received[link] = version
 	}
 }
 
 // step generates one random event of the history.
-func (d *drawn) step(t *rapid.T) {
+func (d *randomHistory) step(t *rapid.T) {
 	d.now = d.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 	node := rapid.IntRange(0, len(d.nodes)-1).Draw(t, "node")
 	in := fleet.Incarnation{
@@ -84,15 +84,15 @@
 	case 5:
 		d.nodes[node].Alive(in, d.now)
 	case 6:
-		d.tell(node, rapid.IntRange(0, len(d.nodes)-1).Draw(t, "to"), rapid.Bool().Draw(t, "lost"))
+		d.send(node, rapid.IntRange(0, len(d.nodes)-1).Draw(t, "to"), rapid.Bool().Draw(t, "lost"))
 	}
 }
 
 // Nodes that have exchanged their ledgers reach the same verdicts, whatever the order of the
 // exchanges, and also with repeated exchanges and lost responses.
-func TestNodesThatHeardOfEachOtherConcludeTheSame(t *testing.T) {
+func TestNodesConvergeOnSameVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &drawn{told: map[[2]int]uint64{}, now: start}
+		d := &randomHistory{received: map[[2]int]uint64{}, now: start}
 		for range rapid.IntRange(2, 4).Draw(t, "nodes") {
 			d.nodes = append(d.nodes, quarantine.NewLedger(quarantine.DefaultPolicy()))
 		}
@@ -102,7 +102,7 @@
 		// An interruption without proof at one node may be proven at another, so that a second
 		// round may bring changes.
 		for range 3 {
-			d.tellAll()
+			d.sendAll()
 		}
 		d.now = d.now.Add(time.Second)
 		first := d.nodes[0].Verdicts(d.now)
@@ -117,9 +117,9 @@
 // Nodes exchange ages, and each message is delayed, so that an entry that is sent back looks
 // younger. Exchanges must converge all the same: no entry is sent for ever, and no ending moves
 // towards the present.
-func TestExchangesComeToRest(t *testing.T) {
+func TestExchangesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &drawn{told: map[[2]int]uint64{}, now: start, delay: time.Duration(rapid.IntRange(1, 60).Draw(t, "way")) * time.Millisecond}
+		d := &randomHistory{received: map[[2]int]uint64{}, now: start, delay: time.Duration(rapid.IntRange(1, 60).Draw(t, "way")) * time.Millisecond}
 		for range rapid.IntRange(2, 4).Draw(t, "nodes") {
 			d.nodes = append(d.nodes, quarantine.NewLedger(quarantine.DefaultPolicy()))
 		}
@@ -128,10 +128,10 @@
 		}
 		const rounds = 6
 		for range rounds {
-			d.tellAll()
+			d.sendAll()
 		}
 		versions := d.versions()
-		d.tellAll()
+		d.sendAll()
 		if again := d.versions(); !slices.Equal(again, versions) {
 			t.Fatalf("after %d rounds the versions still change: %v, then %v", rounds, versions, again)
 		}
@@ -139,40 +139,41 @@
 }
 
 // A request is quarantined only after three endings without a complete response in between. Each of
-// them comes at a moment of its own, or during an attempt sent just after the previous one.
-func TestNothingIsHeldBackForLessThanThreeEndings(t *testing.T) {
+// them is separated from the previous one by the spacing, or comes during an attempt sent just
+// after an ending.
+func TestFewerThanThreeEndingsQuarantineNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := quarantine.DefaultPolicy()
 		l := quarantine.NewLedger(p)
 		now := start
-		var moments, all []time.Time // of the consecutive endings that count against the request, and of all endings
+		var independent, all []time.Time // of the consecutive endings that count against the request, and of all endings
 		endings := 0
 		for i := range rapid.IntRange(1, 30).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 4).Draw(t, "event") == 0 {
 				l.Clear(request("r"), now)
-				moments = nil
+				independent = nil
 				now = now.Add(p.Spacing)
 				continue
 			}
-			end(l, fmt.Sprint(i), now.Sub(start), "r", fmt.Sprint("beside ", i))
+			endInstance(l, fmt.Sprint(i), now.Sub(start), "r", fmt.Sprint("beside ", i))
 			sentAfter := func(ended time.Time) bool {
 				pause := now.Add(-runTime).Sub(ended)
 				return pause >= 0 && pause < p.Spacing
 			}
-			if len(moments) == 0 || now.Sub(moments[len(moments)-1]) >= p.Spacing || slices.ContainsFunc(all, sentAfter) {
-				moments = append(moments, now)
+			if len(independent) == 0 || now.Sub(independent[len(independent)-1]) >= p.Spacing || slices.ContainsFunc(all, sentAfter) {
+				independent = append(independent, now)
 			}
 			all = append(all, now)
 			endings++
 			now = now.Add(p.JudgeInterval)
 			v := l.Verdict(request("r"), now)
-			want := len(moments)
+			want := len(independent)
 			if endings < p.Endings-1 {
 				want = 0 // one more ending could not quarantine the request
 			}
-			if v.Endings != want || v.Held(now) != (len(moments) >= p.Endings) {
-				t.Fatalf("after %d moments the verdict is %+v", len(moments), v)
+			if v.Endings != want || v.Held(now) != (len(independent) >= p.Endings) {
+				t.Fatalf("after %d independent endings the verdict is %+v", len(independent), v)
 			}
 			if l.Verdict(request(fmt.Sprint("beside ", i)), now).Held(now) {
 				t.Fatal("a request with a single ending is quarantined")
--- a/coordination/quarantine/share.go
+++ b/coordination/quarantine/share.go
@@ -49,7 +49,7 @@
 		return d, l.version
 	}
 	for _, r := range l.endings {
-		d.Endings = r.appendTo(d.Endings, func(c *change) bool { return c.tells(version, except) })
+		d.Endings = r.appendTo(d.Endings, func(c *change) bool { return c.isNewFor(version, except) })
 	}
 	for i := range d.Endings {
 		e := &d.Endings[i]
@@ -57,7 +57,7 @@
 	}
 	for f, by := range l.cleared {
 		for source, c := range by {
-			if c.tells(version, except) {
+			if c.isNewFor(version, except) {
 				d.Cleared = append(d.Cleared, Cleared{Request: f, By: source, Number: c.number, At: c.at})
 			}
 		}
@@ -65,8 +65,8 @@
 	return d, l.version
 }
 
-// tells reports whether a change is later than a version and did not come from except.
-func (c *change) tells(version uint64, except Source) bool {
+// isNewFor reports whether a change is later than a version and did not come from except.
+func (c *change) isNewFor(version uint64, except Source) bool {
 	return c.version > version && (c.from != except || except == self)
 }
 
@@ -81,7 +81,7 @@
 	for _, c := range d.Cleared {
 		l.mergeCleared(c, from)
 	}
-	l.bound()
+	l.enforceLimits()
 }
 
 // mergeEnding merges an observation from another node, and adds requests that were interrupted at
@@ -92,44 +92,44 @@
 	}
 	r := l.endings[e.key()]
 	if r == nil {
-		r = newRecord(e.key())
+		r = newEndingRecord(e.key())
 		l.endings[e.key()] = r
 	}
-	o := r.seen[e.By]
-	news := o == nil
+	o := r.observations[e.By]
+	changed := o == nil
 	if o == nil {
 		o = &observation{at: e.At}
-		r.seen[e.By] = o
+		r.observations[e.By] = o
 	}
 	if e.At.Before(o.at) {
-		o.at, news = e.At, true
+		o.at, changed = e.At, true
 	}
-	if e.Back && !o.back {
-		o.back, news = true, true
+	if e.Back && !o.responded {
+		o.responded, changed = true, true
 	}
 	for _, f := range e.Requests {
-		if !slices.Contains(o.requests, f) && r.requests() < l.policy.MaxRequests {
-			o.requests, news = append(o.requests, f), true
-			l.recall(f)
+		if !slices.Contains(o.requests, f) && r.requestCount() < l.policy.MaxRequests {
+			o.requests, changed = append(o.requests, f), true
+			l.clearFromCache(f)
 		}
 	}
 	for _, f := range e.Apart {
-		if !slices.Contains(o.apart, f) && len(o.apart) < len(o.requests) {
-			o.apart, news = append(o.apart, f), true
+		if !slices.Contains(o.retried, f) && len(o.retried) < len(o.requests) {
+			o.retried, changed = append(o.retried, f), true
 		}
 	}
-	if news && o.knowsMore(&e) {
+	if changed && o.hasMoreThan(&e) {
 		from = self // the sender may lack what this node had
 	}
-	if news {
-		l.touch(&o.told, from)
+	if changed {
+		l.markChanged(&o.lastChange, from)
 	}
-	l.settle(r, e.At)
+	l.attributeInterruptions(r, e.At)
 }
 
-// knowsMore reports whether an observation holds more than the one received.
-func (o *observation) knowsMore(e *Ending) bool {
-	return o.at.Before(e.At) || o.back && !e.Back || len(o.requests) > len(e.Requests) || len(o.apart) > len(e.Apart)
+// hasMoreThan reports whether an observation holds more than the one received.
+func (o *observation) hasMoreThan(e *Ending) bool {
+	return o.at.Before(e.At) || o.responded && !e.Back || len(o.requests) > len(e.Requests) || len(o.retried) > len(e.Apart)
 }
 
 // mergeCleared merges a clearing from another node, or one of this node. l.mu is held.
@@ -146,26 +146,26 @@
 	}
 	if c.Number > known.number {
 		known.number, known.at = c.Number, c.At
-		l.touch(&known.change, from)
+		l.markChanged(&known.change, from)
 	}
 }
 
-// settle adds the requests that were interrupted at this node on an instance that another node
-// reports as ended. An attempt that began after the ending was interrupted for another reason. l.mu
-// is held.
-func (l *Ledger) settle(r *record, ended time.Time) {
+// attributeInterruptions adds the requests that were interrupted at this node on an instance that
+// another node reports as ended. An attempt that began after the ending was interrupted for another
+// reason. l.mu is held.
+func (l *Ledger) attributeInterruptions(r *endingRecord, endedAt time.Time) {
 	d := l.pending[r.instance]
-	if d == nil || r.over() {
+	if d == nil || r.isOver() {
 		return
 	}
-	d.broken = slices.DeleteFunc(d.broken, func(b broken) bool {
-		if b.began.After(ended) || b.at.Sub(ended).Abs() >= l.policy.EvidenceWindow {
+	d.interruptions = slices.DeleteFunc(d.interruptions, func(b interruption) bool {
+		if b.began.After(endedAt) || b.at.Sub(endedAt).Abs() >= l.policy.EvidenceWindow {
 			return false
 		}
 		l.observe(r, b)
 		return true
 	})
-	if len(d.broken) == 0 {
+	if len(d.interruptions) == 0 {
 		delete(l.pending, r.instance)
 	}
 }
