--- a/coordination/quarantine/burst.go
+++ b/coordination/quarantine/burst.go
@@ -2,61 +2,64 @@
 
 import "slices"
 
-// bursts are series of observations that were made together, close one after the other.
+// bursts groups observations that the same node made in close succession.
 type bursts struct {
-	// number is the burst of each observation.
-	number []int
-	// of are the bursts in which each ending was observed, size is the number of endings in each burst.
-	of   map[int][]int
-	size map[int]int
+	// numbers holds the burst number of each observation, or noSeries.
+	numbers []int
+	// byEnding holds the bursts in which each ending was observed, sizes the number of endings in
+	// each burst.
+	byEnding map[int][]int
+	sizes    map[int]int
 }
 
-// newBursts returns the bursts with the given numbers, cause being the ending of each observation.
-func newBursts(number, cause []int) *bursts {
-	b := &bursts{number: number, of: map[int][]int{}, size: map[int]int{}}
-	for i, n := range number {
-		if n == noSeries || slices.Contains(b.of[cause[i]], n) {
+// newBursts returns the bursts with the given numbers. endingOf holds the number of the ending that
+// each observation belongs to.
+func newBursts(numbers, endingOf []int) *bursts {
+	b := &bursts{numbers: numbers, byEnding: map[int][]int{}, sizes: map[int]int{}}
+	for i, n := range numbers {
+		if n == noSeries || slices.Contains(b.byEnding[endingOf[i]], n) {
 			continue
 		}
-		b.of[cause[i]] = append(b.of[cause[i]], n)
-		b.size[n]++
+		b.byEnding[endingOf[i]] = append(b.byEnding[endingOf[i]], n)
+		b.sizes[n]++
 	}
 	return b
 }
 
-// shared returns, for each burst, in how many of its endings a request was under way, whichever node
-// sent it, given the request's observations.
-func (b *bursts) shared(list, cause []int) map[int]int {
-	with, done := map[int]int{}, map[int]bool{}
-	for _, i := range list {
-		if done[cause[i]] {
+// endingsWith returns, for each burst, in how many of its endings a request was in progress on any
+// node. indexes holds the indexes of the observations of that request.
+func (b *bursts) endingsWith(indexes, endingOf []int) map[int]int {
+	counts, counted := map[int]int{}, map[int]bool{}
+	for _, i := range indexes {
+		if counted[endingOf[i]] {
 			continue
 		}
-		done[cause[i]] = true
-		for _, n := range b.of[cause[i]] {
-			with[n]++
+		counted[endingOf[i]] = true
+		for _, n := range b.byEnding[endingOf[i]] {
+			counts[n]++
 		}
 	}
-	return with
+	return counts
 }
 
-// massEndings is how many instances must end without a request, in one burst with one that ends
-// under it, for that ending to say nothing of the request: a rack, a hall or a link was lost, and
-// all that was under way there broke off at once. They must be massRatio times as many as those with
-// the request, so that two requests which both end instances do not hide each other.
+// massFailureEndings is how many endings without a request a burst must contain for an ending with
+// it in the same burst not to count as evidence against it: the loss of a rack, a hall or a link
+// interrupts everything in progress there at once. They must also be massFailureRatio times as many
+// as the endings with the request, so that two requests that both crash instances do not hide each
+// other.
 const (
-	massEndings = 3
-	massRatio   = 4
+	massFailureEndings = 3
+	massFailureRatio   = 4
 )
 
-// isMass reports whether an observation is one of many that were made together, for a cause that
-// is not the request. What the nodes on one side of a cut observe together says nothing of what
-// others do: the endings behind a cut must not account for those elsewhere.
-func (b *bursts) isMass(i int, with map[int]int) bool {
-	n := b.number[i]
+// isMassFailure reports whether an observation belongs to a burst that has another cause than the
+// request. What nodes on one side of a network partition observe in a burst says nothing about
+// instances elsewhere: the endings behind a partition must not account for those on the other side.
+func (b *bursts) isMassFailure(i int, endingsWith map[int]int) bool {
+	n := b.numbers[i]
 	if n == noSeries {
 		return false
 	}
-	without := b.size[n] - with[n]
-	return without >= massEndings && without >= massRatio*with[n]
+	without := b.sizes[n] - endingsWith[n]
+	return without >= massFailureEndings && without >= massFailureRatio*endingsWith[n]
 }
