--- a/coordination/roster/elsewhere.go
+++ b/coordination/roster/elsewhere.go
@@ -7,18 +7,18 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// elsewhere is what other nodes answered when they were asked to reach an instance.
+// elsewhere is the result of the last indirect probes of an instance by other nodes.
 type elsewhere struct {
-	// asked is when they were last asked.
+	// asked is when the last indirect probe was requested; reached is whether it got an answer.
 	asked   time.Time
 	reached bool
-	// heard is when the instance last answered one of them, by the name of that one.
+	// heard is the time of the last indirect probe that was answered; by is the node that sent it.
 	heard time.Time
 	by    string
 }
 
-// AskElsewhere reports whether other nodes are to be asked now about an instance that does not
-// answer this one.
+// AskElsewhere reports whether an indirect probe of an instance that does not answer this node
+// is due.
 func (r *Roster) AskElsewhere(id state.InstanceID, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,21 +29,21 @@
 	return e.elsewhere.asked.Before(e.failing) || now.Sub(e.elsewhere.asked) >= r.cfg.Policy.IndirectInterval
 }
 
-// ReachedElsewhere records the report of an instance that another node asked for, after rep.Asked.
-// This node's own failures to reach it stand.
+// ReachedElsewhere records a report that another node got from an instance by an indirect probe
+// requested at rep.Asked. It does not reset this node's own probe failures.
 func (r *Roster) ReachedElsewhere(id state.InstanceID, rep fleet.Report, by string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.m[id]
 	if e == nil || e.outlived(rep.Born) || e.reborn(rep.Born) {
-		return // a later life is begun by what the instance tells this node
+		return // an indirect report does not start a later incarnation; a direct one does
 	}
 	e.elsewhere = elsewhere{asked: rep.Asked, reached: true, heard: rep.Asked, by: by}
 	r.version++
 	r.takeReport(e, rep)
 }
 
-// ReachedBy returns the name of the node that last reached an instance for this one, or none.
+// ReachedBy returns the name of the node whose indirect probe last reached an instance, or "".
 func (r *Roster) ReachedBy(id state.InstanceID) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +53,8 @@
 	return ""
 }
 
-// UnreachedElsewhere records that no other node that was asked at a time reached an instance.
+// UnreachedElsewhere records that no other node reached an instance by the indirect probes
+// requested at the given time.
 func (r *Roster) UnreachedElsewhere(id state.InstanceID, asked time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +64,7 @@
 	}
 }
 
-// lastHeard returns when an instance last answered this node or another one.
+// lastHeard returns when an instance last answered this node or an indirect probe.
 func (e *entry) lastHeard() time.Time {
 	if e.elsewhere.heard.After(e.heard) {
 		return e.elsewhere.heard
@@ -71,8 +72,9 @@
 	return e.heard
 }
 
-// lostToAll reports whether no node reaches an instance, as far as is known. One that this node
-// does not reach, but others do or have not been asked about, may serve them.
+// lostToAll reports whether an instance counts as unreachable from every node. One that only this
+// node fails to reach may still serve other nodes, so it does not count as lost until an indirect
+// probe since its first failure has failed too.
 func (r *Roster) lostToAll(e *entry, now time.Time) bool {
 	if e.gone || e.dropped(now, e.lastHeard()) {
 		return true
--- a/coordination/roster/elsewhere_test.go
+++ b/coordination/roster/elsewhere_test.go
@@ -10,8 +10,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Some instances could be reached by most nodes, but not by the leader: it took their groups apart,
-// though they went on serving the others.
+// An instance that the leader cannot reach but other nodes can must not count as lost: otherwise
+// the leader dissolves its group while the group still serves the other nodes.
 func TestAnInstanceThatOtherNodesReachIsFarAndNotLost(t *testing.T) {
 	failed := func(r *roster.Roster, now time.Time) {
 		for i := range 2 {
@@ -25,7 +25,7 @@
 		lost, far bool
 	}{
 		{"it answers", func(r *roster.Roster, now time.Time) { r.Reported("i1", report(now)) }, false, false},
-		{"others have not been asked yet", failed, false, true},
+		{"no indirect probe yet", failed, false, true},
 		{"another node reaches it", func(r *roster.Roster, now time.Time) {
 			failed(r, now)
 			r.ReachedElsewhere("i1", report(now.Add(200*time.Millisecond)), "b")
@@ -34,7 +34,7 @@
 			failed(r, now)
 			r.UnreachedElsewhere("i1", now.Add(200*time.Millisecond))
 		}, true, false},
-		{"another node reached it before, none does now", func(r *roster.Roster, now time.Time) {
+		{"another node reached it before, no node does now", func(r *roster.Roster, now time.Time) {
 			failed(r, now)
 			r.ReachedElsewhere("i1", report(now.Add(200*time.Millisecond)), "b")
 			r.UnreachedElsewhere("i1", now.Add(700*time.Millisecond))
@@ -70,11 +70,11 @@
 	now := start.Add(time.Second)
 	g.Expect(r.AskElsewhere("i1", now)).To(BeFalse(), "it answers")
 	r.Failed("i1", now)
-	g.Expect(r.AskElsewhere("i1", now)).To(BeTrue(), "it failed once")
+	g.Expect(r.AskElsewhere("i1", now)).To(BeTrue(), "it failed one probe")
 	r.UnreachedElsewhere("i1", now)
-	g.Expect(r.AskElsewhere("i1", now.Add(interval/2))).To(BeFalse(), "others have just been asked")
-	g.Expect(r.AskElsewhere("i1", now.Add(interval))).To(BeTrue(), "a while later")
+	g.Expect(r.AskElsewhere("i1", now.Add(interval/2))).To(BeFalse(), "an indirect probe was just sent")
+	g.Expect(r.AskElsewhere("i1", now.Add(interval))).To(BeTrue(), "the interval has passed")
 	r.Reported("i1", fleet.Report{Asked: now.Add(10 * time.Millisecond)})
 	r.Failed("i1", now.Add(20*time.Millisecond))
-	g.Expect(r.AskElsewhere("i1", now.Add(20*time.Millisecond))).To(BeTrue(), "it answered meanwhile and fails again")
+	g.Expect(r.AskElsewhere("i1", now.Add(20*time.Millisecond))).To(BeTrue(), "it answered and then failed again")
 }
--- a/coordination/roster/leaving.go
+++ b/coordination/roster/leaving.go
@@ -4,8 +4,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// MarkLeaving records that a life of an instance said that it will end soon, and reports
-// whether that is new.
+// MarkLeaving records that an incarnation of an instance announced its shutdown. It reports
+// whether the instance was not marked before.
 func (r *Roster) MarkLeaving(in fleet.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -16,7 +16,8 @@
 	return r.markLeaving(e, in)
 }
 
-// markLeaving marks an instance as leaving if the life that said so may be the one known. r.mu is held.
+// markLeaving marks an instance as leaving unless in is known to be another incarnation than the
+// current one. r.mu must be held.
 func (r *Roster) markLeaving(e *entry, in fleet.Incarnation) bool {
 	known := e.listed.Incarnation()
 	if e.leaving || in.Life != "" && known.Life != "" && in.Life != known.Life {
@@ -27,7 +28,7 @@
 	return true
 }
 
-// Leaving reports whether a life of an instance is known to leave.
+// Leaving reports whether an incarnation of an instance is known to be leaving.
 func (r *Roster) Leaving(in fleet.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/coordination/roster/list.go
+++ b/coordination/roster/list.go
@@ -10,8 +10,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Listed takes in an entry that an instance has written into the list since the
-// list was last read, a moment ago.
+// Listed records a list entry that the instance wrote since the previous read of the
+// list. That read must be recent, so that the entry counts as freshly written.
 func (r *Roster) Listed(in fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -20,15 +20,15 @@
 	}
 }
 
-// Recalled takes in an entry of the list that may have been written long ago.
+// Recalled records a list entry that may have been written long ago.
 func (r *Roster) Recalled(in fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list(in, now)
 }
 
-// Snapshot updates the roster by the whole list as it stood before a position. Its entries may
-// have been written long ago: they count as read, but not as lately written.
+// Snapshot updates the roster from the whole list as of the records before position. Its entries
+// may have been written long ago: they count as read, but not as freshly written.
 func (r *Roster) Snapshot(entries []fleet.Instance, position int64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,13 +39,14 @@
 	}
 	for id, e := range r.m {
 		if !listed[id] && e.listed.Position < position {
-			r.unlist(e, position-1, now) // the next entry has the position itself
+			r.unlist(e, position-1, now) // the next record gets position itself
 		}
 	}
 }
 
-// Restore updates the roster by the whole list as an older copy of it shows it. The copy lacks what was
-// written after it was made: it drops no instance, and takes back nothing that is known of one.
+// Restore updates the roster from the whole list after the store was restored from a backup. The
+// backup lacks what was written after it was made, so it neither removes an instance nor reverts
+// newer state of one.
 func (r *Roster) Restore(entries []fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// reread applies an entry of the whole list. r.mu is held.
+// reread applies an entry of the whole list. r.mu must be held.
 func (r *Roster) reread(in fleet.Instance, now time.Time) {
 	e := r.m[in.ID]
 	switch {
@@ -70,16 +71,16 @@
 	}
 }
 
-// isCopy reports whether an entry that was read in a later era may be older than what is
-// known: it has the offset of what is known, or an earlier one. One with a later offset was written since.
+// isCopy reports whether an entry of a later era may come from the backup and be older than the
+// known one: its offset is not higher. An entry with a higher offset was written since.
 func (e *entry) isCopy(in fleet.Instance) bool {
 	return source.Era(in.Position) > source.Era(e.listed.Position) &&
 		source.Offset(in.Position) <= source.Offset(e.listed.Position) && !e.reborn(in.Born)
 }
 
-// keep keeps what is known of an instance over an entry of an older copy. It takes the entry's
-// position, as all nodes do that read the copy, so that what they tell each other of the
-// instance is compared by the same one. r.mu is held.
+// keep retains the known state of an instance over an entry of a backup. It adopts the entry's
+// position, as every node that reads the backup does, so that the changes that nodes send each
+// other are ordered by the same positions. r.mu must be held.
 func (r *Roster) keep(e *entry, in fleet.Instance) {
 	if e.outlived(in.Born) {
 		return
@@ -90,7 +91,8 @@
 	r.touch(e)
 }
 
-// list takes in an entry and returns it, or nil if it was taken in before. r.mu is held.
+// list applies a list entry and returns the instance's state. It returns nil if the entry is not
+// newer than the known one or belongs to an earlier incarnation. r.mu must be held.
 func (r *Roster) list(in fleet.Instance, now time.Time) *entry {
 	e := r.m[in.ID]
 	switch {
@@ -113,11 +115,12 @@
 	if in.Membership != e.listed.Membership || in.Model != e.listed.Model || !slices.Equal(in.Staged, e.listed.Staged) {
 		e.changed = now
 	}
-	// Every entry says how the instance stands, also one that says the same again.
+	// Every entry states the current membership, so one that repeats the previous entry still
+	// overrides an older report.
 	if e.believe(in.Membership, in.Model, in.Staged, now) {
 		r.touch(e)
 	}
-	// The number of orders is worth nothing without the membership that it was told with.
+	// The order count is valid only with the membership that it was reported with.
 	if e.belief.Membership.Key() != before {
 		e.counted = false
 	}
@@ -128,7 +131,7 @@
 	return e
 }
 
-// Confirm takes in that the list was read up to its end by a question asked at a time.
+// Confirm records that the list was read up to its end by a request sent at the given time.
 func (r *Roster) Confirm(asked time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,7 +140,7 @@
 	}
 }
 
-// Fed takes in that another node told all changes of the list as of a time.
+// Fed records that another node relayed all changes of the list as of the given time.
 func (r *Roster) Fed(asOf time.Time) {
 	r.Confirm(asOf)
 	r.mu.Lock()
@@ -147,14 +150,14 @@
 	}
 }
 
-// ListAge returns how old the knowledge of the list may be.
+// ListAge returns the maximum age of the list data in the roster.
 func (r *Roster) ListAge(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Sub(r.listAsOf)
 }
 
-// Unlisted takes in that the list no longer shows an instance as of a position.
+// Unlisted records that the list no longer contains an instance as of a position.
 func (r *Roster) Unlisted(id state.InstanceID, position int64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,7 +166,7 @@
 	}
 }
 
-// unlist notes that the list no longer shows an instance. r.mu is held.
+// unlist marks an instance as no longer in the list. r.mu must be held.
 func (r *Roster) unlist(e *entry, position int64, now time.Time) {
 	e.listed.Position = max(e.listed.Position, position)
 	if e.inList {
@@ -172,18 +175,18 @@
 	}
 }
 
-// Change is what one node tells another of an instance.
+// Change is the state of an instance as one node relays it to another.
 type Change struct {
 	fleet.Instance
-	// Unlisted tells that the list no longer shows the instance.
+	// Unlisted is set if the list no longer contains the instance.
 	Unlisted bool `json:",omitempty"`
-	// Leaving tells that the instance itself said that it will end soon.
+	// Leaving is set if the instance itself announced its shutdown.
 	Leaving bool `json:",omitempty"`
-	// Restored tells that the entry is one of an older copy of the list.
+	// Restored is set if the entry comes from a backup of the list.
 	Restored bool `json:",omitempty"`
 }
 
-// Changes returns what changed of the instances after a version, by id, and the version now.
+// Changes returns the instances that changed after a version, sorted by ID, and the current version.
 func (r *Roster) Changes(after uint64) ([]Change, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,10 +203,10 @@
 	return list, r.version
 }
 
-// Relayed takes in what another node knows of an instance, if that is newer than
-// what this node has read itself. Of an entry that this node has read too, it
-// counts only that the instance is leaving and what has become of its
-// membership: word of another node brings none back.
+// Relayed applies a change relayed by another node unless this node has read a newer entry
+// itself. If this node has read the same entry, only the draining and leaving marks and the
+// membership are updated: a relayed change never lists again an instance that this node knows
+// to be unlisted at that position.
 func (r *Roster) Relayed(c Change, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,18 +226,18 @@
 		r.unlist(e, c.Position, now)
 	case c.Position == e.listed.Position && !e.inList:
 	case c.Restored && !e.inList && known && source.Era(c.Position) > source.Era(e.listed.Position):
-		// The copy shows an entry that this node knows to have been dropped since.
+		// The backup contains an entry that this node knows to have been removed since.
 		r.keep(e, c.Instance)
 	default:
 		r.relay(c.Instance, c.Restored, e, now)
 	}
-	// An instance leaves for good, whatever this node has read of the list meanwhile.
+	// Leaving is final for an incarnation, whatever this node has read from the list since.
 	if c.Leaving {
 		r.markLeaving(e, c.Incarnation())
 	}
 }
 
-// relay takes in another node's word on an instance that is listed. r.mu is held.
+// relay applies a change relayed by another node for a listed instance. r.mu must be held.
 func (r *Roster) relay(in fleet.Instance, restored bool, e *entry, now time.Time) {
 	if e.reborn(in.Born) {
 		r.begin(e, in, now)
--- a/coordination/roster/policy.go
+++ b/coordination/roster/policy.go
@@ -2,34 +2,37 @@
 
 import "time"
 
-// Policy bounds what a Roster concludes from failures and silence.
+// Policy sets how a Roster interprets probe failures and silence.
 type Policy struct {
-	// LostFailures is how many questions in a row must fail for an instance to count
-	// as lost. One lost packet must not end a group.
-	LostFailures int `flag:"lost-failures" help:"failed questions in a row after which an instance counts as lost" min:"1" max:"100"`
-	// MinProbeSpacing is the least time between two questions that count as two.
-	MinProbeSpacing time.Duration `flag:"min-probe-spacing" help:"least time between two failed questions that count as two" min:"0s" max:"10s"`
-	// KnownAge is the age up to which a membership counts as known.
-	KnownAge time.Duration `flag:"known-age" help:"age up to which a membership counts as known" min:"100ms" max:"1m"`
-	// IndirectInterval is the least time between two questions to other nodes about an instance.
-	IndirectInterval time.Duration `flag:"indirect-interval" help:"least time between two questions to other nodes about an instance" min:"10ms" max:"1m"`
-	// UnlistedGrace is how long an instance that the list has dropped goes on taking
-	// requests. With 0.8 s a leaving instance got requests too late (docs/FINDINGS.md).
-	UnlistedGrace time.Duration `flag:"unlisted-grace" help:"how long an instance that the list has dropped goes on taking requests" min:"0s" max:"10s"`
-	// UnlistedTimeout is how long an instance may be missing in the list before it must answer questions.
-	UnlistedTimeout time.Duration `flag:"unlisted-timeout" help:"how long an instance may be missing in the list before it must answer questions" min:"0s" max:"1m"`
+	// LostFailures is how many consecutive probes must fail for an instance to count
+	// as lost. A single lost packet must not dissolve a group.
+	LostFailures int `flag:"lost-failures" help:"consecutive failed probes after which an instance counts as lost" min:"1" max:"100"`
+	// MinProbeSpacing is the minimum time between two failed probes that are counted separately.
+	MinProbeSpacing time.Duration `flag:"min-probe-spacing" help:"minimum time between two failed probes that are counted separately" min:"0s" max:"10s"`
+	// KnownAge is the maximum age at which a membership counts as known.
+	KnownAge time.Duration `flag:"known-age" help:"maximum age at which a membership counts as known" min:"100ms" max:"1m"`
+	// IndirectInterval is the minimum time between two indirect probes of an instance.
+	IndirectInterval time.Duration `flag:"indirect-interval" help:"minimum time between two probes of an instance by way of other nodes" min:"10ms" max:"1m"`
+	// UnlistedGrace is how long an instance that was removed from the list still gets
+	// requests. With 0.8 s, leaving instances got requests too late (docs/FINDINGS.md).
+	UnlistedGrace time.Duration `flag:"unlisted-grace" help:"how long an instance that was removed from the list still gets requests" min:"0s" max:"10s"`
+	// UnlistedTimeout is how long an instance that was removed from the list may go without
+	// answering before it counts as lost.
+	UnlistedTimeout time.Duration `flag:"unlisted-timeout" help:"how long an instance that was removed from the list may go without answering before it counts as lost" min:"0s" max:"1m"`
 	// GoneMargin is added to the stall time before a silent process counts as ended.
 	GoneMargin time.Duration `flag:"gone-margin" help:"time after the stall time until a silent process counts as ended" min:"0s" max:"1m"`
-	// OrderEcho is for how long after an order the state before it may still be reported.
-	OrderEcho time.Duration `flag:"order-echo" help:"how long after an order the state before it may still be reported" min:"0s" max:"1m"`
-	// ForgetAfter is how long an ended instance is remembered.
-	ForgetAfter time.Duration `flag:"forget-after" help:"how long an ended instance is remembered" min:"1s" max:"1h"`
-	// ForgetLeavingAfter is the same for an instance that was leaving: longer than such an
-	// instance serves on, so that it is not taken for a usable one when a cut ends.
-	ForgetLeavingAfter time.Duration `flag:"forget-leaving-after" help:"how long an ended instance that was leaving is remembered" min:"1s" max:"24h"`
+	// OrderEcho is how long after an order a report or list entry may still show the membership
+	// from before the order.
+	OrderEcho time.Duration `flag:"order-echo" help:"how long after an order the membership from before it may still be reported" min:"0s" max:"1m"`
+	// ForgetAfter is how long an ended instance is kept in the roster.
+	ForgetAfter time.Duration `flag:"forget-after" help:"how long an ended instance is kept in the roster" min:"1s" max:"1h"`
+	// ForgetLeavingAfter is the same for an instance that was leaving. It is longer than such an
+	// instance continues to serve, so that the instance does not count as usable when a network
+	// partition heals.
+	ForgetLeavingAfter time.Duration `flag:"forget-leaving-after" help:"how long an ended instance that was leaving is kept in the roster" min:"1s" max:"24h"`
 }
 
-// DefaultPolicy returns the policy that nodes start with.
+// DefaultPolicy returns the default policy of a node.
 func DefaultPolicy() Policy {
 	return Policy{
 		LostFailures:     2,
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -1,6 +1,5 @@
-// Package roster keeps what a node knows of the target instances: what the
-// platform's list says, what each instance reported itself, and which of them
-// no longer answer.
+// Package roster tracks the target instances known to a node: their entries in the
+// platform's instance list, their own reports, and which of them no longer answer.
 package roster
 
 import (
@@ -13,78 +12,81 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Config bounds what a Roster concludes from silence.
+// Config holds the settings of a Roster.
 type Config struct {
-	// Beat is the time between two entries that an instance writes into the list.
+	// Beat is the interval at which an instance writes its entry into the list.
 	Beat time.Duration
-	// Stall is how long a group with a dead member stands still before it says that it is broken.
+	// Stall is how long a group with a dead member stalls before it reports that it is broken.
 	Stall time.Duration
-	// ReportLag is how much older than the question what a report tells may be.
+	// ReportLag is how far the state in a report may lag behind the probe that asked for it.
 	ReportLag time.Duration
-	// Indirect tells that other nodes are asked about an instance that this one does not reach,
-	// before a planner takes it for lost.
+	// Indirect is set if instances that this node does not reach are probed by other nodes
+	// before the planner treats them as lost.
 	Indirect bool
 	Policy   Policy
 }
 
-// entry is what is known of one instance.
+// entry is the state of one instance.
 type entry struct {
 	policy   *Policy
 	listed   fleet.Instance
 	inList   bool
 	unlisted time.Time
 	seen     time.Time
-	// beat is when the list last showed a sign of life, changed when its word on the membership last changed.
+	// beat is when the last heartbeat in the list was seen; changed is when the membership, the
+	// model or the staged models in the list last changed.
 	beat    time.Time
 	changed time.Time
-	// restored tells that the entry was read from an older copy of the list, and that the
-	// instance is not known to have written since.
+	// restored is set if the entry was read from a backup of the list and no entry
+	// written since is known.
 	restored bool
-	// vouched is when an entry was read that had just been written.
+	// vouched is when a freshly written entry was last read.
 	vouched time.Time
-	// stamp is the roster's version at the newest change of what others need to know.
+	// stamp is the roster's version at the last change that other nodes need to know.
 	stamp uint64
-	// reported is when the newest report was asked for.
+	// reported is when the probe behind the newest report was sent.
 	reported time.Time
-	// belief is the newest word on the membership, the model and the staged models.
+	// belief holds the newest known membership, model, loaded model and staged models.
 	belief fleet.Instance
-	// before is the membership that the last order ended.
+	// before is the membership from before the last order.
 	before fleet.Membership
-	// orders is the number of orders taken; counted tells that it is known.
+	// orders is the number of orders accepted; counted is whether it is known.
 	orders  int64
 	counted bool
-	// heard is the last time at which the instance itself is known to have answered.
+	// heard is the send time of the last probe or request that the instance answered.
 	heard     time.Time
 	failures  int
 	suspected time.Time
-	// failing is when the first of these failures was asked.
+	// failing is when the first of the consecutive failed probes was sent.
 	failing time.Time
-	// elsewhere is what other nodes last answered about it.
+	// elsewhere is the result of the last indirect probes.
 	elsewhere elsewhere
-	// leaving tells that this life of the instance said in an answer that it will end soon,
-	// or told another node so. No entry of the list takes that back, only a later life.
+	// leaving is set if this incarnation announced its shutdown in an answer to this node
+	// or another one. Only a later incarnation clears it; a list entry does not.
 	leaving bool
-	// gone tells that its process counts as ended, replaced that this is certain.
+	// gone is set if the process counts as ended; replaced is set if that is certain, since
+	// another process answers at its address.
 	gone     bool
 	goneAt   time.Time
 	replaced bool
 	pending  bool
 	ordered  time.Time
-	// life numbers the lives of the process that were known.
+	// life is the number of the current incarnation.
 	life Life
-	// superseded is the formation that the instance last refused to join for a later one.
+	// superseded is the formation of the last order that the instance refused as superseded.
 	superseded fleet.GroupKey
 }
 
-// believe takes in what the list or a report says of the membership, as it
-// stood at a time. Word that may be older than the last order is passed over.
+// believe updates the membership and the models from the list or a report, as of the given
+// time, and reports whether that changed anything. A membership that may predate the last
+// order is ignored.
 func (e *entry) believe(m fleet.Membership, model string, staged []string, now time.Time) bool {
 	if now.Sub(e.ordered) < e.policy.OrderEcho && m == e.before && m != e.belief.Membership {
 		return false
 	}
 	loaded := model
 	if model == "" {
-		model = e.belief.Model // it is still quick to join a group of its last model
+		model = e.belief.Model // joining a group of its last model is still fast
 	}
 	if m == e.belief.Membership && model == e.belief.Model && loaded == e.belief.Loaded && slices.Equal(staged, e.belief.Staged) {
 		return false
@@ -93,36 +95,36 @@
 	return true
 }
 
-// Roster is safe for concurrent use.
+// Roster holds the state of all known instances. It is safe for concurrent use.
 type Roster struct {
 	cfg     Config
 	mu      sync.Mutex
 	m       map[state.InstanceID]*entry
 	version uint64
-	// listAsOf is when the question was asked that the list was last read whole with.
+	// listAsOf is when the request was sent that last read the list up to its end.
 	listAsOf time.Time
-	// fedAsOf is as of when another node last told what the list shows.
+	// fedAsOf is the time up to which another node has relayed all changes of the list.
 	fedAsOf time.Time
 }
 
 // New returns an empty Roster.
 func New(cfg Config) *Roster { return &Roster{cfg: cfg, m: map[state.InstanceID]*entry{}} }
 
-// Version changes with everything that can change a routing decision.
+// Version returns a number that grows with every change that can affect a routing decision.
 func (r *Roster) Version() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version
 }
 
-// touch notes that something changed of an instance. r.mu is held.
+// touch records a change of an instance. r.mu must be held.
 func (r *Roster) touch(e *entry) {
 	r.version++
 	e.stamp = r.version
 }
 
-// known reports whether an instance's membership is known as of a moment ago and
-// after since: by the list, if the instance itself has lately written its entry, or by a report.
+// known reports whether an instance's membership is known as of a recent time after since,
+// either from a freshly written list entry or from a report.
 func (r *Roster) known(e *entry, since, now time.Time) bool {
 	lately := now.Sub(e.vouched) < r.cfg.Beat+r.cfg.Beat/2
 	if e.inList && lately && r.listAsOf.After(since) && now.Sub(r.listAsOf) < r.cfg.Policy.KnownAge {
@@ -132,7 +134,7 @@
 	return stood.After(since) && now.Sub(stood) < r.cfg.Policy.KnownAge
 }
 
-// Reported takes in what an instance answered to a question asked at rep.Asked.
+// Reported records an instance's answer to a probe sent at rep.Asked.
 func (r *Roster) Reported(id state.InstanceID, rep fleet.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,7 +154,7 @@
 	r.takeReport(e, rep)
 }
 
-// takeReport updates what is known of an instance by its report. r.mu is held.
+// takeReport updates the state of an instance from its report. r.mu must be held.
 func (r *Roster) takeReport(e *entry, rep fleet.Report) {
 	stood := rep.Asked.Add(-r.cfg.ReportLag)
 	if rep.Asked.After(e.reported) {
@@ -166,8 +168,9 @@
 	}
 }
 
-// hear records a sign of life that is as old as the question; one that is older than
-// the life known may be of an earlier one.
+// hear records that the instance answered something sent at the given time. An answer to
+// something sent before the current incarnation was seen is ignored: an earlier one may
+// have given it.
 func (e *entry) hear(at time.Time, r *Roster) {
 	if e.life > 0 && at.Before(e.seen) {
 		return
@@ -183,7 +186,7 @@
 	}
 }
 
-// Heard takes in that an instance answered a request sent at a time.
+// Heard records that an instance answered a request sent at the given time.
 func (r *Roster) Heard(id state.InstanceID, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,7 +195,7 @@
 	}
 }
 
-// Failed takes in that an instance did not answer a question asked at a time.
+// Failed records that an instance did not answer a probe or request sent at the given time.
 func (r *Roster) Failed(id state.InstanceID, asked time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,7 +213,7 @@
 	}
 }
 
-// Failures returns how many questions in a row an instance has not answered.
+// Failures returns the number of consecutive failures of an instance.
 func (r *Roster) Failures(id state.InstanceID) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,7 +223,7 @@
 	return 0
 }
 
-// Replaced takes in that another process answers at an instance's address.
+// Replaced records that another process answers at an instance's address.
 func (r *Roster) Replaced(id state.InstanceID, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -235,8 +238,8 @@
 	}
 }
 
-// revive takes back that an instance has ended: it was only silent for long, as
-// behind a cut, and has written a new entry.
+// revive clears the gone mark of an instance that wrote a new entry after a long silence,
+// for example behind a network partition.
 func (r *Roster) revive(e *entry) {
 	if e.gone && !e.replaced {
 		e.gone, e.failures = false, 0
@@ -244,8 +247,8 @@
 	}
 }
 
-// Ordering records that an order to an instance is on its way, and returns the
-// life of its process that the order is for.
+// Ordering records that an order to an instance is in flight, and returns the
+// incarnation that the order is for.
 func (r *Roster) Ordering(id state.InstanceID) Life {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -257,24 +260,24 @@
 	return e.life
 }
 
-// Life numbers the lives of an instance's process that a Roster has known.
+// Life numbers the incarnations of an instance that a Roster has seen.
 type Life int
 
-// outlived reports whether what is told of a process that started at a time is of an
-// earlier life than the one known. What tells no start is taken to be of the known one.
+// outlived reports whether data of a process that started at the given time belongs to an
+// earlier incarnation than the current one. Data without a start time counts as current.
 func (e *entry) outlived(born time.Time) bool {
 	return !born.IsZero() && born.Before(e.listed.Born)
 }
 
-// reborn reports whether what is told of a process that started at a time is of a later
-// life than the one known.
+// reborn reports whether data of a process that started at the given time belongs to a later
+// incarnation than the current one.
 func (e *entry) reborn(born time.Time) bool {
 	return !e.listed.Born.IsZero() && born.After(e.listed.Born)
 }
 
-// begin has an entry begin anew with what is told of a later life of its process, which
-// holds and knows nothing of before: no membership, no count of orders, no failures. What
-// is still on its way to or from the earlier life proves nothing of this one. r.mu is held.
+// begin resets an entry for a later incarnation, which has no membership, order count or
+// failures of the earlier one. By the incarnation number and the time seen, late replies,
+// answers and failures of the earlier incarnation are ignored. r.mu must be held.
 func (r *Roster) begin(e *entry, in fleet.Instance, now time.Time) {
 	listed := e.listed
 	listed.Born, listed.Draining = in.Born, false
@@ -282,9 +285,9 @@
 	r.touch(e)
 }
 
-// Ordered records what an instance said of an order to one of its lives. What an
-// accepted order brings about is believed at once, since reports and the list tell it
-// later. The answer of an earlier life proves nothing of the one known now.
+// Ordered records an instance's reply to an order for one of its incarnations. The effect of
+// an accepted order is applied at once, since reports and the list show it only later. A
+// reply of an earlier incarnation is ignored.
 func (r *Roster) Ordered(o placement.Order, life Life, reply placement.Reply, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -323,27 +326,27 @@
 	r.touch(e)
 }
 
-// lost reports whether an instance no longer answers, as far as is known.
+// lost reports whether an instance counts as no longer answering this node.
 func (e *entry) lost(now time.Time) bool {
 	return e.gone || e.unreachable() || e.dropped(now, e.heard)
 }
 
-// unreachable reports whether this node does not reach an instance.
+// unreachable reports whether LostFailures consecutive probes of an instance failed.
 func (e *entry) unreachable() bool { return e.failures >= e.policy.LostFailures }
 
-// dropped reports whether the list has dropped an instance that was last heard at a time and has not
-// answered since.
+// dropped reports whether an instance was removed from the list and has been silent for longer
+// than UnlistedTimeout; heard is when it last answered.
 func (e *entry) dropped(now, heard time.Time) bool {
 	return !e.inList && now.Sub(e.unlisted) > e.policy.UnlistedTimeout && now.Sub(heard) > e.policy.UnlistedTimeout
 }
 
-// forgotten reports whether an instance was in no list for so long, and silent, that it need not be remembered.
+// forgotten reports whether an instance has been unlisted and silent for so long that it can be removed.
 func (e *entry) forgotten(now time.Time) bool {
 	return !e.inList && now.Sub(e.unlisted) > e.forgetAfter() && now.Sub(e.heard) > e.forgetAfter()
 }
 
-// forgetAfter returns for how long an instance that has ended is remembered: one that was
-// leaving for longer, since the list may show the same life again after a cut.
+// forgetAfter returns how long an ended instance is kept. A leaving one is kept longer, since
+// the list may show the same incarnation again after a network partition.
 func (e *entry) forgetAfter() time.Duration {
 	if e.leaving {
 		return max(e.policy.ForgetAfter, e.policy.ForgetLeavingAfter)
@@ -351,8 +354,9 @@
 	return e.policy.ForgetAfter
 }
 
-// lastBeat returns when the list last showed a sign of life. Another node that
-// reads the list tells only what changes: what it has not dropped goes on beating.
+// lastBeat returns when the list last showed a heartbeat. A node that relays the list sends
+// only changes, so an instance that it has not reported as unlisted counts as alive as of
+// fedAsOf.
 func (r *Roster) lastBeat(e *entry) time.Time {
 	if e.inList && r.fedAsOf.After(e.beat) {
 		return r.fedAsOf
@@ -360,7 +364,8 @@
 	return e.beat
 }
 
-// silent reports whether an instance has shown no sign of life for so long that its process must have ended.
+// silent reports whether an unreachable instance has shown neither a heartbeat nor an answer for
+// so long that its process must have ended.
 func (r *Roster) silent(e *entry, now time.Time) bool {
 	last := r.lastBeat(e)
 	if heard := e.lastHeard(); heard.After(last) {
@@ -369,7 +374,7 @@
 	return e.unreachable() && now.Sub(last) > r.cfg.Stall+r.cfg.Policy.GoneMargin
 }
 
-// current returns the newest word on an instance.
+// current returns the newest known state of an instance.
 func (e *entry) current() fleet.Instance {
 	in := e.listed
 	in.Draining = in.Draining || e.leaving
@@ -377,14 +382,15 @@
 	return in
 }
 
-// SetReportLag changes how much older than the question what a report tells may be.
+// SetReportLag sets Config.ReportLag.
 func (r *Roster) SetReportLag(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cfg.ReportLag = d
 }
 
-// age draws the conclusions that come with time alone.
+// age marks an instance as gone after a long silence and removes one that has been gone for
+// longer than its retention time. r.mu must be held.
 func (r *Roster) age(id state.InstanceID, e *entry, now time.Time) {
 	if !e.gone && r.silent(e, now) {
 		e.gone, e.goneAt = true, now
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -12,14 +12,14 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Times and entries of the tests.
+// Start time, list entry and membership shared by the tests.
 var (
 	start  = time.Unix(1000, 0)
 	free   = fleet.Instance{ID: "i1", Service: "lm", Position: 5}
 	member = fleet.Membership{Group: "g9", Epoch: 9, Rank: 1, State: fleet.Ready}
 )
 
-// newRoster returns a roster that has read one free instance.
+// newRoster returns a roster with one free instance read from the list.
 func newRoster() *roster.Roster {
 	r := roster.New(roster.Config{Beat: 1200 * time.Millisecond, Stall: 4 * time.Second, ReportLag: 200 * time.Millisecond, Policy: roster.DefaultPolicy()})
 	r.Listed(free, start)
@@ -32,8 +32,8 @@
 	return r.Members("lm", time.Time{}, now)[0]
 }
 
-// A process that starts again under its id knows nothing of before: what was known of
-// its earlier life is void, and what still comes from that life changes nothing.
+// A process that restarts under its ID has none of its earlier state: the state of the earlier
+// incarnation must be dropped, and late data from it must be ignored.
 func TestALaterLifeBeginsAnew(t *testing.T) {
 	first, second := start.Add(-time.Minute), start.Add(5*time.Second)
 	old := free
@@ -44,10 +44,10 @@
 		name  string
 		learn func(r *roster.Roster, now time.Time)
 	}{
-		{"by the list", func(r *roster.Roster, now time.Time) { r.Listed(next, now) }},
-		{"by the whole list", func(r *roster.Roster, now time.Time) { r.Snapshot([]fleet.Instance{next}, 10, now) }},
-		{"by another node", func(r *roster.Roster, now time.Time) { r.Relayed(roster.Change{Instance: next}, now) }},
-		{"by its own report", func(r *roster.Roster, now time.Time) { r.Reported("i1", fleet.Report{Born: second, Asked: now}) }},
+		{"from the list", func(r *roster.Roster, now time.Time) { r.Listed(next, now) }},
+		{"from the whole list", func(r *roster.Roster, now time.Time) { r.Snapshot([]fleet.Instance{next}, 10, now) }},
+		{"from another node", func(r *roster.Roster, now time.Time) { r.Relayed(roster.Change{Instance: next}, now) }},
+		{"from its own report", func(r *roster.Roster, now time.Time) { r.Reported("i1", fleet.Report{Born: second, Asked: now}) }},
 	}
 	stale := []struct {
 		name string
@@ -59,7 +59,7 @@
 			late.Position = 20
 			r.Listed(late, now)
 		}},
-		{"an older entry by another node", func(r *roster.Roster, _ roster.Life, now time.Time) {
+		{"an older entry from another node", func(r *roster.Roster, _ roster.Life, now time.Time) {
 			late := old
 			late.Position = 20
 			r.Relayed(roster.Change{Instance: late}, now)
@@ -67,10 +67,10 @@
 		{"an older report", func(r *roster.Roster, _ roster.Life, now time.Time) {
 			r.Reported("i1", fleet.Report{Born: first, Membership: member, Orders: 7, Asked: now})
 		}},
-		{"the late answer to an order", func(r *roster.Roster, life roster.Life, now time.Time) {
+		{"a late reply to an order", func(r *roster.Roster, life roster.Life, now time.Time) {
 			r.Ordered(placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key()}, life, placement.Begun, now)
 		}},
-		{"a question before it that failed", func(r *roster.Roster, _ roster.Life, _ time.Time) {
+		{"a failed probe sent before it", func(r *roster.Roster, _ roster.Life, _ time.Time) {
 			r.Failed("i1", start.Add(4*time.Second))
 			r.Failed("i1", start.Add(4500*time.Millisecond))
 		}},
@@ -91,10 +91,10 @@
 				s.tell(r, life, now.Add(10*time.Millisecond))
 				m := only(r, now.Add(20*time.Millisecond))
 				g.Expect(m.Membership).To(Equal(fleet.Membership{}), "it is in no group")
-				g.Expect(m.Lost).To(BeFalse(), "its failures are those of another life")
-				g.Expect(m.Pending).To(BeFalse(), "no order to it is on its way")
-				g.Expect(m.Model).To(BeEmpty(), "it joins no group quickly")
-				g.Expect(m.Counted && m.Orders > 0).To(BeFalse(), "its orders are counted anew")
+				g.Expect(m.Lost).To(BeFalse(), "its failures belong to another incarnation")
+				g.Expect(m.Pending).To(BeFalse(), "no order to it is in flight")
+				g.Expect(m.Model).To(BeEmpty(), "it has no model")
+				g.Expect(m.Counted && m.Orders > 0).To(BeFalse(), "its order count starts again")
 				g.Expect(m.Born).To(Equal(second))
 			})
 		}
@@ -141,7 +141,7 @@
 		known bool
 	}{
 		{"just read", 100 * time.Millisecond, true},
-		{"its next entry is late", 1900 * time.Millisecond, false},
+		{"next entry is overdue", 1900 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRoster()
@@ -161,7 +161,7 @@
 	r.Ordered(o, r.Ordering("i1"), placement.Begun, at)
 	g.Expect(only(r, at).Membership.State).To(Equal(fleet.Joining))
 	g.Expect(only(r, at).Orders).To(Equal(int64(1)))
-	// An echo from before the order does not undo it.
+	// A report of the state before the order does not undo it.
 	r.Reported("i1", fleet.Report{Asked: at.Add(50 * time.Millisecond)})
 	g.Expect(only(r, at.Add(50*time.Millisecond)).Membership.Key()).To(Equal(member.Key()))
 }
@@ -185,7 +185,7 @@
 	}{
 		{"the same entry", func() fleet.Instance { return free }, true},
 		{"an older entry", func() fleet.Instance { in := free; in.Position = 4; return in }, true},
-		{"the position at which it was dropped", func() fleet.Instance { in := free; in.Position = 6; return in }, true},
+		{"the position at which it was unlisted", func() fleet.Instance { in := free; in.Position = 6; return in }, true},
 		{"a newer entry", func() fleet.Instance { in := free; in.Position = 7; return in }, false},
 		{"a newer entry that is leaving", func() fleet.Instance { in := free; in.Position = 7; in.Draining = true; return in }, true},
 	} {
@@ -216,7 +216,7 @@
 		{"written since the last read", func(r *roster.Roster, in fleet.Instance, now time.Time) { r.Listed(in, now) }, true},
 		{"read after a pause", func(r *roster.Roster, in fleet.Instance, now time.Time) { r.Recalled(in, now) }, false},
 		{"read with the whole list", func(r *roster.Roster, in fleet.Instance, now time.Time) { r.Snapshot([]fleet.Instance{in}, 9, now) }, false},
-		{"told by another node", func(r *roster.Roster, in fleet.Instance, now time.Time) { r.Relayed(roster.Change{Instance: in}, now) }, false},
+		{"relayed by another node", func(r *roster.Roster, in fleet.Instance, now time.Time) { r.Relayed(roster.Change{Instance: in}, now) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRoster()
@@ -248,7 +248,7 @@
 	version = tell(version, 0)
 
 	again := free
-	again.Position = 7 // a beat that says the same again is not told
+	again.Position = 7 // a heartbeat without a change is not relayed
 	from.Listed(again, start.Add(time.Second))
 	version = tell(version, 0)
 
@@ -261,7 +261,7 @@
 	g.Expect(views[0].Unlisted).To(BeTrue())
 	g.Expect(views[1].Membership).To(Equal(member))
 
-	again.Position = 10 // it is back
+	again.Position = 10 // it is listed again
 	from.Listed(again, start.Add(2*time.Second))
 	tell(version, 1)
 	g.Expect(to.All(start.Add(2 * time.Second))[0].Unlisted).To(BeFalse())
@@ -278,8 +278,8 @@
 	g.Expect(views[1].Unlisted).To(BeFalse())
 }
 
-// A node that takes placing over has been told of the list by another one, which
-// tells only changes: it must not take the instances for silent.
+// A new leader has received the list from another node, which relays only changes. It must
+// not treat instances without a change as silent.
 func TestInstancesThatAnotherNodeListsAreNotDoubted(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
@@ -293,8 +293,8 @@
 	g.Expect(r.Doubtful(now)).To(HaveLen(1))
 }
 
-// An instance that was silent for long behind a cut counts again with its next
-// entry; one whose address has gone to another process does not.
+// An instance that was silent for long behind a network partition counts as alive again with
+// its next entry; one whose address another process has taken over does not.
 func TestAnInstanceThatWritesAgainHasNotEnded(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -323,8 +323,8 @@
 	}
 }
 
-// An instance that says it will end soon does so in its answers; entries and what other
-// nodes tell may still say for seconds that it is ready.
+// An instance announces its shutdown in its answers. List entries and changes relayed by other
+// nodes may still show it as ready for seconds; they must not clear the leaving mark.
 func TestNothingButALaterLifeTakesBackThatAnInstanceLeaves(t *testing.T) {
 	born := start.Add(-time.Minute)
 	old := free
@@ -340,18 +340,18 @@
 		leaving bool
 	}{
 		{"nothing", old.Incarnation(), func(*roster.Roster, time.Time) {}, true},
-		{"a life that tells no start", fleet.Incarnation{ID: "i1"}, func(*roster.Roster, time.Time) {}, true},
-		{"an earlier life", fleet.LifeSince("i1", born.Add(-time.Second)), func(*roster.Roster, time.Time) {}, false},
+		{"an incarnation without a start time", fleet.Incarnation{ID: "i1"}, func(*roster.Roster, time.Time) {}, true},
+		{"an earlier incarnation", fleet.LifeSince("i1", born.Add(-time.Second)), func(*roster.Roster, time.Time) {}, false},
 		{"a newer entry", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Listed(newer, now) }, true},
 		{"the whole list", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Snapshot([]fleet.Instance{newer}, 10, now) }, true},
 		{"another node", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Relayed(roster.Change{Instance: newer}, now) }, true},
 		{"its report", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Reported("i1", fleet.Report{Born: born, Asked: now}) }, true},
-		{"an entry that was gone", old.Incarnation(), func(r *roster.Roster, now time.Time) {
+		{"listed again after it was unlisted", old.Incarnation(), func(r *roster.Roster, now time.Time) {
 			r.Unlisted("i1", 8, now)
 			r.Listed(newer, now.Add(time.Minute))
 		}, true},
-		{"a later life", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Listed(next, now) }, false},
-		{"a later life, by its report", old.Incarnation(), func(r *roster.Roster, now time.Time) {
+		{"a later incarnation", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Listed(next, now) }, false},
+		{"a later incarnation, from its report", old.Incarnation(), func(r *roster.Roster, now time.Time) {
 			r.Reported("i1", fleet.Report{Born: next.Born, Asked: now})
 		}, false},
 	} {
@@ -359,8 +359,8 @@
 			g := NewWithT(t)
 			r := newRoster()
 			r.Listed(old, start)
-			g.Expect(r.MarkLeaving(c.marked)).To(Equal(c.name != "an earlier life"))
-			g.Expect(r.MarkLeaving(c.marked)).To(BeFalse(), "it is known")
+			g.Expect(r.MarkLeaving(c.marked)).To(Equal(c.name != "an earlier incarnation"))
+			g.Expect(r.MarkLeaving(c.marked)).To(BeFalse(), "it is marked already")
 			now := start.Add(5 * time.Second)
 			c.tell(r, now)
 			g.Expect(only(r, now).Draining).To(Equal(c.leaving))
@@ -371,7 +371,7 @@
 	}
 }
 
-// A node that has read newer entries of the list still counts what another was told.
+// A relayed leaving mark is applied even by a node that has read a newer list entry.
 func TestAnotherNodeIsToldThatAnInstanceLeaves(t *testing.T) {
 	g := NewWithT(t)
 	r, other := newRoster(), newRoster()
@@ -387,7 +387,7 @@
 	g.Expect(other.All(start)[0].Draining).To(BeTrue())
 }
 
-// A cut that ends may show an instance again that was leaving before it began.
+// After a network partition the list may show an instance again that was leaving before it.
 func TestALeavingInstanceIsRememberedForLonger(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -409,8 +409,8 @@
 	}
 }
 
-// The list came back from an older copy: a record of it may be older than what is known of
-// its instance, and one that is missing may have come after the copy was made.
+// The list was restored from a backup: an entry may be older than the known state of its
+// instance, and a missing entry may have been written after the backup was made.
 func TestAnOlderCopyOfTheListTakesNothingBack(t *testing.T) {
 	at := func(era, offset int64, change func(*fleet.Instance)) fleet.Instance {
 		in := free
@@ -425,7 +425,7 @@
 	known := at(1, 20, joined)
 	for _, c := range []struct {
 		name string
-		// before is what was known of the instance, after what was read later on.
+		// before sets the state before the backup is read, after applies what is read later.
 		before func(r *roster.Roster)
 		copied []fleet.Instance
 		after  func(r *roster.Roster, now time.Time)
@@ -433,47 +433,47 @@
 		leaves bool
 		gone   bool
 	}{
-		{name: "an older record", copied: []fleet.Instance{at(2, 10, nil)}, want: member},
-		{name: "the same record", copied: []fleet.Instance{at(2, 20, joined)}, want: member},
-		{name: "no record", want: member},
-		{name: "a record with a later offset, written since", copied: []fleet.Instance{at(2, 25, nil)}},
-		{name: "an older record, then one written since at a lower offset", copied: []fleet.Instance{at(2, 10, nil)}, want: fleet.Membership{},
+		{name: "an older entry", copied: []fleet.Instance{at(2, 10, nil)}, want: member},
+		{name: "the same entry", copied: []fleet.Instance{at(2, 20, joined)}, want: member},
+		{name: "no entry", want: member},
+		{name: "an entry with a higher offset, written since", copied: []fleet.Instance{at(2, 25, nil)}},
+		{name: "an older entry, then one written since at a lower offset", copied: []fleet.Instance{at(2, 10, nil)}, want: fleet.Membership{},
 			after: func(r *roster.Roster, now time.Time) { r.Listed(at(2, 12, nil), now) }},
-		{name: "it was leaving, the copy says that it is not", copied: []fleet.Instance{at(2, 10, nil)}, want: member, leaves: true,
+		{name: "it was leaving, not leaving in the backup", copied: []fleet.Instance{at(2, 10, nil)}, want: member, leaves: true,
 			before: func(r *roster.Roster) {
 				r.Listed(at(1, 21, func(in *fleet.Instance) { joined(in); drains(in) }), start)
 			}},
-		{name: "the copy says that it leaves", copied: []fleet.Instance{at(2, 10, drains)}, want: member, leaves: true},
-		{name: "it was gone, the copy shows it", copied: []fleet.Instance{at(2, 10, nil)}, want: member, leaves: true, gone: true,
+		{name: "leaving in the backup", copied: []fleet.Instance{at(2, 10, drains)}, want: member, leaves: true},
+		{name: "it was unlisted, listed in the backup", copied: []fleet.Instance{at(2, 10, nil)}, want: member, leaves: true, gone: true,
 			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) }},
-		{name: "it was gone, the copy shows it, also when all is read again", copied: []fleet.Instance{at(2, 10, nil)}, want: member, leaves: true, gone: true,
+		{name: "it was unlisted, listed in the backup, whole list read again", copied: []fleet.Instance{at(2, 10, nil)}, want: member, leaves: true, gone: true,
 			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) },
 			after: func(r *roster.Roster, now time.Time) {
 				r.Snapshot([]fleet.Instance{at(2, 10, nil)}, source.Position(2, 11), now)
 			}},
-		{name: "it was gone, and writes again", copied: []fleet.Instance{at(2, 10, nil)},
+		{name: "it was unlisted, then writes again", copied: []fleet.Instance{at(2, 10, nil)},
 			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) },
 			after:  func(r *roster.Roster, now time.Time) { r.Listed(at(2, 11, nil), now) }},
-		{name: "no record, also when all is read again", want: member, leaves: true, gone: true,
+		{name: "no entry, whole list read again", want: member, leaves: true, gone: true,
 			after: func(r *roster.Roster, now time.Time) { r.Snapshot(nil, source.Position(2, 11), now) }},
-		{name: "no record, then one at the next offset", want: fleet.Membership{},
+		{name: "no entry, then one at the next offset", want: fleet.Membership{},
 			after: func(r *roster.Roster, now time.Time) {
 				r.Snapshot(nil, source.Position(2, 11), now)
 				r.Listed(at(2, 11, nil), now)
 			}},
-		{name: "a second copy during the first", copied: []fleet.Instance{at(2, 10, nil)}, want: member,
+		{name: "a second backup during the first", copied: []fleet.Instance{at(2, 10, nil)}, want: member,
 			after: func(r *roster.Roster, now time.Time) { r.Restore([]fleet.Instance{at(3, 8, nil)}, now) }},
-		{name: "told by a node that knows only the copy", copied: nil, want: fleet.Membership{}, leaves: true,
+		{name: "relayed by a node that knows only the backup", copied: nil, want: fleet.Membership{}, leaves: true,
 			before: func(r *roster.Roster) { r.Listed(at(1, 21, drains), start) },
 			after: func(r *roster.Roster, now time.Time) {
 				r.Relayed(roster.Change{Instance: at(2, 10, nil), Restored: true}, now)
 			}},
-		{name: "gone, told by a node that knows only the copy", copied: nil, want: member, leaves: true, gone: true,
+		{name: "unlisted, relayed by a node that knows only the backup", copied: nil, want: member, leaves: true, gone: true,
 			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) },
 			after: func(r *roster.Roster, now time.Time) {
 				r.Relayed(roster.Change{Instance: at(2, 10, nil), Restored: true}, now)
 			}},
-		{name: "told by a node that speaks of the era before", copied: []fleet.Instance{at(2, 10, nil)}, want: member,
+		{name: "relayed by a node of the previous era", copied: []fleet.Instance{at(2, 10, nil)}, want: member,
 			after: func(r *roster.Roster, now time.Time) { r.Relayed(roster.Change{Instance: at(1, 30, drains)}, now) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/coordination/roster/view.go
+++ b/coordination/roster/view.go
@@ -10,7 +10,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Members returns the instances of a service, by id, as a planner sees them that has planned since a time.
+// Members returns the instances of a service for the planner, sorted by ID. A membership counts
+// as known only from data newer than since.
 func (r *Roster) Members(service state.ServiceName, since, now time.Time) []placement.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,8 +39,8 @@
 	return list
 }
 
-// Doubtful returns the instances that should be asked whether they still live:
-// those whose entries have stopped, and those that failed to answer.
+// Doubtful returns the instances that should be probed: those whose heartbeats have stopped
+// and those with probe failures.
 func (r *Roster) Doubtful(now time.Time) []fleet.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,15 +55,15 @@
 	return list
 }
 
-// View is one instance as the request path sees it.
+// View is the state of one instance for request routing.
 type View struct {
 	fleet.Instance
-	// Lost tells that it does not answer, Unlisted that the list no longer shows it.
+	// Lost is set if the instance does not answer, Unlisted if it is no longer in the list.
 	Lost     bool
 	Unlisted bool
 }
 
-// All returns every instance that has not ended, by id.
+// All returns every instance that has not ended, sorted by ID.
 func (r *Roster) All(now time.Time) []View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +84,7 @@
 	return list
 }
 
-// Get returns what is known of one instance.
+// Get returns the state of one instance, and false if it is unknown or has ended.
 func (r *Roster) Get(id state.InstanceID, now time.Time) (View, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
