--- a/coordination/evidence/evidence.go
+++ b/coordination/evidence/evidence.go
@@ -1,5 +1,5 @@
-// Package evidence holds what target instances have themselves reported, and
-// decides from it whether a replica group is whole.
+// Package evidence holds the reports of target instances and decides from them
+// whether a replica group is complete.
 package evidence
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Phase is how far an instance has come with its order.
+// Phase is an instance's progress in carrying out its order.
 type Phase string
 
 // The phases that an instance reports.
@@ -20,22 +20,22 @@
 	PhaseIdle    Phase = "idle"
 	PhaseLoading Phase = "loading"
 	PhaseReady   Phase = "ready"
-	// PhaseDown is noted by a prober that found nothing listening at the instance's address.
+	// PhaseDown is set by a prober when nothing listens at the instance's address.
 	PhaseDown Phase = "down"
 )
 
-// Load is what an instance said of its work, already old when it was said.
+// Load is the load that an instance reported. It may be out of date even when it is reported.
 type Load struct {
 	Held   int
 	Tokens int64
-	// Slots is the greatest number of requests the engine batches.
+	// Slots is the maximum number of requests in a batch of the engine.
 	Slots int
 }
 
-// Report is what an instance said of itself.
+// Report is the state that an instance reports in answer to a probe.
 type Report struct {
 	Instance state.InstanceID
-	// Incarnation changes whenever the instance's process starts anew.
+	// Incarnation changes whenever the instance's process restarts.
 	Incarnation string
 	Group       state.GroupName
 	Epoch       state.Epoch
@@ -45,16 +45,16 @@
 	Load        Load
 }
 
-// Entry is a report and the time at which the question behind it was asked.
+// Entry is a report and the time at which its probe was sent.
 type Entry struct {
 	Report
 	Asked time.Time
 }
 
-// shardCount is the number of independently locked parts of a Table.
+// shardCount is the number of shards of a Table.
 const shardCount = 16
 
-// Table holds the newest report of each instance, in shards under their own locks.
+// Table holds the newest report of each instance, in separately locked shards.
 type Table struct {
 	shards [shardCount]shard
 	mu     sync.Mutex
@@ -75,12 +75,13 @@
 	return t
 }
 
-// shard returns the part of the table that holds an instance.
+// shard returns the shard that holds an instance.
 func (t *Table) shard(id state.InstanceID) *shard {
 	return &t.shards[xxhash.Sum64String(string(id))%shardCount]
 }
 
-// Observe takes in a report whose question was asked at a time; an older one than that held is dropped.
+// Observe records a report whose probe was sent at asked. It is dropped unless it is newer than
+// the report held.
 func (t *Table) Observe(r Report, asked time.Time) {
 	s := t.shard(r.Instance)
 	s.mu.Lock()
@@ -100,7 +101,7 @@
 	return e, ok
 }
 
-// SetListed replaces the instances that the platform's list calls leaving.
+// SetListed sets the instances that are leaving according to the platform's list.
 func (t *Table) SetListed(leaving []state.InstanceID) {
 	m := make(map[state.InstanceID]bool, len(leaving))
 	for _, id := range leaving {
@@ -111,7 +112,7 @@
 	t.listed = m
 }
 
-// Leaving reports whether the list or the instance itself says that it is leaving.
+// Leaving reports whether an instance is leaving according to the list or its own report.
 func (t *Table) Leaving(id state.InstanceID) bool {
 	t.mu.Lock()
 	listed := t.listed[id]
@@ -123,32 +124,32 @@
 	return ok && e.Leaving
 }
 
-// Fault says why a group is not whole.
+// Fault is the reason why a member does not match its group.
 type Fault struct {
 	Instance state.InstanceID
 	Detail   string
 }
 
-// Error names the instance and what is wrong with it.
+// Error returns the instance and the reason.
 func (f *Fault) Error() string { return fmt.Sprintf("%s: %s", f.Instance, f.Detail) }
 
-// Wholeness is what the evidence says of a group.
+// Wholeness is the result of judging a group by the evidence.
 type Wholeness struct {
-	// Until is when the oldest evidence runs out; the zero time when a member does not match.
+	// Until is when the oldest evidence expires. It is zero if a member does not match.
 	Until time.Time
-	// Faults names every member that does not match, or whose evidence has run out.
+	// Faults lists every member that does not match or whose evidence has expired.
 	Faults []Fault
-	// Leaving is set when a member is leaving: no new request may go to the group.
+	// Leaving is set if a member is leaving. The group must not get new requests then.
 	Leaving bool
-	// Identity changes whenever a member was started anew.
+	// Identity changes whenever a member restarts.
 	Identity uint64
 	// Leader is the report of rank 0.
 	Leader Report
 }
 
-// Judge decides whether every member has itself reported the group and its
-// epoch, and until when that evidence may be used. It does not allocate while
-// the group is whole.
+// Judge decides whether every member has reported the group and its epoch, and
+// until when that evidence is valid. It does not allocate while the group is
+// complete.
 func (t *Table) Judge(g *state.Group, now time.Time, window time.Duration) Wholeness {
 	w := Wholeness{Identity: uint64(g.Epoch)}
 	for rank, id := range g.Members {
@@ -173,7 +174,7 @@
 	return w
 }
 
-// JudgeInstance decides whether an instance outside any group has reported itself ready.
+// JudgeInstance decides whether an instance outside any group has reported that it is ready.
 func (t *Table) JudgeInstance(id state.InstanceID, now time.Time, window time.Duration) Wholeness {
 	e, ok := t.Get(id)
 	var detail string
@@ -196,10 +197,10 @@
 	}
 }
 
-// prime mixes the incarnations of the members in their order.
+// prime is the multiplier that makes Identity depend on the order of the members' incarnations.
 const prime = 1099511628211
 
-// mismatch says what is wrong with a member, or "".
+// mismatch describes why a member does not match the group, or returns "".
 func mismatch(g *state.Group, rank int, e Entry, ok bool, now time.Time, window time.Duration) string {
 	if g.Members[rank] == "" {
 		return "the seat is vacant"
@@ -213,7 +214,7 @@
 	return Mismatch(g, rank, e.Report)
 }
 
-// Mismatch says in what a report differs from the member's order, or "".
+// Mismatch describes how a report differs from the member's order, or returns "".
 func Mismatch(g *state.Group, rank int, r Report) string {
 	if r.Phase == PhaseDown {
 		return "nothing listens at its address"
--- a/coordination/evidence/evidence_test.go
+++ b/coordination/evidence/evidence_test.go
@@ -19,10 +19,10 @@
 
 var epoch = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// pair is a group of two in epoch 5.
+// pair is a group with two members in epoch 5.
 var pair = &state.Group{Name: "g", Epoch: 5, Members: []state.InstanceID{"a", "b"}}
 
-// ready returns the report of a member that obeys its order.
+// ready returns the report of a member that is ready in its ordered group, epoch and rank.
 func ready(id state.InstanceID, rank int) evidence.Report {
 	return evidence.Report{Instance: id, Incarnation: "1", Group: "g", Epoch: 5, Rank: rank, Phase: evidence.PhaseReady}
 }
@@ -39,10 +39,10 @@
 		age   time.Duration
 		whole bool
 	}{
-		{"all there", ready("b", 1), 0, true},
+		{"complete", ready("b", 1), 0, true},
 		{"just inside the window", ready("b", 1), window - time.Millisecond, true},
-		{"evidence of the window's age", ready("b", 1), window, false},
-		{"an older epoch, as after a stale order", change(func(r *evidence.Report) { r.Epoch = 4 }), 0, false},
+		{"exactly the window's age", ready("b", 1), window, false},
+		{"an older epoch, after a stale order", change(func(r *evidence.Report) { r.Epoch = 4 }), 0, false},
 		{"another group", change(func(r *evidence.Report) { r.Group = "h" }), 0, false},
 		{"another rank", change(func(r *evidence.Report) { r.Rank = 0 }), 0, false},
 		{"still loading", change(func(r *evidence.Report) { r.Phase = evidence.PhaseLoading }), 0, false},
@@ -90,7 +90,7 @@
 	g.Expect(e.Epoch).To(Equal(state.Epoch(5)))
 }
 
-// TestJudgeAllocations bounds what judging a whole group of 16 allocates.
+// Judging a complete group of 16 members must not allocate.
 func TestJudgeAllocations(t *testing.T) {
 	g := NewWithT(t)
 	table := evidence.NewTable()
@@ -118,10 +118,9 @@
 	g.Expect(table.Judge(pair, epoch, window).Leaving).To(BeTrue())
 }
 
-// TestEvidenceNeverLooksYounger lets one node probe and another learn from it,
-// with pauses anywhere between question and answer. What the second node holds
-// must never claim to be newer than the first node's own question, and a report
-// that it holds must be one that the instance gave at that time.
+// One node probes and another one merges its feed, with delays at any point between request
+// and response. The second node's evidence must never look newer than the first node's probe,
+// and each of its reports must be one that the instance gave to such a probe.
 func TestEvidenceNeverLooksYounger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := epoch
@@ -165,7 +164,7 @@
 	})
 }
 
-// checkAges fails if an entry is younger than every question that got its report.
+// checkAges fails if an entry is newer than every probe that returned its report.
 func checkAges(t *rapid.T, table *evidence.Table, truth map[state.InstanceID][]evidence.Entry) {
 	for id, list := range truth {
 		e, ok := table.Get(id)
@@ -177,12 +176,12 @@
 			proved = proved || (real.Report == e.Report && !e.Asked.After(real.Asked))
 		}
 		if !proved {
-			t.Fatalf("%s: held %+v, truth %+v", id, e, list)
+			t.Fatalf("%s: table has %+v, probes returned %+v", id, e, list)
 		}
 	}
 }
 
-// TestFeedTellsOnlyWhatChanged bounds what a peer gets while nothing changes.
+// While nothing changes, a peer gets no report again, only the time of the oldest probe.
 func TestFeedTellsOnlyWhatChanged(t *testing.T) {
 	g := NewWithT(t)
 	feed := evidence.NewFeed()
--- a/coordination/evidence/feed.go
+++ b/coordination/evidence/feed.go
@@ -7,15 +7,15 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Feed holds the reports that a node has itself asked for, numbered by change,
-// so that peers can be told only what is new to them.
+// Feed holds the reports that a node has got by its own probes, with a version for each
+// change, so that a peer can be sent only what is new to it.
 type Feed struct {
 	mu      sync.Mutex
 	version uint64
 	own     map[state.InstanceID]*fed
 }
 
-// fed is one own report; lost is set once it has become too old or is no longer asked for.
+// fed is one report; lost is set once it has expired.
 type fed struct {
 	report  Report
 	asked   time.Time
@@ -23,10 +23,10 @@
 	lost    bool
 }
 
-// Delta is what a peer that has seen a version does not know yet.
+// Delta holds the changes of a Feed since a version.
 type Delta struct {
 	Version uint64
-	// Confirmed is when the oldest question behind any report that is not lost was asked.
+	// Confirmed is the send time of the oldest probe behind any report that is not lost.
 	Confirmed time.Time
 	Changed   []Entry
 	Lost      []state.InstanceID
@@ -35,7 +35,7 @@
 // NewFeed returns an empty Feed.
 func NewFeed() *Feed { return &Feed{own: map[state.InstanceID]*fed{}} }
 
-// Observe takes in a report that the node itself has asked for.
+// Observe records a report whose probe this node sent at asked.
 func (f *Feed) Observe(r Report, asked time.Time) {
 	if r.Rank != 0 || r.Group == "" {
 		r.Load = Load{}
@@ -54,7 +54,7 @@
 	e.report, e.asked, e.lost = r, asked, false
 }
 
-// Expire marks every report asked for before a time as lost.
+// Expire marks every report whose probe was sent before a time as lost.
 func (f *Feed) Expire(before time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// Since returns what has changed after a version; 0 returns everything.
+// Since returns the changes after a version. Version 0 returns everything.
 func (f *Feed) Since(version uint64) Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,30 +88,28 @@
 	return d
 }
 
-// Mirror is what a node has learnt from one peer's Feed.
+// Mirror is a node's copy of one peer's Feed.
 type Mirror struct {
 	Incarnation string
 	Version     uint64
-	// Ledger is the version of the peer's ledger of endings that this node has.
+	// Ledger is the version of the peer's ledger of instance endings that this node has.
 	Ledger  uint64
 	reports map[state.InstanceID]Report
 }
 
-// Follow begins anew if the peer's process is another than the one that the mirror was of.
+// Follow resets the mirror if the peer has another incarnation than the mirrored one.
 func (m *Mirror) Follow(incarnation string) {
 	if m.reports == nil || m.Incarnation != incarnation {
 		*m = Mirror{Incarnation: incarnation, reports: map[state.InstanceID]Report{}}
 	}
 }
 
-// Merge takes a Delta into the mirror and the table.
+// Merge applies a Delta to the mirror and the table and returns the reports that it applied.
 //
-// asked is when this node asked the peer, by its own clock; confirmed is how
-// old the peer said its oldest unchanged evidence was. Counting the age back
-// from the question, not from the answer, can only make evidence look older
-// than it is.
-//
-// It returns the reports that were taken in.
+// asked is when this node sent its request to the peer, by its own clock. ages are the
+// ages of the changed reports at the peer, and confirmed is the age of the oldest
+// evidence there. The ages are subtracted from the time of the request, not of the
+// response: evidence can only look older than it is, never newer.
 func (m *Mirror) Merge(t *Table, incarnation string, d Delta, asked time.Time, confirmed time.Duration, ages []time.Duration) []Report {
 	m.Follow(incarnation)
 	m.Version = d.Version
--- a/coordination/localhealth/localhealth_test.go
+++ b/coordination/localhealth/localhealth_test.go
@@ -20,9 +20,9 @@
 		delayed bool
 	}{
 		{"on time", 10 * time.Millisecond, -100 * time.Millisecond, 10 * time.Millisecond, false},
-		{"late after the question", 90 * time.Millisecond, -100 * time.Millisecond, time.Second, true},
-		{"late just before the question", 90 * time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond, true},
-		{"late long before the question", 90 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond, false},
+		{"late after the probe", 90 * time.Millisecond, -100 * time.Millisecond, time.Second, true},
+		{"late just before the probe", 90 * time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond, true},
+		{"late long before the probe", 90 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var m localhealth.Monitor
@@ -53,8 +53,8 @@
 		overran bool
 	}{
 		{"before its deadline", -time.Millisecond, false},
-		{"a moment after it", 3 * time.Millisecond, false},
-		{"long after it", 20 * time.Millisecond, true},
+		{"shortly after its deadline", 3 * time.Millisecond, false},
+		{"long after its deadline", 20 * time.Millisecond, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			NewWithT(t).Expect(localhealth.Overran(start, start.Add(c.after))).To(Equal(c.overran))
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership knows the other entry nodes: where they are, what they
-// last said of themselves, and which of them a piece of shared work falls to.
+// Package membership tracks the other entry nodes: their addresses, their latest
+// status reports, and which of them owns a piece of shared work.
 package membership
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Node is what an entry node last said of itself.
+// Node is the latest status report of an entry node.
 type Node struct {
 	Name        string
 	Hall        state.HallName
@@ -23,19 +23,19 @@
 	Applied     state.Offset
 	Ready       bool
 	Stopping    bool
-	// LogAge is how long before SaidAt the node last held all that the log held.
+	// LogAge is how long before SaidAt the node was last up to date with the log.
 	LogAge time.Duration
-	// Held is the number of requests in progress.
+	// Held is the number of requests in flight.
 	Held int
-	// Demand is the number of requests a second that came in, smoothed.
+	// Demand is the smoothed rate of incoming requests per second.
 	Demand int
 	// Models are the models and services that the node can serve in its own hall.
 	Models []string
-	// SaidAt is when the question that it answered was asked, by the receiver's clock.
+	// SaidAt is when the request for this report was sent, by the receiver's clock.
 	SaidAt time.Time
 }
 
-// Directory holds the known nodes; the zero value is not usable.
+// Directory holds the known nodes. Use NewDirectory to create one.
 type Directory struct {
 	self     Node
 	liveness time.Duration
@@ -45,13 +45,14 @@
 	suspects map[string]time.Time
 }
 
-// heldWord is what a node has itself said of the requests that it holds, with what it said of itself then.
+// heldWord is a node's own count of its requests in flight by group, with the status report that came with it.
 type heldWord struct {
 	node Node
 	held map[state.GroupName]int
 }
 
-// NewDirectory returns a Directory for a node; a peer silent for longer than liveness counts as gone.
+// NewDirectory returns a Directory for a node. A peer in the same hall that is silent for longer
+// than liveness does not count as live.
 func NewDirectory(self Node, liveness time.Duration) *Directory {
 	return &Directory{
 		self:     self,
@@ -65,7 +66,7 @@
 // Self returns the node's own name, hall, address and incarnation.
 func (d *Directory) Self() Node { return d.self }
 
-// Learn takes in what a node said, unless something newer is held.
+// Learn records a status report unless a newer one of the same node is known.
 func (d *Directory) Learn(n Node) {
 	if n.Name == "" || n.Name == d.self.Name {
 		return
@@ -78,17 +79,17 @@
 	d.nodes[n.Name] = n
 }
 
-// Introduce takes in a node that has called, if it was not known: it may be asked from then on.
+// Introduce adds a node that called this one, so that its status can be requested.
 //
-// What a caller says of itself is not dated by a question of ours, so it
-// neither renews a node that is known nor makes the new one count as live.
+// The caller's data has no request time by this node's clock, so it neither
+// refreshes a known node nor makes a new one count as live.
 func (d *Directory) Introduce(n Node) {
 	n.SaidAt = time.Time{}
 	n.Applied, n.Ready, n.Models = 0, false, nil
 	d.Learn(n)
 }
 
-// LearnHeld takes in what a node has itself said of the requests that it holds for each group.
+// LearnHeld records a status report that came from the node itself, with its requests in flight by group.
 func (d *Directory) LearnHeld(n Node, held map[state.GroupName]int) {
 	d.Learn(n)
 	d.mu.Lock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// Known returns all nodes ever heard of except the node itself, by name.
+// Known returns all known nodes except the node itself, sorted by name.
 func (d *Directory) Known() []Node {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -110,11 +111,11 @@
 	return list
 }
 
-// farLiveness is how many times longer a node of another hall may be silent: it
-// is heard of only now and then, by way of one node of this hall.
+// farLiveness is the factor by which the liveness timeout is longer for a node of another
+// hall: its status reports arrive less often, relayed by one node of this hall.
 const farLiveness = 3
 
-// Live returns the peers of a hall heard of lately, or of all halls for an empty name.
+// Live returns the live peers of a hall, or of all halls if hall is empty.
 func (d *Directory) Live(hall state.HallName, now time.Time) []Node {
 	return slices.DeleteFunc(d.Known(), func(n Node) bool {
 		limit := d.liveness
@@ -125,14 +126,14 @@
 	})
 }
 
-// Suspect notes that a node could not be reached; it does not count as live until it is heard of anew.
+// Suspect records that a node could not be reached. It does not count as live until a newer status report.
 func (d *Directory) Suspect(name string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.suspects[name] = now
 }
 
-// suspected reports whether a node could not be reached after it was last heard of.
+// suspected reports whether a node could not be reached since its latest status report.
 func (d *Directory) suspected(n Node) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -149,17 +150,18 @@
 	return names
 }
 
-// Mine reports whether a piece of the hall's work falls to this node.
+// Mine reports whether this node owns a piece of the hall's work.
 func (d *Directory) Mine(key string, now time.Time) bool {
 	return Owner(key, d.HallNames(now)) == d.self.Name
 }
 
-// ClearedOf reports whether every node of the hall has applied an offset and holds no request of a group.
+// ClearedOf reports whether every other node of the group's hall has applied the group's drain
+// and has no request of the group in flight.
 //
-// Only the node's own word counts, with the offset that it had applied when it
-// gave it: what others relay may be newer than the count of its requests. A node
-// that has fallen silent blocks for as long as gone, since it may still be at
-// work on a request; after that its connections count as closed.
+// Only a report from the node itself counts, with the offset that it had applied at
+// that time: a relayed report may be newer than the count of its requests. A silent
+// node blocks for as long as gone, since it may still be working on a request. After
+// that its connections count as closed.
 func (d *Directory) ClearedOf(g *state.Group, now time.Time, gone time.Duration) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -175,7 +177,7 @@
 	return true
 }
 
-// Owner names the one of several nodes to which a key falls, by rendezvous hashing.
+// Owner returns the node that owns a key, chosen by rendezvous hashing.
 func Owner(key string, names []string) string {
 	var best string
 	var most uint64
@@ -192,12 +194,12 @@
 	return best
 }
 
-// Split divides whole places over nodes by their demand and returns the part of one of them.
+// Split divides whole places among nodes by their demand and returns the share of one node.
 //
-// Every node computes the same division from the same demands; the parts add up
-// to the whole exactly. Where there are enough places, every node has one, and
-// about half an even part at least: the balancer may send the next burst to a
-// node that had no demand until now.
+// Every node computes the same division from the same demands, and the shares add up
+// to whole exactly. If there are enough places, every node gets at least one, and at
+// least about half of an equal share: the load balancer may send the next burst to a
+// node that had no demand before.
 func Split(whole int, demand map[string]int, name string) int {
 	names := make([]string, 0, len(demand))
 	total := 0
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -15,7 +15,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// TestSplitAddsUpToTheWhole holds for any places and demands.
+// The shares add up to the whole for any number of places and any demands.
 func TestSplitAddsUpToTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := rapid.MapOfN(rapid.StringMatching(`n[0-9]{1,3}`), rapid.IntRange(0, 1000), 1, 60).Draw(t, "demand")
@@ -28,14 +28,14 @@
 				none++
 			}
 			if part < whole/(2*len(demand)) {
-				t.Fatalf("%s has %d of %d places, less than half an even part", name, part, whole)
+				t.Fatalf("%s has %d of %d places, less than half of an equal share", name, part, whole)
 			}
 		}
 		if sum != whole {
-			t.Fatalf("the parts add up to %d of %d", sum, whole)
+			t.Fatalf("shares add up to %d, want %d", sum, whole)
 		}
 		if whole >= len(demand) && none > 0 {
-			t.Fatalf("%d nodes have no place of %d", none, whole)
+			t.Fatalf("%d nodes got none of %d places", none, whole)
 		}
 	})
 }
@@ -71,9 +71,9 @@
 		cleared bool
 	}{
 		{"applied and idle", membership.Node{Applied: 10, SaidAt: now}, 0, true},
-		{"still has a request", membership.Node{Applied: 10, SaidAt: now}, 1, false},
+		{"request in flight", membership.Node{Applied: 10, SaidAt: now}, 1, false},
 		{"has not applied the drain", membership.Node{Applied: 9, SaidAt: now}, 0, false},
-		{"silent, so perhaps at work", membership.Node{Applied: 10, SaidAt: now.Add(-3 * time.Second)}, 0, false},
+		{"silent, may still be working on a request", membership.Node{Applied: 10, SaidAt: now.Add(-3 * time.Second)}, 0, false},
 		{"gone", membership.Node{Applied: 9, SaidAt: now.Add(-time.Minute)}, 1, true},
 		{"of another hall", membership.Node{Hall: "other", Applied: 0, SaidAt: now}, 0, true},
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestClearedOfTrustsOnlyTheNodesOwnWord covers what others relay of a node:
-// that it has applied the drain, while its requests were counted before it had.
+// A relayed report may show that a node has applied the drain although its requests in
+// flight were counted before that. It must not make the group count as cleared.
 func TestClearedOfTrustsOnlyTheNodesOwnWord(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
@@ -103,7 +103,7 @@
 	d.LearnHeld(membership.Node{Name: "n", Hall: "h", Applied: 10, SaidAt: now}, nil)
 	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeTrue())
 	d.Learn(membership.Node{Name: "m", Hall: "h", Applied: 10, SaidAt: now})
-	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeFalse(), "m has never said what it holds")
+	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeFalse(), "m has not reported its requests in flight")
 }
 
 func TestLearnKeepsTheNewest(t *testing.T) {
@@ -123,7 +123,7 @@
 	d.Suspect("far", now.Add(time.Second))
 	g.Expect(d.Live("other", now.Add(3*time.Second))).To(BeEmpty())
 	d.Learn(membership.Node{Name: "far", Hall: "other", SaidAt: now.Add(time.Second / 2)})
-	g.Expect(d.Live("other", now.Add(3*time.Second))).To(BeEmpty(), "what was heard before is no news")
+	g.Expect(d.Live("other", now.Add(3*time.Second))).To(BeEmpty(), "a report from before the suspicion does not clear it")
 	d.Learn(membership.Node{Name: "far", Hall: "other", SaidAt: now.Add(2 * time.Second)})
 	g.Expect(d.Live("other", now.Add(3*time.Second))).To(HaveLen(1))
 }
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -1,5 +1,5 @@
-// Package probe asks the target instances of a data hall what they are, and
-// sends the orders that follow from their answers.
+// Package probe probes the target instances of a data hall and sends the orders
+// that their reports call for.
 package probe
 
 import (
@@ -18,39 +18,40 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// ErrDown means that nothing listens at an instance's address: its process is gone.
+// ErrDown is returned when nothing listens at an instance's address: its process is not running.
 var ErrDown = errors.New("probe: nothing listens at the instance's address")
 
-// Target is what is asked and ordered.
+// Target sends probes and orders to instances.
 type Target interface {
-	// Probe asks an instance what it is; ErrDown says that it certainly does not run.
+	// Probe returns an instance's report. ErrDown means that the instance is certainly not running.
 	Probe(ctx context.Context, addr netip.AddrPort) (evidence.Report, error)
 	Order(ctx context.Context, addr netip.AddrPort, o control.Order) error
 }
 
-// Config bounds a Prober.
+// Config holds the settings of a Prober.
 type Config struct {
 	Interval time.Duration
-	// Window is the evidence window; a probe is given up after half of it.
+	// Window is the evidence window. A probe times out after half of it.
 	Window time.Duration
 }
 
-// Sources tell a Prober what there is to do.
+// Sources holds the functions through which a Prober reads the node's state and reports to it.
 type Sources struct {
 	// Instances returns the addresses of the hall's instances.
 	Instances func() map[state.InstanceID]netip.AddrPort
-	// Mine reports whether probing an instance falls to this node.
+	// Mine reports whether this node owns the probing of an instance.
 	Mine func(id state.InstanceID) bool
 	View func() *statelog.View
 	// MayOrder reports whether the node's state is fresh enough to give orders.
 	MayOrder func() bool
-	// Observed is called after a report of an instance was taken in.
+	// Observed is called after a report of an instance was recorded.
 	Observed func(r evidence.Report)
-	// Count adds one to a counter.
+	// Count increments a counter.
 	Count func(name string)
 }
 
-// Prober probes the instances that fall to its node, and those that no other node has probed lately.
+// Prober probes the instances that its node owns, and those whose evidence is about to expire
+// because their owner has not probed them.
 type Prober struct {
 	cfg    Config
 	target Target
@@ -63,7 +64,7 @@
 	busy map[state.InstanceID]bool
 }
 
-// New returns a Prober that fills a table and a feed.
+// New returns a Prober that records reports in a table and a feed.
 func New(cfg Config, target Target, src Sources, table *evidence.Table, feed *evidence.Feed, clock clockwork.Clock) *Prober {
 	return &Prober{cfg: cfg, target: target, src: src, table: table, feed: feed, clock: clock, busy: map[state.InstanceID]bool{}}
 }
@@ -94,21 +95,21 @@
 	p.feed.Expire(now.Add(-p.cfg.Window))
 }
 
-// Ask probes an instance of the hall now, unless a probe of it is under way.
+// Ask probes an instance of the hall now, unless a probe of it is in flight.
 func (p *Prober) Ask(ctx context.Context, id state.InstanceID) {
 	if addr, ok := p.src.Instances()[id]; ok {
 		p.ask(ctx, id, addr)
 	}
 }
 
-// ask probes an instance at an address now, unless a probe of it is under way.
+// ask probes an instance at an address now, unless a probe of it is in flight.
 func (p *Prober) ask(ctx context.Context, id state.InstanceID, addr netip.AddrPort) {
 	if p.take(id) {
 		go p.probe(ctx, id, addr, p.src.Mine(id))
 	}
 }
 
-// AskUnseen probes the instances of the hall of which nothing is known yet.
+// AskUnseen probes the instances of the hall that have no report yet.
 func (p *Prober) AskUnseen(ctx context.Context) {
 	for id, addr := range p.src.Instances() {
 		if _, known := p.table.Get(id); !known {
@@ -117,13 +118,13 @@
 	}
 }
 
-// stale reports whether the evidence of an instance is about to run out, or has.
+// stale reports whether the evidence of an instance is about to expire or has expired.
 func (p *Prober) stale(id state.InstanceID, now time.Time) bool {
 	e, ok := p.table.Get(id)
 	return !ok || now.Sub(e.Asked) > p.cfg.Window*2/3
 }
 
-// take marks an instance as being probed, unless it is already.
+// take marks an instance as being probed. It returns false if it is marked already.
 func (p *Prober) take(id state.InstanceID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,14 +135,14 @@
 	return true
 }
 
-// done ends the mark of take.
+// done clears the mark set by take.
 func (p *Prober) done(id state.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.busy, id)
 }
 
-// probe asks one instance and orders it if its answer calls for that.
+// probe probes one instance and sends it an order if its report calls for one.
 func (p *Prober) probe(ctx context.Context, id state.InstanceID, addr netip.AddrPort, mine bool) {
 	defer p.done(id)
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Window/2)
@@ -163,7 +164,7 @@
 	}
 }
 
-// observe takes in a report, and tells peers of it if the instance falls to this node.
+// observe records a report, also in the feed to peers if this node owns the instance.
 func (p *Prober) observe(r evidence.Report, asked time.Time, mine bool) {
 	p.table.Observe(r, asked)
 	if mine {
@@ -185,8 +186,8 @@
 	fields := log.Fields{"instance": r.Instance, "group": o.Group, "epoch": o.Epoch}
 	if err := p.target.Order(ctx, addr, o); err != nil {
 		p.src.Count("orders.failed")
-		log.WithError(err).WithFields(fields).Warn("order not obeyed")
+		log.WithError(err).WithFields(fields).Warn("order to instance failed")
 		return
 	}
-	log.WithFields(fields).Info("order sent")
+	log.WithFields(fields).Info("order sent to instance")
 }
