--- a/coordination/roster/elsewhere.go
+++ b/coordination/roster/elsewhere.go
@@ -7,14 +7,15 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// elsewhere is the result of the last indirect probes of an instance by other nodes.
-type elsewhere struct {
-	// asked is when the last indirect probe was requested; reached is whether it got an answer.
-	asked   time.Time
-	reached bool
-	// heard is the time of the last indirect probe that was answered; by is the node that sent it.
-	heard time.Time
-	by    string
+// indirectProbe is the result of the last indirect probes of an instance by other nodes.
+type indirectProbe struct {
+	// requestedAt is when the last indirect probe was requested; reached is whether it got an answer.
+	requestedAt time.Time
+	reached     bool
+	// answeredAt is when the last indirect probe that got an answer was requested; prober is the
+	// node that sent it.
+	answeredAt time.Time
+	prober     string
 }
 
 // AskElsewhere reports whether an indirect probe of an instance that does not answer this node
@@ -22,65 +23,65 @@
 func (r *Roster) AskElsewhere(id state.InstanceID, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[id]
+	e := r.entries[id]
 	if e == nil || e.failures == 0 {
 		return false
 	}
-	return e.elsewhere.asked.Before(e.failing) || now.Sub(e.elsewhere.asked) >= r.cfg.Policy.IndirectInterval
+	return e.indirect.requestedAt.Before(e.firstFailureAt) || now.Sub(e.indirect.requestedAt) >= r.cfg.Policy.IndirectInterval
 }
 
 // ReachedElsewhere records a report that another node got from an instance by an indirect probe
 // requested at rep.Asked. It does not reset this node's own probe failures.
-func (r *Roster) ReachedElsewhere(id state.InstanceID, rep fleet.Report, by string) {
+func (r *Roster) ReachedElsewhere(id state.InstanceID, rep fleet.Report, prober string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[id]
-	if e == nil || e.outlived(rep.Born) || e.reborn(rep.Born) {
+	e := r.entries[id]
+	if e == nil || e.isEarlierIncarnation(rep.Born) || e.isLaterIncarnation(rep.Born) {
 		return // an indirect report does not start a later incarnation; a direct one does
 	}
-	e.elsewhere = elsewhere{asked: rep.Asked, reached: true, heard: rep.Asked, by: by}
+	e.indirect = indirectProbe{requestedAt: rep.Asked, reached: true, answeredAt: rep.Asked, prober: prober}
 	r.version++
-	r.takeReport(e, rep)
+	r.applyReport(e, rep)
 }
 
 // ReachedBy returns the name of the node whose indirect probe last reached an instance, or "".
 func (r *Roster) ReachedBy(id state.InstanceID) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.m[id]; e != nil {
-		return e.elsewhere.by
+	if e := r.entries[id]; e != nil {
+		return e.indirect.prober
 	}
 	return ""
 }
 
 // UnreachedElsewhere records that no other node reached an instance by the indirect probes
 // requested at the given time.
-func (r *Roster) UnreachedElsewhere(id state.InstanceID, asked time.Time) {
+func (r *Roster) UnreachedElsewhere(id state.InstanceID, requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.m[id]; e != nil {
-		e.elsewhere.asked, e.elsewhere.reached = asked, false
+	if e := r.entries[id]; e != nil {
+		e.indirect.requestedAt, e.indirect.reached = requestedAt, false
 		r.version++
 	}
 }
 
-// lastHeard returns when an instance last answered this node or an indirect probe.
-func (e *entry) lastHeard() time.Time {
-	if e.elsewhere.heard.After(e.heard) {
-		return e.elsewhere.heard
+// lastAnswer returns when an instance last answered this node or an indirect probe.
+func (e *entry) lastAnswer() time.Time {
+	if e.indirect.answeredAt.After(e.answeredAt) {
+		return e.indirect.answeredAt
 	}
-	return e.heard
+	return e.answeredAt
 }
 
-// lostToAll reports whether an instance counts as unreachable from every node. One that only this
-// node fails to reach may still serve other nodes, so it does not count as lost until an indirect
-// probe since its first failure has failed too.
-func (r *Roster) lostToAll(e *entry, now time.Time) bool {
-	if e.gone || e.dropped(now, e.lastHeard()) {
+// unreachableFromAll reports whether an instance counts as unreachable from every node. One that
+// only this node fails to reach may still serve other nodes, so it does not count as lost until
+// an indirect probe since its first failure has failed too.
+func (r *Roster) unreachableFromAll(e *entry, now time.Time) bool {
+	if e.gone || e.unlistedAndSilent(now, e.lastAnswer()) {
 		return true
 	}
 	if !e.unreachable() || !r.cfg.Indirect {
 		return e.unreachable()
 	}
-	return !e.elsewhere.reached && !e.elsewhere.asked.Before(e.failing)
+	return !e.indirect.reached && !e.indirect.requestedAt.Before(e.firstFailureAt)
 }
--- a/coordination/roster/elsewhere_test.go
+++ b/coordination/roster/elsewhere_test.go
@@ -12,39 +12,39 @@
 
 // An instance that the leader cannot reach but other nodes can must not count as lost: otherwise
 // the leader dissolves its group while the group still serves the other nodes.
-func TestAnInstanceThatOtherNodesReachIsFarAndNotLost(t *testing.T) {
-	failed := func(r *roster.Roster, now time.Time) {
+func TestInstanceReachedByOtherNodesIsFarNotLost(t *testing.T) {
+	failTwice := func(r *roster.Roster, now time.Time) {
 		for i := range 2 {
 			r.Failed("i1", now.Add(time.Duration(i)*100*time.Millisecond))
 		}
 	}
-	report := func(asked time.Time) fleet.Report { return fleet.Report{Membership: member, Asked: asked} }
+	report := func(probedAt time.Time) fleet.Report { return fleet.Report{Membership: member, Asked: probedAt} }
 	for _, c := range []struct {
 		name      string
-		play      func(r *roster.Roster, now time.Time)
+		apply     func(r *roster.Roster, now time.Time)
 		lost, far bool
 	}{
 		{"it answers", func(r *roster.Roster, now time.Time) { r.Reported("i1", report(now)) }, false, false},
-		{"no indirect probe yet", failed, false, true},
+		{"no indirect probe yet", failTwice, false, true},
 		{"another node reaches it", func(r *roster.Roster, now time.Time) {
-			failed(r, now)
+			failTwice(r, now)
 			r.ReachedElsewhere("i1", report(now.Add(200*time.Millisecond)), "b")
 		}, false, true},
 		{"no other node reaches it", func(r *roster.Roster, now time.Time) {
-			failed(r, now)
+			failTwice(r, now)
 			r.UnreachedElsewhere("i1", now.Add(200*time.Millisecond))
 		}, true, false},
 		{"another node reached it before, no node does now", func(r *roster.Roster, now time.Time) {
-			failed(r, now)
+			failTwice(r, now)
 			r.ReachedElsewhere("i1", report(now.Add(200*time.Millisecond)), "b")
 			r.UnreachedElsewhere("i1", now.Add(700*time.Millisecond))
 		}, true, false},
 		{"no other node reached it before it last answered", func(r *roster.Roster, now time.Time) {
 			r.UnreachedElsewhere("i1", now.Add(-time.Second))
-			failed(r, now)
+			failTwice(r, now)
 		}, false, true},
 		{"it answers again", func(r *roster.Roster, now time.Time) {
-			failed(r, now)
+			failTwice(r, now)
 			r.UnreachedElsewhere("i1", now.Add(200*time.Millisecond))
 			r.Reported("i1", report(now.Add(300*time.Millisecond)))
 		}, false, false},
@@ -55,15 +55,15 @@
 			r := roster.New(cfg)
 			r.Listed(free, start)
 			r.Confirm(start)
-			c.play(r, start.Add(10*time.Millisecond))
-			m := only(r, start.Add(800*time.Millisecond))
+			c.apply(r, start.Add(10*time.Millisecond))
+			m := onlyMember(r, start.Add(800*time.Millisecond))
 			g.Expect(m.Lost).To(Equal(c.lost))
 			g.Expect(m.Far).To(Equal(c.far))
 		})
 	}
 }
 
-func TestOtherNodesAreAskedOnceInAWhileAboutAnInstanceThatDoesNotAnswer(t *testing.T) {
+func TestIndirectProbeInterval(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	interval := roster.DefaultPolicy().IndirectInterval
--- a/coordination/roster/leaving.go
+++ b/coordination/roster/leaving.go
@@ -9,7 +9,7 @@
 func (r *Roster) MarkLeaving(in fleet.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[in.ID]
+	e := r.entries[in.ID]
 	if e == nil {
 		return false
 	}
@@ -24,7 +24,7 @@
 		return false
 	}
 	e.leaving = true
-	r.touch(e)
+	r.markChanged(e)
 	return true
 }
 
@@ -32,6 +32,6 @@
 func (r *Roster) Leaving(in fleet.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[in.ID]
+	e := r.entries[in.ID]
 	return e != nil && e.leaving && (in.Life == "" || e.listed.Born.IsZero() || in.Life == e.listed.Incarnation().Life)
 }
--- a/coordination/roster/list.go
+++ b/coordination/roster/list.go
@@ -15,8 +15,8 @@
 func (r *Roster) Listed(in fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.list(in, now); e != nil {
-		e.vouched = now
+	if e := r.applyListEntry(in, now); e != nil {
+		e.freshEntryAt = now
 	}
 }
 
@@ -24,7 +24,7 @@
 func (r *Roster) Recalled(in fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list(in, now)
+	r.applyListEntry(in, now)
 }
 
 // Snapshot updates the roster from the whole list as of the records before position. Its entries
@@ -35,11 +35,11 @@
 	listed := make(map[state.InstanceID]bool, len(entries))
 	for _, in := range entries {
 		listed[in.ID] = true
-		r.reread(in, now)
+		r.applyWholeListEntry(in, now)
 	}
-	for id, e := range r.m {
+	for id, e := range r.entries {
 		if !listed[id] && e.listed.Position < position {
-			r.unlist(e, position-1, now) // the next record gets position itself
+			r.markUnlisted(e, position-1, now) // the next record gets position itself
 		}
 	}
 }
@@ -50,93 +50,93 @@
 func (r *Roster) Restore(entries []fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range r.m {
-		e.vouched = time.Time{}
+	for _, e := range r.entries {
+		e.freshEntryAt = time.Time{}
 	}
 	for _, in := range entries {
-		r.reread(in, now)
+		r.applyWholeListEntry(in, now)
 	}
 }
 
-// reread applies an entry of the whole list. r.mu must be held.
-func (r *Roster) reread(in fleet.Instance, now time.Time) {
-	e := r.m[in.ID]
+// applyWholeListEntry applies an entry of the whole list. r.mu must be held.
+func (r *Roster) applyWholeListEntry(in fleet.Instance, now time.Time) {
+	e := r.entries[in.ID]
 	switch {
 	case e == nil:
-		r.list(in, now).restored = source.Era(in.Position) > 0
-	case e.isCopy(in):
-		r.keep(e, in)
+		r.applyListEntry(in, now).restored = source.Era(in.Position) > 0
+	case e.mayBeOutdated(in):
+		r.retainKnown(e, in)
 	default:
-		r.list(in, now)
+		r.applyListEntry(in, now)
 	}
 }
 
-// isCopy reports whether an entry of a later era may come from the backup and be older than the
-// known one: its offset is not higher. An entry with a higher offset was written since.
-func (e *entry) isCopy(in fleet.Instance) bool {
+// mayBeOutdated reports whether an entry of a later era may come from the backup and be older than
+// the known one: its offset is not higher. An entry with a higher offset was written since.
+func (e *entry) mayBeOutdated(in fleet.Instance) bool {
 	return source.Era(in.Position) > source.Era(e.listed.Position) &&
-		source.Offset(in.Position) <= source.Offset(e.listed.Position) && !e.reborn(in.Born)
+		source.Offset(in.Position) <= source.Offset(e.listed.Position) && !e.isLaterIncarnation(in.Born)
 }
 
-// keep retains the known state of an instance over an entry of a backup. It adopts the entry's
+// retainKnown keeps the known state of an instance over an entry of a backup. It adopts the entry's
 // position, as every node that reads the backup does, so that the changes that nodes send each
 // other are ordered by the same positions. r.mu must be held.
-func (r *Roster) keep(e *entry, in fleet.Instance) {
-	if e.outlived(in.Born) {
+func (r *Roster) retainKnown(e *entry, in fleet.Instance) {
+	if e.isEarlierIncarnation(in.Born) {
 		return
 	}
 	e.listed.Position = in.Position
 	e.listed.Draining = e.listed.Draining || in.Draining
 	e.restored = true
-	r.touch(e)
+	r.markChanged(e)
 }
 
-// list applies a list entry and returns the instance's state. It returns nil if the entry is not
-// newer than the known one or belongs to an earlier incarnation. r.mu must be held.
-func (r *Roster) list(in fleet.Instance, now time.Time) *entry {
-	e := r.m[in.ID]
+// applyListEntry applies a list entry and returns the instance's state. It returns nil if the entry
+// is not newer than the known one or belongs to an earlier incarnation. r.mu must be held.
+func (r *Roster) applyListEntry(in fleet.Instance, now time.Time) *entry {
+	e := r.entries[in.ID]
 	switch {
 	case e == nil:
-		e = &entry{policy: &r.cfg.Policy, seen: now, changed: now, belief: in}
-		r.m[in.ID] = e
-		r.touch(e)
-	case e.outlived(in.Born):
+		e = &entry{policy: &r.cfg.Policy, firstSeen: now, listChangedAt: now, latest: in}
+		r.entries[in.ID] = e
+		r.markChanged(e)
+	case e.isEarlierIncarnation(in.Born):
 		return nil
-	case e.reborn(in.Born):
-		r.begin(e, in, now)
+	case e.isLaterIncarnation(in.Born):
+		r.startIncarnation(e, in, now)
 	}
-	if e.beat.IsZero() || in.Position > e.listed.Position {
-		e.beat = now
-		r.revive(e)
+	if e.heartbeatAt.IsZero() || in.Position > e.listed.Position {
+		e.heartbeatAt = now
+		r.clearGone(e)
 	} else {
 		return nil
 	}
-	before := e.belief.Membership.Key()
+	before := e.latest.Membership.Key()
 	if in.Membership != e.listed.Membership || in.Model != e.listed.Model || !slices.Equal(in.Staged, e.listed.Staged) {
-		e.changed = now
+		e.listChangedAt = now
 	}
 	// Every entry states the current membership, so one that repeats the previous entry still
 	// overrides an older report.
-	if e.believe(in.Membership, in.Model, in.Staged, now) {
-		r.touch(e)
+	if e.updateMembership(in.Membership, in.Model, in.Staged, now) {
+		r.markChanged(e)
 	}
 	// The order count is valid only with the membership that it was reported with.
-	if e.belief.Membership.Key() != before {
-		e.counted = false
+	if e.latest.Membership.Key() != before {
+		e.ordersKnown = false
 	}
 	if in.Draining != e.listed.Draining || !e.inList || in.Address != e.listed.Address {
-		r.touch(e)
+		r.markChanged(e)
 	}
 	e.listed, e.inList, e.restored = in, true, false
 	return e
 }
 
 // Confirm records that the list was read up to its end by a request sent at the given time.
-func (r *Roster) Confirm(asked time.Time) {
+func (r *Roster) Confirm(requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if asked.After(r.listAsOf) {
-		r.listAsOf = asked
+	if requestedAt.After(r.listAsOf) {
+		r.listAsOf = requestedAt
 	}
 }
 
@@ -145,8 +145,8 @@
 	r.Confirm(asOf)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if asOf.After(r.fedAsOf) {
-		r.fedAsOf = asOf
+	if asOf.After(r.relayedAsOf) {
+		r.relayedAsOf = asOf
 	}
 }
 
@@ -161,17 +161,17 @@
 func (r *Roster) Unlisted(id state.InstanceID, position int64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.m[id]; e != nil {
-		r.unlist(e, position, now)
+	if e := r.entries[id]; e != nil {
+		r.markUnlisted(e, position, now)
 	}
 }
 
-// unlist marks an instance as no longer in the list. r.mu must be held.
-func (r *Roster) unlist(e *entry, position int64, now time.Time) {
+// markUnlisted marks an instance as no longer in the list. r.mu must be held.
+func (r *Roster) markUnlisted(e *entry, position int64, now time.Time) {
 	e.listed.Position = max(e.listed.Position, position)
 	if e.inList {
-		e.inList, e.unlisted = false, now
-		r.touch(e)
+		e.inList, e.unlistedAt = false, now
+		r.markChanged(e)
 	}
 }
 
@@ -194,8 +194,8 @@
 		return nil, r.version
 	}
 	var list []Change
-	for _, e := range r.m {
-		if e.stamp > after {
+	for _, e := range r.entries {
+		if e.changeVersion > after {
 			list = append(list, Change{Instance: e.current(), Unlisted: !e.inList, Leaving: e.leaving, Restored: e.restored})
 		}
 	}
@@ -210,26 +210,26 @@
 func (r *Roster) Relayed(c Change, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[c.ID]
+	e := r.entries[c.ID]
 	known := e != nil
 	if !known {
-		e = &entry{policy: &r.cfg.Policy, seen: now, changed: now, belief: c.Instance}
+		e = &entry{policy: &r.cfg.Policy, firstSeen: now, listChangedAt: now, latest: c.Instance}
 		e.listed.Position = c.Position - 1
-		r.m[c.ID] = e
+		r.entries[c.ID] = e
 	}
 	switch {
-	case c.Position < e.listed.Position || e.outlived(c.Born):
+	case c.Position < e.listed.Position || e.isEarlierIncarnation(c.Born):
 	case c.Unlisted:
 		if e.listed.ID == "" {
 			e.listed = c.Instance
 		}
-		r.unlist(e, c.Position, now)
+		r.markUnlisted(e, c.Position, now)
 	case c.Position == e.listed.Position && !e.inList:
 	case c.Restored && !e.inList && known && source.Era(c.Position) > source.Era(e.listed.Position):
 		// The backup contains an entry that this node knows to have been removed since.
-		r.keep(e, c.Instance)
+		r.retainKnown(e, c.Instance)
 	default:
-		r.relay(c.Instance, c.Restored, e, now)
+		r.applyRelayed(c.Instance, c.Restored, e, now)
 	}
 	// Leaving is final for an incarnation, whatever this node has read from the list since.
 	if c.Leaving {
@@ -237,20 +237,20 @@
 	}
 }
 
-// relay applies a change relayed by another node for a listed instance. r.mu must be held.
-func (r *Roster) relay(in fleet.Instance, restored bool, e *entry, now time.Time) {
-	if e.reborn(in.Born) {
-		r.begin(e, in, now)
+// applyRelayed applies a change relayed by another node for a listed instance. r.mu must be held.
+func (r *Roster) applyRelayed(in fleet.Instance, restored bool, e *entry, now time.Time) {
+	if e.isLaterIncarnation(in.Born) {
+		r.startIncarnation(e, in, now)
 	}
 	if in.Position > e.listed.Position {
-		e.beat = now
-		r.revive(e)
+		e.heartbeatAt = now
+		r.clearGone(e)
 	}
-	copied := restored && source.Era(in.Position) > source.Era(e.listed.Position)
-	in.Draining = in.Draining || (copied || in.Position == e.listed.Position) && e.listed.Draining
-	if e.believe(in.Membership, in.Model, in.Staged, now) {
-		e.counted = false
+	fromBackup := restored && source.Era(in.Position) > source.Era(e.listed.Position)
+	in.Draining = in.Draining || (fromBackup || in.Position == e.listed.Position) && e.listed.Draining
+	if e.updateMembership(in.Membership, in.Model, in.Staged, now) {
+		e.ordersKnown = false
 	}
 	e.listed, e.inList, e.restored = in, true, restored
-	r.touch(e)
+	r.markChanged(e)
 }
--- a/coordination/roster/policy.go
+++ b/coordination/roster/policy.go
@@ -9,8 +9,8 @@
 	LostFailures int `flag:"lost-failures" help:"consecutive failed probes after which an instance counts as lost" min:"1" max:"100"`
 	// MinProbeSpacing is the minimum time between two failed probes that are counted separately.
 	MinProbeSpacing time.Duration `flag:"min-probe-spacing" help:"minimum time between two failed probes that are counted separately" min:"0s" max:"10s"`
-	// KnownAge is the maximum age at which a membership counts as known.
-	KnownAge time.Duration `flag:"known-age" help:"maximum age at which a membership counts as known" min:"100ms" max:"1m"`
+	// MaxMembershipAge is the maximum age at which a membership counts as known.
+	MaxMembershipAge time.Duration `flag:"known-age" help:"maximum age at which a membership counts as known" min:"100ms" max:"1m"`
 	// IndirectInterval is the minimum time between two indirect probes of an instance.
 	IndirectInterval time.Duration `flag:"indirect-interval" help:"minimum time between two probes of an instance by way of other nodes" min:"10ms" max:"1m"`
 	// UnlistedGrace is how long an instance that was removed from the list still gets
@@ -21,9 +21,9 @@
 	UnlistedTimeout time.Duration `flag:"unlisted-timeout" help:"how long an instance that was removed from the list may go without answering before it counts as lost" min:"0s" max:"1m"`
 	// GoneMargin is added to the stall time before a silent process counts as ended.
 	GoneMargin time.Duration `flag:"gone-margin" help:"time after the stall time until a silent process counts as ended" min:"0s" max:"1m"`
-	// OrderEcho is how long after an order a report or list entry may still show the membership
-	// from before the order.
-	OrderEcho time.Duration `flag:"order-echo" help:"how long after an order the membership from before it may still be reported" min:"0s" max:"1m"`
+	// StaleReportWindow is how long after an order a report or list entry may still show the
+	// membership from before the order.
+	StaleReportWindow time.Duration `flag:"order-echo" help:"how long after an order the membership from before it may still be reported" min:"0s" max:"1m"`
 	// ForgetAfter is how long an ended instance is kept in the roster.
 	ForgetAfter time.Duration `flag:"forget-after" help:"how long an ended instance is kept in the roster" min:"1s" max:"1h"`
 	// ForgetLeavingAfter is the same for an instance that was leaving. It is longer than such an
@@ -35,15 +35,15 @@
 // DefaultPolicy returns the default policy of a node.
 func DefaultPolicy() Policy {
 	return Policy{
-		LostFailures:     2,
-		MinProbeSpacing:  20 * time.Millisecond,
-		KnownAge:         1500 * time.Millisecond,
-		IndirectInterval: 500 * time.Millisecond,
-		UnlistedGrace:    300 * time.Millisecond,
-		UnlistedTimeout:  time.Second,
-		GoneMargin:       1500 * time.Millisecond,
-		OrderEcho:        600 * time.Millisecond,
-		ForgetAfter:      20 * time.Second,
+		LostFailures:      2,
+		MinProbeSpacing:   20 * time.Millisecond,
+		MaxMembershipAge:  1500 * time.Millisecond,
+		IndirectInterval:  500 * time.Millisecond,
+		UnlistedGrace:     300 * time.Millisecond,
+		UnlistedTimeout:   time.Second,
+		GoneMargin:        1500 * time.Millisecond,
+		StaleReportWindow: 600 * time.Millisecond,
+		ForgetAfter:       20 * time.Second,
 
 		ForgetLeavingAfter: 5 * time.Minute,
 	}
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -28,70 +28,71 @@
 
 // entry is the state of one instance.
 type entry struct {
-	policy   *Policy
-	listed   fleet.Instance
-	inList   bool
-	unlisted time.Time
-	seen     time.Time
-	// beat is when the last heartbeat in the list was seen; changed is when the membership, the
-	// model or the staged models in the list last changed.
-	beat    time.Time
-	changed time.Time
+	policy     *Policy
+	listed     fleet.Instance
+	inList     bool
+	unlistedAt time.Time
+	firstSeen  time.Time
+	// heartbeatAt is when the last heartbeat in the list was seen; listChangedAt is when the
+	// membership, the model or the staged models in the list last changed.
+	heartbeatAt   time.Time
+	listChangedAt time.Time
 	// restored is set if the entry was read from a backup of the list and no entry
 	// written since is known.
 	restored bool
-	// vouched is when a freshly written entry was last read.
-	vouched time.Time
-	// stamp is the roster's version at the last change that other nodes need to know.
-	stamp uint64
-	// reported is when the probe behind the newest report was sent.
-	reported time.Time
-	// belief holds the newest known membership, model, loaded model and staged models.
-	belief fleet.Instance
-	// before is the membership from before the last order.
-	before fleet.Membership
-	// orders is the number of orders accepted; counted is whether it is known.
-	orders  int64
-	counted bool
-	// heard is the send time of the last probe or request that the instance answered.
-	heard     time.Time
-	failures  int
-	suspected time.Time
-	// failing is when the first of the consecutive failed probes was sent.
-	failing time.Time
-	// elsewhere is the result of the last indirect probes.
-	elsewhere elsewhere
+	// freshEntryAt is when a freshly written entry was last read.
+	freshEntryAt time.Time
+	// changeVersion is the roster's version at the last change that other nodes need to know.
+	changeVersion uint64
+	// reportProbedAt is when the probe behind the newest report was sent.
+	reportProbedAt time.Time
+	// latest holds the newest known membership, model, loaded model and staged models.
+	latest fleet.Instance
+	// membershipBeforeOrder is the membership from before the last order. A report or list entry
+	// that shows it again shortly after the order is stale.
+	membershipBeforeOrder fleet.Membership
+	// orders is the number of orders accepted; ordersKnown is whether it is known.
+	orders      int64
+	ordersKnown bool
+	// answeredAt is the send time of the last probe or request that the instance answered.
+	answeredAt    time.Time
+	failures      int
+	lastFailureAt time.Time
+	// firstFailureAt is when the first of the consecutive failed probes was sent.
+	firstFailureAt time.Time
+	// indirect is the result of the last indirect probes.
+	indirect indirectProbe
 	// leaving is set if this incarnation announced its shutdown in an answer to this node
 	// or another one. Only a later incarnation clears it; a list entry does not.
 	leaving bool
 	// gone is set if the process counts as ended; replaced is set if that is certain, since
 	// another process answers at its address.
-	gone     bool
-	goneAt   time.Time
-	replaced bool
-	pending  bool
-	ordered  time.Time
-	// life is the number of the current incarnation.
-	life Life
+	gone         bool
+	goneAt       time.Time
+	replaced     bool
+	orderPending bool
+	orderedAt    time.Time
+	// incarnation numbers the incarnations seen; it is 0 for the first.
+	incarnation Life
 	// superseded is the formation of the last order that the instance refused as superseded.
 	superseded fleet.GroupKey
 }
 
-// believe updates the membership and the models from the list or a report, as of the given
-// time, and reports whether that changed anything. A membership that may predate the last
-// order is ignored.
-func (e *entry) believe(m fleet.Membership, model string, staged []string, now time.Time) bool {
-	if now.Sub(e.ordered) < e.policy.OrderEcho && m == e.before && m != e.belief.Membership {
+// updateMembership updates the membership and the models from the list or a report, as of the
+// given time, and reports whether that changed anything. A membership that may predate the
+// last order is ignored.
+func (e *entry) updateMembership(m fleet.Membership, model string, staged []string, asOf time.Time) bool {
+	if asOf.Sub(e.orderedAt) < e.policy.StaleReportWindow && m == e.membershipBeforeOrder && m != e.latest.Membership {
 		return false
 	}
 	loaded := model
 	if model == "" {
-		model = e.belief.Model // joining a group of its last model is still fast
+		model = e.latest.Model // joining a group of its last model is still fast
 	}
-	if m == e.belief.Membership && model == e.belief.Model && loaded == e.belief.Loaded && slices.Equal(staged, e.belief.Staged) {
+	if m == e.latest.Membership && model == e.latest.Model && loaded == e.latest.Loaded && slices.Equal(staged, e.latest.Staged) {
 		return false
 	}
-	e.belief.Membership, e.belief.Model, e.belief.Loaded, e.belief.Staged = m, model, loaded, staged
+	e.latest.Membership, e.latest.Model, e.latest.Loaded, e.latest.Staged = m, model, loaded, staged
 	return true
 }
 
@@ -99,16 +100,16 @@
 type Roster struct {
 	cfg     Config
 	mu      sync.Mutex
-	m       map[state.InstanceID]*entry
+	entries map[state.InstanceID]*entry
 	version uint64
 	// listAsOf is when the request was sent that last read the list up to its end.
 	listAsOf time.Time
-	// fedAsOf is the time up to which another node has relayed all changes of the list.
-	fedAsOf time.Time
+	// relayedAsOf is the time up to which another node has relayed all changes of the list.
+	relayedAsOf time.Time
 }
 
 // New returns an empty Roster.
-func New(cfg Config) *Roster { return &Roster{cfg: cfg, m: map[state.InstanceID]*entry{}} }
+func New(cfg Config) *Roster { return &Roster{cfg: cfg, entries: map[state.InstanceID]*entry{}} }
 
 // Version returns a number that grows with every change that can affect a routing decision.
 func (r *Roster) Version() uint64 {
@@ -117,68 +118,68 @@
 	return r.version
 }
 
-// touch records a change of an instance. r.mu must be held.
-func (r *Roster) touch(e *entry) {
+// markChanged records a change of an instance. r.mu must be held.
+func (r *Roster) markChanged(e *entry) {
 	r.version++
-	e.stamp = r.version
+	e.changeVersion = r.version
 }
 
-// known reports whether an instance's membership is known as of a recent time after since,
-// either from a freshly written list entry or from a report.
-func (r *Roster) known(e *entry, since, now time.Time) bool {
-	lately := now.Sub(e.vouched) < r.cfg.Beat+r.cfg.Beat/2
-	if e.inList && lately && r.listAsOf.After(since) && now.Sub(r.listAsOf) < r.cfg.Policy.KnownAge {
+// membershipKnown reports whether an instance's membership is known as of a recent time after
+// since, either from a freshly written list entry or from a report.
+func (r *Roster) membershipKnown(e *entry, since, now time.Time) bool {
+	freshlyWritten := now.Sub(e.freshEntryAt) < r.cfg.Beat+r.cfg.Beat/2
+	if e.inList && freshlyWritten && r.listAsOf.After(since) && now.Sub(r.listAsOf) < r.cfg.Policy.MaxMembershipAge {
 		return true
 	}
-	stood := e.reported.Add(-r.cfg.ReportLag)
-	return stood.After(since) && now.Sub(stood) < r.cfg.Policy.KnownAge
+	asOf := e.reportProbedAt.Add(-r.cfg.ReportLag)
+	return asOf.After(since) && now.Sub(asOf) < r.cfg.Policy.MaxMembershipAge
 }
 
 // Reported records an instance's answer to a probe sent at rep.Asked.
 func (r *Roster) Reported(id state.InstanceID, rep fleet.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[id]
+	e := r.entries[id]
 	if e == nil {
 		return
 	}
 	switch {
-	case e.outlived(rep.Born):
+	case e.isEarlierIncarnation(rep.Born):
 		return
-	case e.reborn(rep.Born):
+	case e.isLaterIncarnation(rep.Born):
 		in := e.listed
 		in.Born, in.Membership, in.Model, in.Staged = rep.Born, rep.Membership, rep.Model, rep.Staged
-		r.begin(e, in, rep.Asked)
+		r.startIncarnation(e, in, rep.Asked)
 	}
-	e.hear(rep.Asked, r)
-	r.takeReport(e, rep)
+	e.recordAnswer(rep.Asked, r)
+	r.applyReport(e, rep)
 }
 
-// takeReport updates the state of an instance from its report. r.mu must be held.
-func (r *Roster) takeReport(e *entry, rep fleet.Report) {
-	stood := rep.Asked.Add(-r.cfg.ReportLag)
-	if rep.Asked.After(e.reported) {
-		e.reported = rep.Asked
+// applyReport updates the state of an instance from its report. r.mu must be held.
+func (r *Roster) applyReport(e *entry, rep fleet.Report) {
+	asOf := rep.Asked.Add(-r.cfg.ReportLag)
+	if rep.Asked.After(e.reportProbedAt) {
+		e.reportProbedAt = rep.Asked
 	}
-	if stood.After(e.changed) && e.believe(rep.Membership, rep.Model, rep.Staged, stood) {
-		r.touch(e)
+	if asOf.After(e.listChangedAt) && e.updateMembership(rep.Membership, rep.Model, rep.Staged, asOf) {
+		r.markChanged(e)
 	}
-	if rep.Membership.Key() == e.belief.Membership.Key() && stood.After(e.ordered) {
-		e.orders, e.counted = rep.Orders, true
+	if rep.Membership.Key() == e.latest.Membership.Key() && asOf.After(e.orderedAt) {
+		e.orders, e.ordersKnown = rep.Orders, true
 	}
 }
 
-// hear records that the instance answered something sent at the given time. An answer to
-// something sent before the current incarnation was seen is ignored: an earlier one may
-// have given it.
-func (e *entry) hear(at time.Time, r *Roster) {
-	if e.life > 0 && at.Before(e.seen) {
+// recordAnswer records that the instance answered a probe or request sent at the given time. One
+// that was sent before the current incarnation was seen is ignored: an earlier incarnation
+// may have answered it.
+func (e *entry) recordAnswer(sentAt time.Time, r *Roster) {
+	if e.incarnation > 0 && sentAt.Before(e.firstSeen) {
 		return
 	}
-	if at.After(e.heard) {
-		e.heard = at
+	if sentAt.After(e.answeredAt) {
+		e.answeredAt = sentAt
 	}
-	if e.failures > 0 && at.After(e.suspected) {
+	if e.failures > 0 && sentAt.After(e.lastFailureAt) {
 		if e.failures >= e.policy.LostFailures {
 			r.version++
 		}
@@ -187,27 +188,27 @@
 }
 
 // Heard records that an instance answered a request sent at the given time.
-func (r *Roster) Heard(id state.InstanceID, at time.Time) {
+func (r *Roster) Heard(id state.InstanceID, sentAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.m[id]; e != nil {
-		e.hear(at, r)
+	if e := r.entries[id]; e != nil {
+		e.recordAnswer(sentAt, r)
 	}
 }
 
 // Failed records that an instance did not answer a probe or request sent at the given time.
-func (r *Roster) Failed(id state.InstanceID, asked time.Time) {
+func (r *Roster) Failed(id state.InstanceID, sentAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[id]
-	if e == nil || asked.Before(e.heard) || e.life > 0 && asked.Before(e.seen) || asked.Sub(e.suspected) < r.cfg.Policy.MinProbeSpacing && e.failures > 0 {
+	e := r.entries[id]
+	if e == nil || sentAt.Before(e.answeredAt) || e.incarnation > 0 && sentAt.Before(e.firstSeen) || sentAt.Sub(e.lastFailureAt) < r.cfg.Policy.MinProbeSpacing && e.failures > 0 {
 		return
 	}
 	if e.failures == 0 {
-		e.failing = asked
+		e.firstFailureAt = sentAt
 	}
 	e.failures++
-	e.suspected = asked
+	e.lastFailureAt = sentAt
 	if e.failures == e.policy.LostFailures {
 		r.version++
 	}
@@ -217,7 +218,7 @@
 func (r *Roster) Failures(id state.InstanceID) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.m[id]; e != nil {
+	if e := r.entries[id]; e != nil {
 		return e.failures
 	}
 	return 0
@@ -227,7 +228,7 @@
 func (r *Roster) Replaced(id state.InstanceID, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[id]
+	e := r.entries[id]
 	if e == nil {
 		return
 	}
@@ -238,12 +239,12 @@
 	}
 }
 
-// revive clears the gone mark of an instance that wrote a new entry after a long silence,
+// clearGone clears the gone mark of an instance that wrote a new entry after a long silence,
 // for example behind a network partition.
-func (r *Roster) revive(e *entry) {
+func (r *Roster) clearGone(e *entry) {
 	if e.gone && !e.replaced {
 		e.gone, e.failures = false, 0
-		r.touch(e)
+		r.markChanged(e)
 	}
 }
 
@@ -252,124 +253,124 @@
 func (r *Roster) Ordering(id state.InstanceID) Life {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[id]
+	e := r.entries[id]
 	if e == nil {
 		return 0
 	}
-	e.pending = true
-	return e.life
+	e.orderPending = true
+	return e.incarnation
 }
 
 // Life numbers the incarnations of an instance that a Roster has seen.
 type Life int
 
-// outlived reports whether data of a process that started at the given time belongs to an
-// earlier incarnation than the current one. Data without a start time counts as current.
-func (e *entry) outlived(born time.Time) bool {
+// isEarlierIncarnation reports whether data of a process that started at the given time belongs
+// to an earlier incarnation than the current one. Data without a start time counts as current.
+func (e *entry) isEarlierIncarnation(born time.Time) bool {
 	return !born.IsZero() && born.Before(e.listed.Born)
 }
 
-// reborn reports whether data of a process that started at the given time belongs to a later
-// incarnation than the current one.
-func (e *entry) reborn(born time.Time) bool {
+// isLaterIncarnation reports whether data of a process that started at the given time belongs to
+// a later incarnation than the current one.
+func (e *entry) isLaterIncarnation(born time.Time) bool {
 	return !e.listed.Born.IsZero() && born.After(e.listed.Born)
 }
 
-// begin resets an entry for a later incarnation, which has no membership, order count or
+// startIncarnation resets an entry for a later incarnation, which has no membership, order count or
 // failures of the earlier one. By the incarnation number and the time seen, late replies,
 // answers and failures of the earlier incarnation are ignored. r.mu must be held.
-func (r *Roster) begin(e *entry, in fleet.Instance, now time.Time) {
+func (r *Roster) startIncarnation(e *entry, in fleet.Instance, now time.Time) {
 	listed := e.listed
 	listed.Born, listed.Draining = in.Born, false
-	*e = entry{policy: e.policy, listed: listed, inList: e.inList, unlisted: e.unlisted, seen: now, changed: now, belief: in, life: e.life + 1}
-	r.touch(e)
+	*e = entry{policy: e.policy, listed: listed, inList: e.inList, unlistedAt: e.unlistedAt, firstSeen: now, listChangedAt: now, latest: in, incarnation: e.incarnation + 1}
+	r.markChanged(e)
 }
 
 // Ordered records an instance's reply to an order for one of its incarnations. The effect of
 // an accepted order is applied at once, since reports and the list show it only later. A
 // reply of an earlier incarnation is ignored.
-func (r *Roster) Ordered(o placement.Order, life Life, reply placement.Reply, now time.Time) {
+func (r *Roster) Ordered(o placement.Order, incarnation Life, reply placement.Reply, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[o.Instance]
-	if e == nil || e.life != life {
+	e := r.entries[o.Instance]
+	if e == nil || e.incarnation != incarnation {
 		return
 	}
-	e.pending = false
+	e.orderPending = false
 	switch reply {
 	case placement.Superseded:
 		e.superseded = o.Key
 		return
 	case placement.Refused, placement.Unanswered:
-		e.counted = false
-		e.ordered = now
+		e.ordersKnown = false
+		e.orderedAt = now
 		return
 	case placement.Begun:
 		e.orders++
 	case placement.Done:
 	}
-	e.ordered, e.before = now, e.belief.Membership
+	e.orderedAt, e.membershipBeforeOrder = now, e.latest.Membership
 	switch o.Action {
 	case placement.Join:
-		e.belief.Loaded = ""
-		e.belief.Membership = fleet.Membership{
+		e.latest.Loaded = ""
+		e.latest.Membership = fleet.Membership{
 			Group: o.Key.Group, Epoch: o.Key.Epoch, Rank: slices.Index(o.Members, o.Instance), State: fleet.Joining,
 		}
 	case placement.Leave:
-		if e.belief.Membership.Key() == o.Key {
-			e.belief.Membership = fleet.Membership{}
+		if e.latest.Membership.Key() == o.Key {
+			e.latest.Membership = fleet.Membership{}
 			if reply == placement.Done {
 				e.orders++
 			}
 		}
 	}
-	r.touch(e)
+	r.markChanged(e)
 }
 
 // lost reports whether an instance counts as no longer answering this node.
 func (e *entry) lost(now time.Time) bool {
-	return e.gone || e.unreachable() || e.dropped(now, e.heard)
+	return e.gone || e.unreachable() || e.unlistedAndSilent(now, e.answeredAt)
 }
 
 // unreachable reports whether LostFailures consecutive probes of an instance failed.
 func (e *entry) unreachable() bool { return e.failures >= e.policy.LostFailures }
 
-// dropped reports whether an instance was removed from the list and has been silent for longer
-// than UnlistedTimeout; heard is when it last answered.
-func (e *entry) dropped(now, heard time.Time) bool {
-	return !e.inList && now.Sub(e.unlisted) > e.policy.UnlistedTimeout && now.Sub(heard) > e.policy.UnlistedTimeout
+// unlistedAndSilent reports whether an instance was removed from the list and has been silent for
+// longer than UnlistedTimeout; answeredAt is when it last answered.
+func (e *entry) unlistedAndSilent(now, answeredAt time.Time) bool {
+	return !e.inList && now.Sub(e.unlistedAt) > e.policy.UnlistedTimeout && now.Sub(answeredAt) > e.policy.UnlistedTimeout
 }
 
-// forgotten reports whether an instance has been unlisted and silent for so long that it can be removed.
-func (e *entry) forgotten(now time.Time) bool {
-	return !e.inList && now.Sub(e.unlisted) > e.forgetAfter() && now.Sub(e.heard) > e.forgetAfter()
+// expired reports whether an instance has been unlisted and silent for so long that it can be removed.
+func (e *entry) expired(now time.Time) bool {
+	return !e.inList && now.Sub(e.unlistedAt) > e.retention() && now.Sub(e.answeredAt) > e.retention()
 }
 
-// forgetAfter returns how long an ended instance is kept. A leaving one is kept longer, since
+// retention returns how long an ended instance is kept. A leaving one is kept longer, since
 // the list may show the same incarnation again after a network partition.
-func (e *entry) forgetAfter() time.Duration {
+func (e *entry) retention() time.Duration {
 	if e.leaving {
 		return max(e.policy.ForgetAfter, e.policy.ForgetLeavingAfter)
 	}
 	return e.policy.ForgetAfter
 }
 
-// lastBeat returns when the list last showed a heartbeat. A node that relays the list sends
+// lastHeartbeat returns when the list last showed a heartbeat. A node that relays the list sends
 // only changes, so an instance that it has not reported as unlisted counts as alive as of
-// fedAsOf.
-func (r *Roster) lastBeat(e *entry) time.Time {
-	if e.inList && r.fedAsOf.After(e.beat) {
-		return r.fedAsOf
+// relayedAsOf.
+func (r *Roster) lastHeartbeat(e *entry) time.Time {
+	if e.inList && r.relayedAsOf.After(e.heartbeatAt) {
+		return r.relayedAsOf
 	}
-	return e.beat
+	return e.heartbeatAt
 }
 
-// silent reports whether an unreachable instance has shown neither a heartbeat nor an answer for
-// so long that its process must have ended.
-func (r *Roster) silent(e *entry, now time.Time) bool {
-	last := r.lastBeat(e)
-	if heard := e.lastHeard(); heard.After(last) {
-		last = heard
+// silentTooLong reports whether an unreachable instance has shown neither a heartbeat nor an answer
+// for so long that its process must have ended.
+func (r *Roster) silentTooLong(e *entry, now time.Time) bool {
+	last := r.lastHeartbeat(e)
+	if answered := e.lastAnswer(); answered.After(last) {
+		last = answered
 	}
 	return e.unreachable() && now.Sub(last) > r.cfg.Stall+r.cfg.Policy.GoneMargin
 }
@@ -378,7 +379,7 @@
 func (e *entry) current() fleet.Instance {
 	in := e.listed
 	in.Draining = in.Draining || e.leaving
-	in.Membership, in.Model, in.Loaded, in.Staged = e.belief.Membership, e.belief.Model, e.belief.Loaded, e.belief.Staged
+	in.Membership, in.Model, in.Loaded, in.Staged = e.latest.Membership, e.latest.Model, e.latest.Loaded, e.latest.Staged
 	return in
 }
 
@@ -389,15 +390,15 @@
 	r.cfg.ReportLag = d
 }
 
-// age marks an instance as gone after a long silence and removes one that has been gone for
-// longer than its retention time. r.mu must be held.
-func (r *Roster) age(id state.InstanceID, e *entry, now time.Time) {
-	if !e.gone && r.silent(e, now) {
+// updateLiveness marks an instance as gone after a long silence and removes one that has been
+// gone for longer than its retention time. r.mu must be held.
+func (r *Roster) updateLiveness(id state.InstanceID, e *entry, now time.Time) {
+	if !e.gone && r.silentTooLong(e, now) {
 		e.gone, e.goneAt = true, now
 		r.version++
 	}
-	if e.gone && now.Sub(e.goneAt) > e.forgetAfter() {
-		delete(r.m, id)
+	if e.gone && now.Sub(e.goneAt) > e.retention() {
+		delete(r.entries, id)
 		r.version++
 	}
 }
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -27,22 +27,22 @@
 	return r
 }
 
-// only returns the single member of a roster.
-func only(r *roster.Roster, now time.Time) placement.Member {
+// onlyMember returns the single member of a roster.
+func onlyMember(r *roster.Roster, now time.Time) placement.Member {
 	return r.Members("lm", time.Time{}, now)[0]
 }
 
 // A process that restarts under its ID has none of its earlier state: the state of the earlier
 // incarnation must be dropped, and late data from it must be ignored.
-func TestALaterLifeBeginsAnew(t *testing.T) {
+func TestLaterIncarnationResetsState(t *testing.T) {
 	first, second := start.Add(-time.Minute), start.Add(5*time.Second)
 	old := free
 	old.Born, old.Membership = first, member
 	next := free
 	next.Born, next.Position, next.Model = second, 9, ""
-	learn := []struct {
+	updates := []struct {
 		name  string
-		learn func(r *roster.Roster, now time.Time)
+		apply func(r *roster.Roster, now time.Time)
 	}{
 		{"from the list", func(r *roster.Roster, now time.Time) { r.Listed(next, now) }},
 		{"from the whole list", func(r *roster.Roster, now time.Time) { r.Snapshot([]fleet.Instance{next}, 10, now) }},
@@ -50,8 +50,8 @@
 		{"from its own report", func(r *roster.Roster, now time.Time) { r.Reported("i1", fleet.Report{Born: second, Asked: now}) }},
 	}
 	stale := []struct {
-		name string
-		tell func(r *roster.Roster, life roster.Life, now time.Time)
+		name  string
+		apply func(r *roster.Roster, incarnation roster.Life, now time.Time)
 	}{
 		{"nothing", func(*roster.Roster, roster.Life, time.Time) {}},
 		{"an older entry, written later", func(r *roster.Roster, _ roster.Life, now time.Time) {
@@ -67,15 +67,15 @@
 		{"an older report", func(r *roster.Roster, _ roster.Life, now time.Time) {
 			r.Reported("i1", fleet.Report{Born: first, Membership: member, Orders: 7, Asked: now})
 		}},
-		{"a late reply to an order", func(r *roster.Roster, life roster.Life, now time.Time) {
-			r.Ordered(placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key()}, life, placement.Begun, now)
+		{"a late reply to an order", func(r *roster.Roster, incarnation roster.Life, now time.Time) {
+			r.Ordered(placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key()}, incarnation, placement.Begun, now)
 		}},
 		{"a failed probe sent before it", func(r *roster.Roster, _ roster.Life, _ time.Time) {
 			r.Failed("i1", start.Add(4*time.Second))
 			r.Failed("i1", start.Add(4500*time.Millisecond))
 		}},
 	}
-	for _, l := range learn {
+	for _, l := range updates {
 		for _, s := range stale {
 			t.Run(l.name+", then "+s.name, func(t *testing.T) {
 				g := NewWithT(t)
@@ -84,12 +84,12 @@
 				r.Reported("i1", fleet.Report{Born: first, Membership: member, Orders: 3, Asked: start.Add(time.Second)})
 				r.Failed("i1", start.Add(2*time.Second))
 				r.Failed("i1", start.Add(3*time.Second))
-				life := r.Ordering("i1")
-				g.Expect(only(r, start.Add(3*time.Second)).Lost).To(BeTrue())
+				incarnation := r.Ordering("i1")
+				g.Expect(onlyMember(r, start.Add(3*time.Second)).Lost).To(BeTrue())
 				now := start.Add(6 * time.Second)
-				l.learn(r, now)
-				s.tell(r, life, now.Add(10*time.Millisecond))
-				m := only(r, now.Add(20*time.Millisecond))
+				l.apply(r, now)
+				s.apply(r, incarnation, now.Add(10*time.Millisecond))
+				m := onlyMember(r, now.Add(20*time.Millisecond))
 				g.Expect(m.Membership).To(Equal(fleet.Membership{}), "it is in no group")
 				g.Expect(m.Lost).To(BeFalse(), "its failures belong to another incarnation")
 				g.Expect(m.Pending).To(BeFalse(), "no order to it is in flight")
@@ -101,40 +101,40 @@
 	}
 }
 
-func TestAnEntryReadAgainBringsNoOldMembershipBack(t *testing.T) {
+func TestRereadEntryKeepsNewerMembership(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	r.Reported("i1", fleet.Report{Membership: member, Orders: 1, Asked: start.Add(time.Second)})
 	r.Listed(free, start.Add(1100*time.Millisecond))
-	m := only(r, start.Add(1100*time.Millisecond))
+	m := onlyMember(r, start.Add(1100*time.Millisecond))
 	g.Expect(m.Membership).To(Equal(member))
 	g.Expect(m.Counted).To(BeTrue())
 }
 
-func TestOrdersAreWorthNothingWithAnotherMembership(t *testing.T) {
+func TestMembershipChangeInvalidatesOrderCount(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	r.Reported("i1", fleet.Report{Orders: 0, Asked: start.Add(time.Second)})
-	g.Expect(only(r, start.Add(time.Second)).Counted).To(BeTrue())
+	g.Expect(onlyMember(r, start.Add(time.Second)).Counted).To(BeTrue())
 	joined := free
 	joined.Membership, joined.Position = member, 6
 	r.Listed(joined, start.Add(1100*time.Millisecond))
-	g.Expect(only(r, start.Add(1100*time.Millisecond)).Counted).To(BeFalse())
+	g.Expect(onlyMember(r, start.Add(1100*time.Millisecond)).Counted).To(BeFalse())
 }
 
-func TestAReportOlderThanTheListCountsForNothing(t *testing.T) {
+func TestReportOlderThanListIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	joined := free
 	joined.Membership, joined.Position = member, 6
 	r.Listed(joined, start.Add(time.Second))
 	r.Reported("i1", fleet.Report{Orders: 1, Asked: start.Add(1100 * time.Millisecond)})
-	m := only(r, start.Add(1100*time.Millisecond))
+	m := onlyMember(r, start.Add(1100*time.Millisecond))
 	g.Expect(m.Membership).To(Equal(member))
 	g.Expect(m.Counted).To(BeFalse())
 }
 
-func TestAMembershipIsKnownOnlyFromAnInstanceThatWrites(t *testing.T) {
+func TestMembershipKnownOnlyWhileInstanceWritesEntries(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		at    time.Duration
@@ -147,37 +147,37 @@
 			r := newRoster()
 			now := start.Add(c.at)
 			r.Confirm(now)
-			NewWithT(t).Expect(only(r, now).Known).To(Equal(c.known))
+			NewWithT(t).Expect(onlyMember(r, now).Known).To(Equal(c.known))
 		})
 	}
 }
 
-func TestWhatAnAcceptedOrderDoesIsBelievedAtOnce(t *testing.T) {
+func TestAcceptedOrderUpdatesMembershipAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	r.Reported("i1", fleet.Report{Asked: start.Add(time.Second)})
 	o := placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key(), Members: nil}
 	at := start.Add(1500 * time.Millisecond)
 	r.Ordered(o, r.Ordering("i1"), placement.Begun, at)
-	g.Expect(only(r, at).Membership.State).To(Equal(fleet.Joining))
-	g.Expect(only(r, at).Orders).To(Equal(int64(1)))
+	g.Expect(onlyMember(r, at).Membership.State).To(Equal(fleet.Joining))
+	g.Expect(onlyMember(r, at).Orders).To(Equal(int64(1)))
 	// A report of the state before the order does not undo it.
 	r.Reported("i1", fleet.Report{Asked: at.Add(50 * time.Millisecond)})
-	g.Expect(only(r, at.Add(50*time.Millisecond)).Membership.Key()).To(Equal(member.Key()))
+	g.Expect(onlyMember(r, at.Add(50*time.Millisecond)).Membership.Key()).To(Equal(member.Key()))
 }
 
-func TestAnInstanceIsLostAfterTwoQuestionsWithoutAnswer(t *testing.T) {
+func TestInstanceLostAfterTwoFailedProbes(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	r.Failed("i1", start.Add(time.Second))
-	g.Expect(only(r, start.Add(time.Second)).Lost).To(BeFalse())
+	g.Expect(onlyMember(r, start.Add(time.Second)).Lost).To(BeFalse())
 	r.Failed("i1", start.Add(1200*time.Millisecond))
-	g.Expect(only(r, start.Add(1200*time.Millisecond)).Lost).To(BeTrue())
+	g.Expect(onlyMember(r, start.Add(1200*time.Millisecond)).Lost).To(BeTrue())
 	r.Heard("i1", start.Add(1300*time.Millisecond))
-	g.Expect(only(r, start.Add(1300*time.Millisecond)).Lost).To(BeFalse())
+	g.Expect(onlyMember(r, start.Add(1300*time.Millisecond)).Lost).To(BeFalse())
 }
 
-func TestWordOfAnotherNodeBringsNoLeavingInstanceBack(t *testing.T) {
+func TestRelayedChangeDoesNotRestoreUnlistedInstance(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		relayed func() fleet.Instance
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestWordThatAnInstanceIsLeavingCounts(t *testing.T) {
+func TestRelayedDrainingIsApplied(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	leaving := free
@@ -207,7 +207,7 @@
 	g.Expect(r.All(start.Add(time.Second))[0].Draining).To(BeTrue())
 }
 
-func TestAnEntryThatMayBeOldProvesNoMembership(t *testing.T) {
+func TestPossiblyStaleEntryDoesNotConfirmMembership(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		read  func(r *roster.Roster, in fleet.Instance, now time.Time)
@@ -225,17 +225,17 @@
 			in.Position = 8
 			c.read(r, in, now)
 			r.Confirm(now)
-			NewWithT(t).Expect(only(r, now).Known).To(Equal(c.known))
+			NewWithT(t).Expect(onlyMember(r, now).Known).To(Equal(c.known))
 		})
 	}
 }
 
-func TestAnotherNodeIsToldWhatChangedSince(t *testing.T) {
+func TestChangesReturnsOnlyLaterChanges(t *testing.T) {
 	g := NewWithT(t)
 	from, to := newRoster(), roster.New(roster.Config{Beat: time.Second, Policy: roster.DefaultPolicy()})
 	second := fleet.Instance{ID: "i2", Service: "lm", Position: 6}
 	from.Listed(second, start)
-	tell := func(after uint64, expect int) uint64 {
+	relay := func(after uint64, expect int) uint64 {
 		changes, version := from.Changes(after)
 		g.Expect(changes).To(HaveLen(expect))
 		for _, c := range changes {
@@ -243,31 +243,31 @@
 		}
 		return version
 	}
-	version := tell(0, 2)
+	version := relay(0, 2)
 	g.Expect(to.All(start)).To(HaveLen(2))
-	version = tell(version, 0)
+	version = relay(version, 0)
 
 	again := free
 	again.Position = 7 // a heartbeat without a change is not relayed
 	from.Listed(again, start.Add(time.Second))
-	version = tell(version, 0)
+	version = relay(version, 0)
 
 	from.Unlisted("i1", 8, start.Add(time.Second))
 	joined := second
 	joined.Position, joined.Membership = 9, member
 	from.Listed(joined, start.Add(time.Second))
-	version = tell(version, 2)
+	version = relay(version, 2)
 	views := to.All(start.Add(time.Second))
 	g.Expect(views[0].Unlisted).To(BeTrue())
 	g.Expect(views[1].Membership).To(Equal(member))
 
 	again.Position = 10 // it is listed again
 	from.Listed(again, start.Add(2*time.Second))
-	tell(version, 1)
+	relay(version, 1)
 	g.Expect(to.All(start.Add(2 * time.Second))[0].Unlisted).To(BeFalse())
 }
 
-func TestASnapshotDropsOnlyWhatItCouldHaveShown(t *testing.T) {
+func TestSnapshotDropsOnlyEntriesBeforeItsPosition(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	newer := fleet.Instance{ID: "i2", Service: "lm", Position: 12}
@@ -280,7 +280,7 @@
 
 // A new leader has received the list from another node, which relays only changes. It must
 // not treat instances without a change as silent.
-func TestInstancesThatAnotherNodeListsAreNotDoubted(t *testing.T) {
+func TestRelayedListKeepsInstancesFromBeingDoubtful(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	now := start.Add(20 * time.Second)
@@ -289,17 +289,17 @@
 	g.Expect(r.Doubtful(now)).To(BeEmpty())
 	r.Failed("i1", now.Add(-100*time.Millisecond))
 	r.Failed("i1", now)
-	g.Expect(only(r, now).Gone).To(BeFalse())
+	g.Expect(onlyMember(r, now).Gone).To(BeFalse())
 	g.Expect(r.Doubtful(now)).To(HaveLen(1))
 }
 
 // An instance that was silent for long behind a network partition counts as alive again with
 // its next entry; one whose address another process has taken over does not.
-func TestAnInstanceThatWritesAgainHasNotEnded(t *testing.T) {
+func TestNewEntryRevivesSilentInstance(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		replaced bool
-		back     bool
+		revived  bool
 	}{
 		{"it was silent", false, true},
 		{"another process answers at its address", true, false},
@@ -312,20 +312,20 @@
 			if c.replaced {
 				r.Replaced("i1", start.Add(8*time.Second))
 			}
-			g.Expect(only(r, start.Add(9*time.Second)).Gone).To(BeTrue())
+			g.Expect(onlyMember(r, start.Add(9*time.Second)).Gone).To(BeTrue())
 			again := free
 			again.Position = 9
 			r.Listed(again, start.Add(10*time.Second))
-			m := only(r, start.Add(10*time.Second))
-			g.Expect(m.Gone).To(Equal(!c.back))
-			g.Expect(m.Lost).To(Equal(!c.back))
+			m := onlyMember(r, start.Add(10*time.Second))
+			g.Expect(m.Gone).To(Equal(!c.revived))
+			g.Expect(m.Lost).To(Equal(!c.revived))
 		})
 	}
 }
 
 // An instance announces its shutdown in its answers. List entries and changes relayed by other
 // nodes may still show it as ready for seconds; they must not clear the leaving mark.
-func TestNothingButALaterLifeTakesBackThatAnInstanceLeaves(t *testing.T) {
+func TestOnlyLaterIncarnationClearsLeaving(t *testing.T) {
 	born := start.Add(-time.Minute)
 	old := free
 	old.Born, old.Position = born, 6
@@ -336,7 +336,7 @@
 	for _, c := range []struct {
 		name    string
 		marked  fleet.Incarnation
-		tell    func(r *roster.Roster, now time.Time)
+		apply   func(r *roster.Roster, now time.Time)
 		leaving bool
 	}{
 		{"nothing", old.Incarnation(), func(*roster.Roster, time.Time) {}, true},
@@ -362,8 +362,8 @@
 			g.Expect(r.MarkLeaving(c.marked)).To(Equal(c.name != "an earlier incarnation"))
 			g.Expect(r.MarkLeaving(c.marked)).To(BeFalse(), "it is marked already")
 			now := start.Add(5 * time.Second)
-			c.tell(r, now)
-			g.Expect(only(r, now).Draining).To(Equal(c.leaving))
+			c.apply(r, now)
+			g.Expect(onlyMember(r, now).Draining).To(Equal(c.leaving))
 			g.Expect(r.All(now)[0].Draining).To(Equal(c.leaving))
 			g.Expect(r.Leaving(old.Incarnation())).To(Equal(c.leaving))
 			g.Expect(r.Leaving(next.Incarnation())).To(BeFalse())
@@ -372,7 +372,7 @@
 }
 
 // A relayed leaving mark is applied even by a node that has read a newer list entry.
-func TestAnotherNodeIsToldThatAnInstanceLeaves(t *testing.T) {
+func TestLeavingIsRelayed(t *testing.T) {
 	g := NewWithT(t)
 	r, other := newRoster(), newRoster()
 	newer := free
@@ -388,7 +388,7 @@
 }
 
 // After a network partition the list may show an instance again that was leaving before it.
-func TestALeavingInstanceIsRememberedForLonger(t *testing.T) {
+func TestLeavingInstanceIsRetainedLonger(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		leaving bool
@@ -411,8 +411,8 @@
 
 // The list was restored from a backup: an entry may be older than the known state of its
 // instance, and a missing entry may have been written after the backup was made.
-func TestAnOlderCopyOfTheListTakesNothingBack(t *testing.T) {
-	at := func(era, offset int64, change func(*fleet.Instance)) fleet.Instance {
+func TestRestoreKeepsNewerState(t *testing.T) {
+	entryAt := func(era, offset int64, change func(*fleet.Instance)) fleet.Instance {
 		in := free
 		in.Position = source.Position(era, offset)
 		if change != nil {
@@ -420,61 +420,61 @@
 		}
 		return in
 	}
-	drains := func(in *fleet.Instance) { in.Draining = true }
-	joined := func(in *fleet.Instance) { in.Membership = member }
-	known := at(1, 20, joined)
+	drain := func(in *fleet.Instance) { in.Draining = true }
+	join := func(in *fleet.Instance) { in.Membership = member }
+	known := entryAt(1, 20, join)
 	for _, c := range []struct {
 		name string
 		// before sets the state before the backup is read, after applies what is read later.
-		before func(r *roster.Roster)
-		copied []fleet.Instance
-		after  func(r *roster.Roster, now time.Time)
-		want   fleet.Membership
-		leaves bool
-		gone   bool
+		before   func(r *roster.Roster)
+		backup   []fleet.Instance
+		after    func(r *roster.Roster, now time.Time)
+		want     fleet.Membership
+		draining bool
+		unlisted bool
 	}{
-		{name: "an older entry", copied: []fleet.Instance{at(2, 10, nil)}, want: member},
-		{name: "the same entry", copied: []fleet.Instance{at(2, 20, joined)}, want: member},
+		{name: "an older entry", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member},
+		{name: "the same entry", backup: []fleet.Instance{entryAt(2, 20, join)}, want: member},
 		{name: "no entry", want: member},
-		{name: "an entry with a higher offset, written since", copied: []fleet.Instance{at(2, 25, nil)}},
-		{name: "an older entry, then one written since at a lower offset", copied: []fleet.Instance{at(2, 10, nil)}, want: fleet.Membership{},
-			after: func(r *roster.Roster, now time.Time) { r.Listed(at(2, 12, nil), now) }},
-		{name: "it was leaving, not leaving in the backup", copied: []fleet.Instance{at(2, 10, nil)}, want: member, leaves: true,
+		{name: "an entry with a higher offset, written since", backup: []fleet.Instance{entryAt(2, 25, nil)}},
+		{name: "an older entry, then one written since at a lower offset", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: fleet.Membership{},
+			after: func(r *roster.Roster, now time.Time) { r.Listed(entryAt(2, 12, nil), now) }},
+		{name: "it was leaving, not leaving in the backup", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member, draining: true,
 			before: func(r *roster.Roster) {
-				r.Listed(at(1, 21, func(in *fleet.Instance) { joined(in); drains(in) }), start)
+				r.Listed(entryAt(1, 21, func(in *fleet.Instance) { join(in); drain(in) }), start)
 			}},
-		{name: "leaving in the backup", copied: []fleet.Instance{at(2, 10, drains)}, want: member, leaves: true},
-		{name: "it was unlisted, listed in the backup", copied: []fleet.Instance{at(2, 10, nil)}, want: member, leaves: true, gone: true,
+		{name: "leaving in the backup", backup: []fleet.Instance{entryAt(2, 10, drain)}, want: member, draining: true},
+		{name: "it was unlisted, listed in the backup", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member, draining: true, unlisted: true,
 			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) }},
-		{name: "it was unlisted, listed in the backup, whole list read again", copied: []fleet.Instance{at(2, 10, nil)}, want: member, leaves: true, gone: true,
+		{name: "it was unlisted, listed in the backup, whole list read again", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member, draining: true, unlisted: true,
 			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) },
 			after: func(r *roster.Roster, now time.Time) {
-				r.Snapshot([]fleet.Instance{at(2, 10, nil)}, source.Position(2, 11), now)
+				r.Snapshot([]fleet.Instance{entryAt(2, 10, nil)}, source.Position(2, 11), now)
 			}},
-		{name: "it was unlisted, then writes again", copied: []fleet.Instance{at(2, 10, nil)},
+		{name: "it was unlisted, then writes again", backup: []fleet.Instance{entryAt(2, 10, nil)},
 			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) },
-			after:  func(r *roster.Roster, now time.Time) { r.Listed(at(2, 11, nil), now) }},
-		{name: "no entry, whole list read again", want: member, leaves: true, gone: true,
+			after:  func(r *roster.Roster, now time.Time) { r.Listed(entryAt(2, 11, nil), now) }},
+		{name: "no entry, whole list read again", want: member, draining: true, unlisted: true,
 			after: func(r *roster.Roster, now time.Time) { r.Snapshot(nil, source.Position(2, 11), now) }},
 		{name: "no entry, then one at the next offset", want: fleet.Membership{},
 			after: func(r *roster.Roster, now time.Time) {
 				r.Snapshot(nil, source.Position(2, 11), now)
-				r.Listed(at(2, 11, nil), now)
+				r.Listed(entryAt(2, 11, nil), now)
 			}},
-		{name: "a second backup during the first", copied: []fleet.Instance{at(2, 10, nil)}, want: member,
-			after: func(r *roster.Roster, now time.Time) { r.Restore([]fleet.Instance{at(3, 8, nil)}, now) }},
-		{name: "relayed by a node that knows only the backup", copied: nil, want: fleet.Membership{}, leaves: true,
-			before: func(r *roster.Roster) { r.Listed(at(1, 21, drains), start) },
+		{name: "a second backup during the first", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member,
+			after: func(r *roster.Roster, now time.Time) { r.Restore([]fleet.Instance{entryAt(3, 8, nil)}, now) }},
+		{name: "relayed by a node that knows only the backup", backup: nil, want: fleet.Membership{}, draining: true,
+			before: func(r *roster.Roster) { r.Listed(entryAt(1, 21, drain), start) },
 			after: func(r *roster.Roster, now time.Time) {
-				r.Relayed(roster.Change{Instance: at(2, 10, nil), Restored: true}, now)
+				r.Relayed(roster.Change{Instance: entryAt(2, 10, nil), Restored: true}, now)
 			}},
-		{name: "unlisted, relayed by a node that knows only the backup", copied: nil, want: member, leaves: true, gone: true,
+		{name: "unlisted, relayed by a node that knows only the backup", backup: nil, want: member, draining: true, unlisted: true,
 			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) },
 			after: func(r *roster.Roster, now time.Time) {
-				r.Relayed(roster.Change{Instance: at(2, 10, nil), Restored: true}, now)
+				r.Relayed(roster.Change{Instance: entryAt(2, 10, nil), Restored: true}, now)
 			}},
-		{name: "relayed by a node of the previous era", copied: []fleet.Instance{at(2, 10, nil)}, want: member,
-			after: func(r *roster.Roster, now time.Time) { r.Relayed(roster.Change{Instance: at(1, 30, drains)}, now) }},
+		{name: "relayed by a node of the previous era", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member,
+			after: func(r *roster.Roster, now time.Time) { r.Relayed(roster.Change{Instance: entryAt(1, 30, drain)}, now) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -484,15 +484,15 @@
 				c.before(r)
 			}
 			now := start.Add(time.Second)
-			r.Restore(c.copied, now)
+			r.Restore(c.backup, now)
 			if c.after != nil {
 				c.after(r, now)
 			}
 			later := now.Add(roster.DefaultPolicy().UnlistedGrace + time.Millisecond)
 			v := r.All(later)[0]
 			g.Expect(v.Membership).To(Equal(c.want))
-			g.Expect(v.Draining).To(Equal(c.leaves))
-			g.Expect(v.Unlisted).To(Equal(c.gone))
+			g.Expect(v.Draining).To(Equal(c.draining))
+			g.Expect(v.Unlisted).To(Equal(c.unlisted))
 		})
 	}
 }
--- a/coordination/roster/view.go
+++ b/coordination/roster/view.go
@@ -16,23 +16,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []placement.Member
-	for id, e := range r.m {
-		r.age(id, e, now)
+	for id, e := range r.entries {
+		r.updateLiveness(id, e, now)
 		if e.listed.Service != service {
 			continue
 		}
-		lost := r.lostToAll(e, now)
+		lost := r.unreachableFromAll(e, now)
 		list = append(list, placement.Member{
 			Instance:   e.current(),
 			Orders:     e.orders,
-			Counted:    e.counted,
-			Known:      r.known(e, since, now),
+			Counted:    e.ordersKnown,
+			Known:      r.membershipKnown(e, since, now),
 			Lost:       lost,
 			Far:        !lost && e.lost(now),
 			Gone:       e.gone,
-			Pending:    e.pending,
+			Pending:    e.orderPending,
 			Superseded: e.superseded,
-			Seen:       e.seen,
+			Seen:       e.firstSeen,
 		})
 	}
 	slices.SortFunc(list, func(a, b placement.Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
@@ -45,9 +45,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []fleet.Instance
-	for _, e := range r.m {
-		stopped := now.Sub(r.lastBeat(e)) > 2*r.cfg.Beat+r.cfg.Beat/4 || !e.inList
-		if !e.gone && (e.failures > 0 || stopped && now.Sub(e.heard) > r.cfg.Beat) {
+	for _, e := range r.entries {
+		heartbeatsStopped := now.Sub(r.lastHeartbeat(e)) > 2*r.cfg.Beat+r.cfg.Beat/4 || !e.inList
+		if !e.gone && (e.failures > 0 || heartbeatsStopped && now.Sub(e.answeredAt) > r.cfg.Beat) {
 			list = append(list, e.listed)
 		}
 	}
@@ -67,17 +67,17 @@
 func (r *Roster) All(now time.Time) []View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]View, 0, len(r.m))
-	for id, e := range r.m {
-		if e.forgotten(now) {
-			delete(r.m, id)
+	list := make([]View, 0, len(r.entries))
+	for id, e := range r.entries {
+		if e.expired(now) {
+			delete(r.entries, id)
 			continue
 		}
 		if e.gone {
 			continue
 		}
 		v := View{Instance: e.current(), Lost: e.lost(now), Unlisted: !e.inList}
-		v.Draining = v.Draining || (v.Unlisted && now.Sub(e.unlisted) > e.policy.UnlistedGrace)
+		v.Draining = v.Draining || (v.Unlisted && now.Sub(e.unlistedAt) > e.policy.UnlistedGrace)
 		list = append(list, v)
 	}
 	slices.SortFunc(list, func(a, b View) int { return strings.Compare(string(a.ID), string(b.ID)) })
@@ -88,7 +88,7 @@
 func (r *Roster) Get(id state.InstanceID, now time.Time) (View, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[id]
+	e := r.entries[id]
 	if e == nil || e.gone {
 		return View{}, false
 	}
