--- a/coordination/evidence/evidence.go
+++ b/coordination/evidence/evidence.go
@@ -56,21 +56,21 @@
 
 // Table holds the newest report of each instance, in separately locked shards.
 type Table struct {
-	shards [shardCount]shard
-	mu     sync.Mutex
-	listed map[state.InstanceID]bool
+	shards        [shardCount]shard
+	mu            sync.Mutex
+	leavingByList map[state.InstanceID]bool
 }
 
 type shard struct {
-	mu sync.RWMutex
-	m  map[state.InstanceID]Entry
+	mu      sync.RWMutex
+	entries map[state.InstanceID]Entry
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table {
 	t := &Table{}
 	for i := range t.shards {
-		t.shards[i].m = map[state.InstanceID]Entry{}
+		t.shards[i].entries = map[state.InstanceID]Entry{}
 	}
 	return t
 }
@@ -80,16 +80,16 @@
 	return &t.shards[xxhash.Sum64String(string(id))%shardCount]
 }
 
-// Observe records a report whose probe was sent at asked. It is dropped unless it is newer than
-// the report held.
-func (t *Table) Observe(r Report, asked time.Time) {
+// Observe records a report whose probe was sent at probedAt. It is dropped unless it is newer
+// than the report held.
+func (t *Table) Observe(r Report, probedAt time.Time) {
 	s := t.shard(r.Instance)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.m[r.Instance]; ok && !asked.After(old.Asked) {
+	if old, ok := s.entries[r.Instance]; ok && !probedAt.After(old.Asked) {
 		return
 	}
-	s.m[r.Instance] = Entry{Report: r, Asked: asked}
+	s.entries[r.Instance] = Entry{Report: r, Asked: probedAt}
 }
 
 // Get returns the newest report of an instance.
@@ -97,7 +97,7 @@
 	s := t.shard(id)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	e, ok := s.m[id]
+	e, ok := s.entries[id]
 	return e, ok
 }
 
@@ -109,13 +109,13 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.listed = m
+	t.leavingByList = m
 }
 
 // Leaving reports whether an instance is leaving according to the list or its own report.
 func (t *Table) Leaving(id state.InstanceID) bool {
 	t.mu.Lock()
-	listed := t.listed[id]
+	listed := t.leavingByList[id]
 	t.mu.Unlock()
 	if listed {
 		return true
@@ -154,7 +154,7 @@
 	w := Wholeness{Identity: uint64(g.Epoch)}
 	for rank, id := range g.Members {
 		e, ok := t.Get(id)
-		if detail := mismatch(g, rank, e, ok, now, window); detail != "" {
+		if detail := memberMismatch(g, rank, e, ok, now, window); detail != "" {
 			w.Faults = append(w.Faults, Fault{Instance: id, Detail: detail})
 			continue
 		}
@@ -162,7 +162,7 @@
 		if w.Until.IsZero() || until.Before(w.Until) {
 			w.Until = until
 		}
-		w.Identity = w.Identity*prime + xxhash.Sum64String(e.Incarnation)
+		w.Identity = w.Identity*identityMultiplier + xxhash.Sum64String(e.Incarnation)
 		w.Leaving = w.Leaving || t.Leaving(id)
 		if rank == 0 {
 			w.Leader = e.Report
@@ -197,11 +197,11 @@
 	}
 }
 
-// prime is the multiplier that makes Identity depend on the order of the members' incarnations.
-const prime = 1099511628211
+// identityMultiplier makes Identity depend on the order of the members' incarnations.
+const identityMultiplier = 1099511628211
 
-// mismatch describes why a member does not match the group, or returns "".
-func mismatch(g *state.Group, rank int, e Entry, ok bool, now time.Time, window time.Duration) string {
+// memberMismatch describes why a member does not match the group, or returns "".
+func memberMismatch(g *state.Group, rank int, e Entry, ok bool, now time.Time, window time.Duration) string {
 	if g.Members[rank] == "" {
 		return "the seat is vacant"
 	}
--- a/coordination/evidence/evidence_test.go
+++ b/coordination/evidence/evidence_test.go
@@ -17,7 +17,7 @@
 
 const window = 1500 * time.Millisecond
 
-var epoch = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
+var start = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
 // pair is a group with two members in epoch 5.
 var pair = &state.Group{Name: "g", Epoch: 5, Members: []state.InstanceID{"a", "b"}}
@@ -34,10 +34,10 @@
 		return r
 	}
 	cases := []struct {
-		name  string
-		b     evidence.Report
-		age   time.Duration
-		whole bool
+		name     string
+		b        evidence.Report
+		age      time.Duration
+		complete bool
 	}{
 		{"complete", ready("b", 1), 0, true},
 		{"just inside the window", ready("b", 1), window - time.Millisecond, true},
@@ -52,12 +52,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			table := evidence.NewTable()
-			now := epoch.Add(time.Hour)
+			now := start.Add(time.Hour)
 			table.Observe(ready("a", 0), now)
 			table.Observe(c.b, now.Add(-c.age))
 			w := table.Judge(pair, now, window)
-			g.Expect(len(w.Faults) == 0).To(Equal(c.whole))
-			if !c.whole {
+			g.Expect(len(w.Faults) == 0).To(Equal(c.complete))
+			if !c.complete {
 				g.Expect(w.Until.IsZero()).To(BeTrue())
 				g.Expect(w.Faults[0].Instance).To(Equal(state.InstanceID("b")))
 				return
@@ -70,22 +70,22 @@
 func TestIdentityChangesWithEveryRestart(t *testing.T) {
 	g := NewWithT(t)
 	table := evidence.NewTable()
-	table.Observe(ready("a", 0), epoch)
-	table.Observe(ready("b", 1), epoch)
-	before := table.Judge(pair, epoch, window).Identity
+	table.Observe(ready("a", 0), start)
+	table.Observe(ready("b", 1), start)
+	before := table.Judge(pair, start, window).Identity
 	again := ready("b", 1)
 	again.Incarnation = "2"
-	table.Observe(again, epoch.Add(time.Second))
-	g.Expect(table.Judge(pair, epoch.Add(time.Second), window).Identity).NotTo(Equal(before))
+	table.Observe(again, start.Add(time.Second))
+	g.Expect(table.Judge(pair, start.Add(time.Second), window).Identity).NotTo(Equal(before))
 }
 
 func TestOlderReportIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	table := evidence.NewTable()
-	table.Observe(ready("a", 0), epoch.Add(time.Second))
+	table.Observe(ready("a", 0), start.Add(time.Second))
 	late := ready("a", 0)
 	late.Epoch = 4
-	table.Observe(late, epoch)
+	table.Observe(late, start)
 	e, _ := table.Get("a")
 	g.Expect(e.Epoch).To(Equal(state.Epoch(5)))
 }
@@ -98,104 +98,104 @@
 	for n := range 16 {
 		id := state.InstanceID(fmt.Sprint(n))
 		big.Members = append(big.Members, id)
-		table.Observe(ready(id, n), epoch)
+		table.Observe(ready(id, n), start)
 	}
-	g.Expect(testing.AllocsPerRun(100, func() { table.Judge(big, epoch, window) })).To(BeZero())
+	g.Expect(testing.AllocsPerRun(100, func() { table.Judge(big, start, window) })).To(BeZero())
 }
 
-func TestLeavingByTheListOrByItsOwnWord(t *testing.T) {
+func TestLeavingByListOrOwnReport(t *testing.T) {
 	g := NewWithT(t)
 	table := evidence.NewTable()
 	table.SetListed([]state.InstanceID{"a"})
 	own := ready("b", 1)
 	own.Leaving = true
-	table.Observe(own, epoch)
+	table.Observe(own, start)
 	g.Expect(table.Leaving("a")).To(BeTrue())
 	g.Expect(table.Leaving("b")).To(BeTrue())
 	g.Expect(table.Leaving("c")).To(BeFalse())
 	table.SetListed(nil)
 	g.Expect(table.Leaving("a")).To(BeFalse())
-	g.Expect(table.Judge(pair, epoch, window).Leaving).To(BeTrue())
+	g.Expect(table.Judge(pair, start, window).Leaving).To(BeTrue())
 }
 
 // One node probes and another one merges its feed, with delays at any point between request
 // and response. The second node's evidence must never look newer than the first node's probe,
 // and each of its reports must be one that the instance gave to such a probe.
-func TestEvidenceNeverLooksYounger(t *testing.T) {
+func TestMergedEvidenceIsNeverNewerThanItsProbe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := epoch
+		now := start
 		pause := func(name string) { now = now.Add(time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, name))) }
 		feed, table, mirror := evidence.NewFeed(), evidence.NewTable(), &evidence.Mirror{}
 		incarnation := "n1"
-		truth := map[state.InstanceID][]evidence.Entry{}
+		probed := map[state.InstanceID][]evidence.Entry{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := state.InstanceID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "instance"))
 			switch rapid.IntRange(0, 4).Draw(t, "act") {
 			case 0, 1:
-				asked := now
+				probedAt := now
 				pause("probe")
 				r := evidence.Report{Instance: id, Incarnation: "1", Group: "g", Epoch: state.Epoch(rapid.IntRange(1, 3).Draw(t, "epoch")), Phase: evidence.PhaseReady}
-				feed.Observe(r, asked)
-				truth[id] = append(truth[id], evidence.Entry{Report: r, Asked: asked})
+				feed.Observe(r, probedAt)
+				probed[id] = append(probed[id], evidence.Entry{Report: r, Asked: probedAt})
 			case 2:
 				feed.Expire(now.Add(-window))
 			case 3:
-				asked := now
+				requestedAt := now
 				pause("to the peer")
 				d := feed.Since(mirror.Version)
-				var confirmed time.Duration
+				var oldestAge time.Duration
 				if !d.Confirmed.IsZero() {
-					confirmed = now.Sub(d.Confirmed)
+					oldestAge = now.Sub(d.Confirmed)
 				}
 				ages := make([]time.Duration, len(d.Changed))
 				for i, e := range d.Changed {
 					ages[i] = now.Sub(e.Asked)
 				}
 				pause("back")
-				mirror.Merge(table, incarnation, d, asked, confirmed, ages)
+				mirror.Merge(table, incarnation, d, requestedAt, oldestAge, ages)
 			default:
 				if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
 					feed, incarnation = evidence.NewFeed(), incarnation+"'"
 					mirror.Version = 0
 				}
 			}
-			checkAges(t, table, truth)
+			checkAges(t, table, probed)
 		}
 	})
 }
 
 // checkAges fails if an entry is newer than every probe that returned its report.
-func checkAges(t *rapid.T, table *evidence.Table, truth map[state.InstanceID][]evidence.Entry) {
-	for id, list := range truth {
+func checkAges(t *rapid.T, table *evidence.Table, probed map[state.InstanceID][]evidence.Entry) {
+	for id, list := range probed {
 		e, ok := table.Get(id)
 		if !ok {
 			continue
 		}
-		proved := false
-		for _, real := range list {
-			proved = proved || (real.Report == e.Report && !e.Asked.After(real.Asked))
+		found := false
+		for _, entry := range list {
+			found = found || (entry.Report == e.Report && !e.Asked.After(entry.Asked))
 		}
-		if !proved {
+		if !found {
 			t.Fatalf("%s: table has %+v, probes returned %+v", id, e, list)
 		}
 	}
 }
 
 // While nothing changes, a peer gets no report again, only the time of the oldest probe.
-func TestFeedTellsOnlyWhatChanged(t *testing.T) {
+func TestFeedSinceReturnsOnlyChanges(t *testing.T) {
 	g := NewWithT(t)
 	feed := evidence.NewFeed()
 	for n := range 100 {
-		feed.Observe(ready(state.InstanceID(fmt.Sprint(n)), n+1), epoch)
+		feed.Observe(ready(state.InstanceID(fmt.Sprint(n)), n+1), start)
 	}
 	all := feed.Since(0)
 	g.Expect(all.Changed).To(HaveLen(100))
 	for n := range 100 {
-		feed.Observe(ready(state.InstanceID(fmt.Sprint(n)), n+1), epoch.Add(time.Second))
+		feed.Observe(ready(state.InstanceID(fmt.Sprint(n)), n+1), start.Add(time.Second))
 	}
 	d := feed.Since(all.Version)
 	g.Expect(d.Changed).To(BeEmpty())
-	g.Expect(d.Confirmed).To(Equal(epoch.Add(time.Second)))
-	feed.Expire(epoch.Add(2 * time.Second))
+	g.Expect(d.Confirmed).To(Equal(start.Add(time.Second)))
+	feed.Expire(start.Add(2 * time.Second))
 	g.Expect(feed.Since(all.Version).Lost).To(HaveLen(100))
 }
--- a/coordination/evidence/feed.go
+++ b/coordination/evidence/feed.go
@@ -12,56 +12,57 @@
 type Feed struct {
 	mu      sync.Mutex
 	version uint64
-	own     map[state.InstanceID]*fed
+	entries map[state.InstanceID]*feedEntry
 }
 
-// fed is one report; lost is set once it has expired.
-type fed struct {
-	report  Report
-	asked   time.Time
-	version uint64
-	lost    bool
+// feedEntry is one report of a Feed. It expires when it is too old, which includes that the
+// instance is no longer probed by this node.
+type feedEntry struct {
+	report   Report
+	probedAt time.Time
+	version  uint64
+	expired  bool
 }
 
 // Delta holds the changes of a Feed since a version.
 type Delta struct {
 	Version uint64
-	// Confirmed is the send time of the oldest probe behind any report that is not lost.
+	// Confirmed is the send time of the oldest probe behind any report that has not expired.
 	Confirmed time.Time
 	Changed   []Entry
 	Lost      []state.InstanceID
 }
 
 // NewFeed returns an empty Feed.
-func NewFeed() *Feed { return &Feed{own: map[state.InstanceID]*fed{}} }
+func NewFeed() *Feed { return &Feed{entries: map[state.InstanceID]*feedEntry{}} }
 
-// Observe records a report whose probe this node sent at asked.
-func (f *Feed) Observe(r Report, asked time.Time) {
+// Observe records a report whose probe this node sent at probedAt.
+func (f *Feed) Observe(r Report, probedAt time.Time) {
 	if r.Rank != 0 || r.Group == "" {
 		r.Load = Load{}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e, ok := f.own[r.Instance]
+	e, ok := f.entries[r.Instance]
 	if !ok {
-		e = &fed{}
-		f.own[r.Instance] = e
+		e = &feedEntry{}
+		f.entries[r.Instance] = e
 	}
-	if !ok || e.lost || e.report != r {
+	if !ok || e.expired || e.report != r {
 		f.version++
 		e.version = f.version
 	}
-	e.report, e.asked, e.lost = r, asked, false
+	e.report, e.probedAt, e.expired = r, probedAt, false
 }
 
-// Expire marks every report whose probe was sent before a time as lost.
+// Expire marks every report whose probe was sent before a time as expired.
 func (f *Feed) Expire(before time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, e := range f.own {
-		if !e.lost && e.asked.Before(before) {
+	for _, e := range f.entries {
+		if !e.expired && e.probedAt.Before(before) {
 			f.version++
-			e.lost, e.version = true, f.version
+			e.expired, e.version = true, f.version
 		}
 	}
 }
@@ -71,18 +72,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := Delta{Version: f.version}
-	for id, e := range f.own {
-		if e.lost {
+	for id, e := range f.entries {
+		if e.expired {
 			if e.version > version {
 				d.Lost = append(d.Lost, id)
 			}
 			continue
 		}
-		if d.Confirmed.IsZero() || e.asked.Before(d.Confirmed) {
-			d.Confirmed = e.asked
+		if d.Confirmed.IsZero() || e.probedAt.Before(d.Confirmed) {
+			d.Confirmed = e.probedAt
 		}
 		if e.version > version {
-			d.Changed = append(d.Changed, Entry{Report: e.report, Asked: e.asked})
+			d.Changed = append(d.Changed, Entry{Report: e.report, Asked: e.probedAt})
 		}
 	}
 	return d
@@ -106,29 +107,29 @@
 
 // Merge applies a Delta to the mirror and the table and returns the reports that it applied.
 //
-// asked is when this node sent its request to the peer, by its own clock. ages are the
-// ages of the changed reports at the peer, and confirmed is the age of the oldest
+// requestedAt is when this node sent its request to the peer, by its own clock. ages are
+// the ages of the changed reports at the peer, and oldestAge is the age of the oldest
 // evidence there. The ages are subtracted from the time of the request, not of the
 // response: evidence can only look older than it is, never newer.
-func (m *Mirror) Merge(t *Table, incarnation string, d Delta, asked time.Time, confirmed time.Duration, ages []time.Duration) []Report {
+func (m *Mirror) Merge(t *Table, incarnation string, d Delta, requestedAt time.Time, oldestAge time.Duration, ages []time.Duration) []Report {
 	m.Follow(incarnation)
 	m.Version = d.Version
 	for _, id := range d.Lost {
 		delete(m.reports, id)
 	}
-	taken := make([]Report, 0, len(m.reports)+len(d.Changed))
+	applied := make([]Report, 0, len(m.reports)+len(d.Changed))
 	changed := map[state.InstanceID]bool{}
 	for i, e := range d.Changed {
 		m.reports[e.Instance] = e.Report
 		changed[e.Instance] = true
-		t.Observe(e.Report, asked.Add(-ages[i]))
-		taken = append(taken, e.Report)
+		t.Observe(e.Report, requestedAt.Add(-ages[i]))
+		applied = append(applied, e.Report)
 	}
 	for id, r := range m.reports {
 		if !changed[id] {
-			t.Observe(r, asked.Add(-confirmed))
-			taken = append(taken, r)
+			t.Observe(r, requestedAt.Add(-oldestAge))
+			applied = append(applied, r)
 		}
 	}
-	return taken
+	return applied
 }
--- a/coordination/localhealth/localhealth.go
+++ b/coordination/localhealth/localhealth.go
@@ -10,60 +10,62 @@
 
 // Thresholds for late timers and late calls.
 const (
-	// lateAfter is the timer delay from which the process counts as late.
-	lateAfter = 40 * time.Millisecond
-	// lateCall is the delay between a call's deadline and the detection of its end from
+	// lateTimerDelay is the timer delay from which the process counts as late.
+	lateTimerDelay = 40 * time.Millisecond
+	// lateCallDelay is the delay between a call's deadline and the detection of its end from
 	// which a timed-out call is inconclusive. A late timer does not always show this delay:
 	// the scheduler serves timers first, while each step of reading a response waits behind
 	// all runnable goroutines. 99 probes of live instances ended 20 to 150 ms late in
 	// seconds without a late timer.
-	lateCall = 10 * time.Millisecond
-	// lateFor is how long after a late timer the process's own timeouts are inconclusive.
-	lateFor = 150 * time.Millisecond
-	// window is the span over which late timers are counted.
-	window = 2 * time.Second
-	// overloadedAt is the number of late timers within window at which the process counts as overloaded.
-	overloadedAt = 6
+	lateCallDelay = 10 * time.Millisecond
+	// inconclusivePeriod is how long after a late timer the process's own timeouts are inconclusive.
+	inconclusivePeriod = 150 * time.Millisecond
+	// overloadWindow is the span over which late timers are counted.
+	overloadWindow = 2 * time.Second
+	// overloadThreshold is the number of late timers within overloadWindow at which the process counts
+	// as overloaded.
+	overloadThreshold = 6
 )
 
 // Monitor records the most recent late firings of a periodic timer. It is safe for concurrent use.
 type Monitor struct {
-	mu   sync.Mutex
-	late []time.Time
+	mu         sync.Mutex
+	lateTimers []time.Time
 }
 
 // Observe records by how much a timer fired late.
 func (m *Monitor) Observe(delay time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if delay < lateAfter {
+	if delay < lateTimerDelay {
 		return
 	}
-	if len(m.late) == overloadedAt {
-		m.late = append(m.late[:0], m.late[1:]...)
+	if len(m.lateTimers) == overloadThreshold {
+		m.lateTimers = append(m.lateTimers[:0], m.lateTimers[1:]...)
 	}
-	m.late = append(m.late, now)
+	m.lateTimers = append(m.lateTimers, now)
 }
 
-// Delayed reports whether a timer fired late since the given time or less than lateFor ago.
-// If so, a timeout of this process since then is inconclusive.
+// Delayed reports whether a timer fired late since the given time or less than
+// inconclusivePeriod ago. If so, a timeout of this process since then is inconclusive.
 func (m *Monitor) Delayed(since, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.late) == 0 {
+	if len(m.lateTimers) == 0 {
 		return false
 	}
-	newest := m.late[len(m.late)-1]
-	return !newest.Before(since) || now.Sub(newest) < lateFor
+	newest := m.lateTimers[len(m.lateTimers)-1]
+	return !newest.Before(since) || now.Sub(newest) < inconclusivePeriod
 }
 
 // Overran reports whether the end of a call was detected so long after its deadline that
 // the response may have arrived and be waiting for this process.
-func Overran(deadline, now time.Time) bool { return now.Sub(deadline) >= lateCall }
+func Overran(deadline, now time.Time) bool { return now.Sub(deadline) >= lateCallDelay }
 
-// Overloaded reports whether the last overloadedAt late timers fired within window.
+// Overloaded reports whether the last overloadThreshold late timers fired within
+// overloadWindow.
 func (m *Monitor) Overloaded(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.late) == overloadedAt && now.Sub(m.late[0]) < window
+	return len(m.lateTimers) == overloadThreshold && now.Sub(m.lateTimers[0]) < overloadWindow
 }
--- a/coordination/localhealth/localhealth_test.go
+++ b/coordination/localhealth/localhealth_test.go
@@ -11,11 +11,11 @@
 
 var start = time.Unix(1000, 0)
 
-func TestAnOwnDelayExcusesOthersForAMoment(t *testing.T) {
+func TestDelayedAfterLateTimer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		delay   time.Duration
-		asked   time.Duration
+		since   time.Duration
 		now     time.Duration
 		delayed bool
 	}{
@@ -27,12 +27,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			var m localhealth.Monitor
 			m.Observe(c.delay, start)
-			NewWithT(t).Expect(m.Delayed(start.Add(c.asked), start.Add(c.now))).To(Equal(c.delayed))
+			NewWithT(t).Expect(m.Delayed(start.Add(c.since), start.Add(c.now))).To(Equal(c.delayed))
 		})
 	}
 }
 
-func TestOverloadIsLatenessAgainAndAgain(t *testing.T) {
+func TestOverloadedAfterRepeatedLateTimers(t *testing.T) {
 	g := NewWithT(t)
 	var m localhealth.Monitor
 	now := start
@@ -46,7 +46,7 @@
 	g.Expect(m.Overloaded(now.Add(3 * time.Second))).To(BeFalse())
 }
 
-func TestACallNoticedLongAfterItsDeadlineProvesNothing(t *testing.T) {
+func TestOverranAfterLateDetection(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		after   time.Duration
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -37,29 +37,30 @@
 
 // Directory holds the known nodes. Use NewDirectory to create one.
 type Directory struct {
-	self     Node
-	liveness time.Duration
-	mu       sync.RWMutex
-	nodes    map[string]Node
-	held     map[string]heldWord
-	suspects map[string]time.Time
+	self            Node
+	livenessTimeout time.Duration
+	mu              sync.RWMutex
+	nodes           map[string]Node
+	inFlight        map[string]inFlightReport
+	suspectedAt     map[string]time.Time
 }
 
-// heldWord is a node's own count of its requests in flight by group, with the status report that came with it.
-type heldWord struct {
-	node Node
-	held map[state.GroupName]int
+// inFlightReport is a node's own count of its requests in flight by group, with the status report
+// that came with it.
+type inFlightReport struct {
+	node     Node
+	inFlight map[state.GroupName]int
 }
 
 // NewDirectory returns a Directory for a node. A peer in the same hall that is silent for longer
-// than liveness does not count as live.
-func NewDirectory(self Node, liveness time.Duration) *Directory {
+// than livenessTimeout does not count as live.
+func NewDirectory(self Node, livenessTimeout time.Duration) *Directory {
 	return &Directory{
-		self:     self,
-		liveness: liveness,
-		nodes:    map[string]Node{},
-		held:     map[string]heldWord{},
-		suspects: map[string]time.Time{},
+		self:            self,
+		livenessTimeout: livenessTimeout,
+		nodes:           map[string]Node{},
+		inFlight:        map[string]inFlightReport{},
+		suspectedAt:     map[string]time.Time{},
 	}
 }
 
@@ -90,12 +91,12 @@
 }
 
 // LearnHeld records a status report that came from the node itself, with its requests in flight by group.
-func (d *Directory) LearnHeld(n Node, held map[state.GroupName]int) {
+func (d *Directory) LearnHeld(n Node, inFlight map[state.GroupName]int) {
 	d.Learn(n)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if old, ok := d.held[n.Name]; !ok || n.SaidAt.After(old.node.SaidAt) {
-		d.held[n.Name] = heldWord{node: n, held: held}
+	if old, ok := d.inFlight[n.Name]; !ok || n.SaidAt.After(old.node.SaidAt) {
+		d.inFlight[n.Name] = inFlightReport{node: n, inFlight: inFlight}
 	}
 }
 
@@ -111,16 +112,16 @@
 	return list
 }
 
-// farLiveness is the factor by which the liveness timeout is longer for a node of another
-// hall: its status reports arrive less often, relayed by one node of this hall.
-const farLiveness = 3
+// remoteLivenessFactor is the factor by which the liveness timeout is longer for a node of
+// another hall: its status reports arrive less often, relayed by one node of this hall.
+const remoteLivenessFactor = 3
 
 // Live returns the live peers of a hall, or of all halls if hall is empty.
 func (d *Directory) Live(hall state.HallName, now time.Time) []Node {
 	return slices.DeleteFunc(d.Known(), func(n Node) bool {
-		limit := d.liveness
+		limit := d.livenessTimeout
 		if n.Hall != d.self.Hall {
-			limit *= farLiveness
+			limit *= remoteLivenessFactor
 		}
 		return (hall != "" && n.Hall != hall) || now.Sub(n.SaidAt) > limit || d.suspected(n)
 	})
@@ -130,18 +131,18 @@
 func (d *Directory) Suspect(name string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.suspects[name] = now
+	d.suspectedAt[name] = now
 }
 
 // suspected reports whether a node could not be reached since its latest status report.
 func (d *Directory) suspected(n Node) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return !n.SaidAt.After(d.suspects[n.Name])
+	return !n.SaidAt.After(d.suspectedAt[n.Name])
 }
 
-// HallNames returns the names of the node itself and its live peers in its own hall.
-func (d *Directory) HallNames(now time.Time) []string {
+// LiveHallNodes returns the names of the node itself and its live peers in its own hall.
+func (d *Directory) LiveHallNodes(now time.Time) []string {
 	names := []string{d.self.Name}
 	for _, n := range d.Live(d.self.Hall, now) {
 		names = append(names, n.Name)
@@ -152,7 +153,7 @@
 
 // Mine reports whether this node owns a piece of the hall's work.
 func (d *Directory) Mine(key string, now time.Time) bool {
-	return Owner(key, d.HallNames(now)) == d.self.Name
+	return Owner(key, d.LiveHallNodes(now)) == d.self.Name
 }
 
 // ClearedOf reports whether every other node of the group's hall has applied the group's drain
@@ -160,17 +161,17 @@
 //
 // Only a report from the node itself counts, with the offset that it had applied at
 // that time: a relayed report may be newer than the count of its requests. A silent
-// node blocks for as long as gone, since it may still be working on a request. After
+// node blocks for as long as goneAfter, since it may still be working on a request. After
 // that its connections count as closed.
-func (d *Directory) ClearedOf(g *state.Group, now time.Time, gone time.Duration) bool {
+func (d *Directory) ClearedOf(g *state.Group, now time.Time, goneAfter time.Duration) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for name, n := range d.nodes {
-		if n.Hall != g.Hall || now.Sub(n.SaidAt) > gone {
+		if n.Hall != g.Hall || now.Sub(n.SaidAt) > goneAfter {
 			continue
 		}
-		word := d.held[name]
-		if word.node.Applied < g.Drained || now.Sub(word.node.SaidAt) > d.liveness || word.held[g.Name] > 0 {
+		last := d.inFlight[name]
+		if last.node.Applied < g.Drained || now.Sub(last.node.SaidAt) > d.livenessTimeout || last.inFlight[g.Name] > 0 {
 			return false
 		}
 	}
@@ -180,27 +181,27 @@
 // Owner returns the node that owns a key, chosen by rendezvous hashing.
 func Owner(key string, names []string) string {
 	var best string
-	var most uint64
+	var bestScore uint64
 	for _, name := range names {
 		var h xxhash.Digest
 		h.Reset()
 		_, _ = h.WriteString(name)
 		_, _ = h.WriteString("\x00")
 		_, _ = h.WriteString(key)
-		if score := h.Sum64(); best == "" || score > most {
-			best, most = name, score
+		if score := h.Sum64(); best == "" || score > bestScore {
+			best, bestScore = name, score
 		}
 	}
 	return best
 }
 
-// Split divides whole places among nodes by their demand and returns the share of one node.
+// Split divides places among nodes by their demand and returns the share of one node.
 //
 // Every node computes the same division from the same demands, and the shares add up
-// to whole exactly. If there are enough places, every node gets at least one, and at
+// to places exactly. If there are enough places, every node gets at least one, and at
 // least about half of an equal share: the load balancer may send the next burst to a
 // node that had no demand before.
-func Split(whole int, demand map[string]int, name string) int {
+func Split(places int, demand map[string]int, name string) int {
 	names := make([]string, 0, len(demand))
 	total := 0
 	for n, d := range demand {
@@ -210,22 +211,22 @@
 	slices.Sort(names)
 	// A node's weight is its demand plus the mean demand, both times the number of nodes.
 	weight := func(n string) int { return len(names)*(demand[n]+1) + total }
-	least := 0
-	if whole >= len(names) {
-		least = 1
+	minimum := 0
+	if places >= len(names) {
+		minimum = 1
 	}
-	rest := whole - least*len(names)
-	left := rest
-	part := 0
+	distributable := places - minimum*len(names)
+	remainder := distributable
+	share := 0
 	for _, n := range names {
-		share := rest * weight(n) / (2 * len(names) * total)
-		left -= share
+		portion := distributable * weight(n) / (2 * len(names) * total)
+		remainder -= portion
 		if n == name {
-			part = least + share
+			share = minimum + portion
 		}
 	}
-	if slices.Index(names, name) < left {
-		part++
+	if slices.Index(names, name) < remainder {
+		share++
 	}
-	return part
+	return share
 }
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -15,32 +15,32 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// The shares add up to the whole for any number of places and any demands.
-func TestSplitAddsUpToTheWhole(t *testing.T) {
+// The shares add up to the number of places for any number of places and any demands.
+func TestSplitSumsToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := rapid.MapOfN(rapid.StringMatching(`n[0-9]{1,3}`), rapid.IntRange(0, 1000), 1, 60).Draw(t, "demand")
-		whole := rapid.IntRange(0, 500).Draw(t, "whole")
-		sum, none := 0, 0
+		places := rapid.IntRange(0, 500).Draw(t, "whole")
+		sum, withoutPlace := 0, 0
 		for name := range demand {
-			part := membership.Split(whole, demand, name)
-			sum += part
-			if part == 0 {
-				none++
+			share := membership.Split(places, demand, name)
+			sum += share
+			if share == 0 {
+				withoutPlace++
 			}
-			if part < whole/(2*len(demand)) {
-				t.Fatalf("%s has %d of %d places, less than half of an equal share", name, part, whole)
+			if share < places/(2*len(demand)) {
+				t.Fatalf("%s has %d of %d places, less than half of an equal share", name, share, places)
 			}
 		}
-		if sum != whole {
-			t.Fatalf("shares add up to %d, want %d", sum, whole)
+		if sum != places {
+			t.Fatalf("shares add up to %d, want %d", sum, places)
 		}
-		if whole >= len(demand) && none > 0 {
-			t.Fatalf("%d nodes got none of %d places", none, whole)
+		if places >= len(demand) && withoutPlace > 0 {
+			t.Fatalf("%d nodes got none of %d places", withoutPlace, places)
 		}
 	})
 }
 
-func TestOwnerMovesOnlyWhatTheLostNodeHad(t *testing.T) {
+func TestOwnerMovesOnlyKeysOfRemovedNode(t *testing.T) {
 	g := NewWithT(t)
 	names := []string{"a", "b", "c", "d"}
 	moved, owned := 0, map[string]int{}
@@ -65,10 +65,10 @@
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	group := &state.Group{Name: "g", Hall: "h", Drained: 10}
 	cases := []struct {
-		name    string
-		node    membership.Node
-		held    int
-		cleared bool
+		name     string
+		node     membership.Node
+		inFlight int
+		cleared  bool
 	}{
 		{"applied and idle", membership.Node{Applied: 10, SaidAt: now}, 0, true},
 		{"request in flight", membership.Node{Applied: 10, SaidAt: now}, 1, false},
@@ -84,7 +84,7 @@
 			if c.node.Hall == "" {
 				c.node.Hall = "h"
 			}
-			d.LearnHeld(c.node, map[state.GroupName]int{"g": c.held})
+			d.LearnHeld(c.node, map[state.GroupName]int{"g": c.inFlight})
 			NewWithT(t).Expect(d.ClearedOf(group, now, 30*time.Second)).To(Equal(c.cleared))
 		})
 	}
@@ -92,7 +92,7 @@
 
 // A relayed report may show that a node has applied the drain although its requests in
 // flight were counted before that. It must not make the group count as cleared.
-func TestClearedOfTrustsOnlyTheNodesOwnWord(t *testing.T) {
+func TestClearedOfIgnoresRelayedReports(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	group := &state.Group{Name: "g", Hall: "h", Drained: 10}
@@ -106,7 +106,7 @@
 	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeFalse(), "m has not reported its requests in flight")
 }
 
-func TestLearnKeepsTheNewest(t *testing.T) {
+func TestLearnKeepsNewestReport(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	d := membership.NewDirectory(membership.Node{Name: "self", Hall: "h"}, 2*time.Second)
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -60,13 +60,13 @@
 	feed   *evidence.Feed
 	clock  clockwork.Clock
 
-	mu   sync.Mutex
-	busy map[state.InstanceID]bool
+	mu       sync.Mutex
+	inFlight map[state.InstanceID]bool
 }
 
 // New returns a Prober that records reports in a table and a feed.
 func New(cfg Config, target Target, src Sources, table *evidence.Table, feed *evidence.Feed, clock clockwork.Clock) *Prober {
-	return &Prober{cfg: cfg, target: target, src: src, table: table, feed: feed, clock: clock, busy: map[state.InstanceID]bool{}}
+	return &Prober{cfg: cfg, target: target, src: src, table: table, feed: feed, clock: clock, inFlight: map[state.InstanceID]bool{}}
 }
 
 // Run probes until ctx ends.
@@ -87,9 +87,9 @@
 func (p *Prober) Round(ctx context.Context) {
 	now := p.clock.Now()
 	for id, addr := range p.src.Instances() {
-		mine := p.src.Mine(id)
-		if (mine || p.stale(id, now)) && p.take(id) {
-			go p.probe(ctx, id, addr, mine)
+		owned := p.src.Mine(id)
+		if (owned || p.stale(id, now)) && p.markInFlight(id) {
+			go p.probe(ctx, id, addr, owned)
 		}
 	}
 	p.feed.Expire(now.Add(-p.cfg.Window))
@@ -98,13 +98,13 @@
 // Ask probes an instance of the hall now, unless a probe of it is in flight.
 func (p *Prober) Ask(ctx context.Context, id state.InstanceID) {
 	if addr, ok := p.src.Instances()[id]; ok {
-		p.ask(ctx, id, addr)
+		p.probeNow(ctx, id, addr)
 	}
 }
 
-// ask probes an instance at an address now, unless a probe of it is in flight.
-func (p *Prober) ask(ctx context.Context, id state.InstanceID, addr netip.AddrPort) {
-	if p.take(id) {
+// probeNow probes an instance at an address now, unless a probe of it is in flight.
+func (p *Prober) probeNow(ctx context.Context, id state.InstanceID, addr netip.AddrPort) {
+	if p.markInFlight(id) {
 		go p.probe(ctx, id, addr, p.src.Mine(id))
 	}
 }
@@ -113,7 +113,7 @@
 func (p *Prober) AskUnseen(ctx context.Context) {
 	for id, addr := range p.src.Instances() {
 		if _, known := p.table.Get(id); !known {
-			p.ask(ctx, id, addr)
+			p.probeNow(ctx, id, addr)
 		}
 	}
 }
@@ -124,51 +124,51 @@
 	return !ok || now.Sub(e.Asked) > p.cfg.Window*2/3
 }
 
-// take marks an instance as being probed. It returns false if it is marked already.
-func (p *Prober) take(id state.InstanceID) bool {
+// markInFlight marks an instance as being probed and reports whether it was not marked before.
+func (p *Prober) markInFlight(id state.InstanceID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[id] {
+	if p.inFlight[id] {
 		return false
 	}
-	p.busy[id] = true
+	p.inFlight[id] = true
 	return true
 }
 
-// done clears the mark set by take.
-func (p *Prober) done(id state.InstanceID) {
+// clearInFlight clears the mark set by markInFlight.
+func (p *Prober) clearInFlight(id state.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, id)
+	delete(p.inFlight, id)
 }
 
 // probe probes one instance and sends it an order if its report calls for one.
-func (p *Prober) probe(ctx context.Context, id state.InstanceID, addr netip.AddrPort, mine bool) {
-	defer p.done(id)
+func (p *Prober) probe(ctx context.Context, id state.InstanceID, addr netip.AddrPort, owned bool) {
+	defer p.clearInFlight(id)
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Window/2)
 	defer cancel()
-	asked := p.clock.Now()
+	probedAt := p.clock.Now()
 	p.src.Count("probes")
 	r, err := p.target.Probe(ctx, addr)
 	switch {
 	case errors.Is(err, ErrDown):
 		p.src.Count("probes.down")
-		p.observe(evidence.Report{Instance: id, Phase: evidence.PhaseDown}, asked, mine)
+		p.recordReport(evidence.Report{Instance: id, Phase: evidence.PhaseDown}, probedAt, owned)
 	case err != nil:
 		p.src.Count("probes.failed")
 	case r.Instance != id:
 		p.src.Count("probes.wrong-instance")
 	default:
-		p.observe(r, asked, mine)
+		p.recordReport(r, probedAt, owned)
 		p.order(ctx, addr, r)
 	}
 }
 
-// observe records a report, also in the feed to peers if this node owns the instance.
-func (p *Prober) observe(r evidence.Report, asked time.Time, mine bool) {
-	p.table.Observe(r, asked)
-	if mine {
-		p.feed.Observe(r, asked)
+// recordReport records a report, also in the feed to peers if this node owns the instance.
+func (p *Prober) recordReport(r evidence.Report, probedAt time.Time, owned bool) {
+	p.table.Observe(r, probedAt)
+	if owned {
+		p.feed.Observe(r, probedAt)
 	}
 	p.src.Observed(r)
 }
