--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership knows the other entry nodes: where they are, what they
-// last said of themselves, and which of them a piece of shared work falls to.
+// Package membership tracks the other entry nodes: their addresses, their latest
+// status reports, and which of them owns a piece of shared work.
 package membership
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Node is what an entry node last said of itself.
+// Node is the latest status report of an entry node.
 type Node struct {
 	Name        string
 	Hall        state.HallName
@@ -23,49 +23,51 @@
 	Applied     state.Offset
 	Ready       bool
 	Stopping    bool
-	// LogAge is how long before SaidAt the node last held all that the log held.
+	// LogAge is how long before SaidAt the node was last up to date with the log.
 	LogAge time.Duration
-	// Held is the number of requests in progress.
+	// Held is the number of requests in flight.
 	Held int
-	// Demand is the number of requests a second that came in, smoothed.
+	// Demand is the smoothed rate of incoming requests per second.
 	Demand int
 	// Models are the models and services that the node can serve in its own hall.
 	Models []string
-	// SaidAt is when the question that it answered was asked, by the receiver's clock.
+	// SaidAt is when the request for this report was sent, by the receiver's clock.
 	SaidAt time.Time
 }
 
-// Directory holds the known nodes; the zero value is not usable.
+// Directory holds the known nodes. Use NewDirectory to create one.
 type Directory struct {
-	self     Node
-	liveness time.Duration
-	mu       sync.RWMutex
-	nodes    map[string]Node
-	held     map[string]heldWord
-	suspects map[string]time.Time
+	self            Node
+	livenessTimeout time.Duration
+	mu              sync.RWMutex
+	nodes           map[string]Node
+	inFlight        map[string]inFlightReport
+	suspectedAt     map[string]time.Time
 }
 
-// heldWord is what a node has itself said of the requests that it holds, with what it said of itself then.
-type heldWord struct {
-	node Node
-	held map[state.GroupName]int
+// inFlightReport is a node's own count of its requests in flight by group, with the status report
+// that came with it.
+type inFlightReport struct {
+	node     Node
+	inFlight map[state.GroupName]int
 }
 
-// NewDirectory returns a Directory for a node; a peer silent for longer than liveness counts as gone.
-func NewDirectory(self Node, liveness time.Duration) *Directory {
+// NewDirectory returns a Directory for a node. A peer in the same hall that is silent for longer
+// than livenessTimeout does not count as live.
+func NewDirectory(self Node, livenessTimeout time.Duration) *Directory {
 	return &Directory{
-		self:     self,
-		liveness: liveness,
-		nodes:    map[string]Node{},
-		held:     map[string]heldWord{},
-		suspects: map[string]time.Time{},
+		self:            self,
+		livenessTimeout: livenessTimeout,
+		nodes:           map[string]Node{},
+		inFlight:        map[string]inFlightReport{},
+		suspectedAt:     map[string]time.Time{},
 	}
 }
 
 // Self returns the node's own name, hall, address and incarnation.
 func (d *Directory) Self() Node { return d.self }
 
-// Learn takes in what a node said, unless something newer is held.
+// Learn records a status report unless a newer one of the same node is known.
 func (d *Directory) Learn(n Node) {
 	if n.Name == "" || n.Name == d.self.Name {
 		return
@@ -78,27 +80,27 @@
 	d.nodes[n.Name] = n
 }
 
-// Introduce takes in a node that has called, if it was not known: it may be asked from then on.
+// Introduce adds a node that called this one, so that its status can be requested.
 //
-// What a caller says of itself is not dated by a question of ours, so it
-// neither renews a node that is known nor makes the new one count as live.
+// The caller's data has no request time by this node's clock, so it neither
+// refreshes a known node nor makes a new one count as live.
 func (d *Directory) Introduce(n Node) {
 	n.SaidAt = time.Time{}
 	n.Applied, n.Ready, n.Models = 0, false, nil
 	d.Learn(n)
 }
 
-// LearnHeld takes in what a node has itself said of the requests that it holds for each group.
-func (d *Directory) LearnHeld(n Node, held map[state.GroupName]int) {
+// LearnHeld records a status report that came from the node itself, with its requests in flight by group.
+func (d *Directory) LearnHeld(n Node, inFlight map[state.GroupName]int) {
 	d.Learn(n)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if old, ok := d.held[n.Name]; !ok || n.SaidAt.After(old.node.SaidAt) {
-		d.held[n.Name] = heldWord{node: n, held: held}
+	if old, ok := d.inFlight[n.Name]; !ok || n.SaidAt.After(old.node.SaidAt) {
+		d.inFlight[n.Name] = inFlightReport{node: n, inFlight: inFlight}
 	}
 }
 
-// Known returns all nodes ever heard of except the node itself, by name.
+// Known returns all known nodes except the node itself, sorted by name.
 func (d *Directory) Known() []Node {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -110,37 +112,37 @@
 	return list
 }
 
-// farLiveness is how many times longer a node of another hall may be silent: it
-// is heard of only now and then, by way of one node of this hall.
-const farLiveness = 3
+// remoteLivenessFactor is the factor by which the liveness timeout is longer for a node of
+// another hall: its status reports arrive less often, relayed by one node of this hall.
+const remoteLivenessFactor = 3
 
-// Live returns the peers of a hall heard of lately, or of all halls for an empty name.
+// Live returns the live peers of a hall, or of all halls if hall is empty.
 func (d *Directory) Live(hall state.HallName, now time.Time) []Node {
 	return slices.DeleteFunc(d.Known(), func(n Node) bool {
-		limit := d.liveness
+		limit := d.livenessTimeout
 		if n.Hall != d.self.Hall {
-			limit *= farLiveness
+			limit *= remoteLivenessFactor
 		}
 		return (hall != "" && n.Hall != hall) || now.Sub(n.SaidAt) > limit || d.suspected(n)
 	})
 }
 
-// Suspect notes that a node could not be reached; it does not count as live until it is heard of anew.
+// Suspect records that a node could not be reached. It does not count as live until a newer status report.
 func (d *Directory) Suspect(name string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.suspects[name] = now
+	d.suspectedAt[name] = now
 }
 
-// suspected reports whether a node could not be reached after it was last heard of.
+// suspected reports whether a node could not be reached since its latest status report.
 func (d *Directory) suspected(n Node) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return !n.SaidAt.After(d.suspects[n.Name])
+	return !n.SaidAt.After(d.suspectedAt[n.Name])
 }
 
-// HallNames returns the names of the node itself and its live peers in its own hall.
-func (d *Directory) HallNames(now time.Time) []string {
+// LiveHallNodes returns the names of the node itself and its live peers in its own hall.
+func (d *Directory) LiveHallNodes(now time.Time) []string {
 	names := []string{d.self.Name}
 	for _, n := range d.Live(d.self.Hall, now) {
 		names = append(names, n.Name)
@@ -149,56 +151,57 @@
 	return names
 }
 
-// Mine reports whether a piece of the hall's work falls to this node.
+// Mine reports whether this node owns a piece of the hall's work.
 func (d *Directory) Mine(key string, now time.Time) bool {
-	return Owner(key, d.HallNames(now)) == d.self.Name
+	return Owner(key, d.LiveHallNodes(now)) == d.self.Name
 }
 
-// ClearedOf reports whether every node of the hall has applied an offset and holds no request of a group.
+// ClearedOf reports whether every other node of the group's hall has applied the group's drain
+// and has no request of the group in flight.
 //
-// Only the node's own word counts, with the offset that it had applied when it
-// gave it: what others relay may be newer than the count of its requests. A node
-// that has fallen silent blocks for as long as gone, since it may still be at
-// work on a request; after that its connections count as closed.
-func (d *Directory) ClearedOf(g *state.Group, now time.Time, gone time.Duration) bool {
+// Only a report from the node itself counts, with the offset that it had applied at
+// that time: a relayed report may be newer than the count of its requests. A silent
+// node blocks for as long as goneAfter, since it may still be working on a request. After
+// that its connections count as closed.
+func (d *Directory) ClearedOf(g *state.Group, now time.Time, goneAfter time.Duration) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for name, n := range d.nodes {
-		if n.Hall != g.Hall || now.Sub(n.SaidAt) > gone {
+		if n.Hall != g.Hall || now.Sub(n.SaidAt) > goneAfter {
 			continue
 		}
-		word := d.held[name]
-		if word.node.Applied < g.Drained || now.Sub(word.node.SaidAt) > d.liveness || word.held[g.Name] > 0 {
+		last := d.inFlight[name]
+		if last.node.Applied < g.Drained || now.Sub(last.node.SaidAt) > d.livenessTimeout || last.inFlight[g.Name] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Owner names the one of several nodes to which a key falls, by rendezvous hashing.
+// Owner returns the node that owns a key, chosen by rendezvous hashing.
 func Owner(key string, names []string) string {
 	var best string
-	var most uint64
+	var bestScore uint64
 	for _, name := range names {
 		var h xxhash.Digest
 		h.Reset()
 		_, _ = h.WriteString(name)
 		_, _ = h.WriteString("\x00")
 		_, _ = h.WriteString(key)
-		if score := h.Sum64(); best == "" || score > most {
-			best, most = name, score
+		if score := h.Sum64(); best == "" || score > bestScore {
+			best, bestScore = name, score
 		}
 	}
 	return best
 }
 
-// Split divides whole places over nodes by their demand and returns the part of one of them.
+// Split divides places among nodes by their demand and returns the share of one node.
 //
-// Every node computes the same division from the same demands; the parts add up
-// to the whole exactly. Where there are enough places, every node has one, and
-// about half an even part at least: the balancer may send the next burst to a
-// node that had no demand until now.
-func Split(whole int, demand map[string]int, name string) int {
+// Every node computes the same division from the same demands, and the shares add up
+// to places exactly. If there are enough places, every node gets at least one, and at
+// least about half of an equal share: the load balancer may send the next burst to a
+// node that had no demand before.
+func Split(places int, demand map[string]int, name string) int {
 	names := make([]string, 0, len(demand))
 	total := 0
 	for n, d := range demand {
@@ -208,22 +211,22 @@
 	slices.Sort(names)
 	// A node's weight is its demand plus the mean demand, both times the number of nodes.
 	weight := func(n string) int { return len(names)*(demand[n]+1) + total }
-	least := 0
-	if whole >= len(names) {
-		least = 1
+	minimum := 0
+	if places >= len(names) {
+		minimum = 1
 	}
-	rest := whole - least*len(names)
-	left := rest
-	part := 0
+	distributable := places - minimum*len(names)
+	remainder := distributable
+	share := 0
 	for _, n := range names {
-		share := rest * weight(n) / (2 * len(names) * total)
-		left -= share
+		portion := distributable * weight(n) / (2 * len(names) * total)
+		remainder -= portion
 		if n == name {
-			part = least + share
+			share = minimum + portion
 		}
 	}
-	if slices.Index(names, name) < left {
-		part++
+	if slices.Index(names, name) < remainder {
+		share++
 	}
-	return part
+	return share
 }
