--- a/transport/gateway/backpressure.go
+++ b/transport/gateway/backpressure.go
@@ -11,10 +11,10 @@
 	"github.com/troutmast/troutmast/transport/event"
 )
 
-// errHeldBack means that a request was kept back right before it would have left.
+// errHeldBack means that a request was held back right before its first byte was sent.
 var errHeldBack = errors.New("gateway: held back")
 
-// The reasons for which a request is held back.
+// The reasons for holding a request back.
 var (
 	errCoolingDown = fmt.Errorf("%w: the instance is cooling down", errHeldBack)
 	errLeaving     = fmt.Errorf("%w: the instance is leaving", errHeldBack)
@@ -22,7 +22,7 @@
 	errRateLimited = fmt.Errorf("%w: the instance takes no more requests for now", errHeldBack)
 )
 
-// heldBackCounters are the counters of requests held back, by reason.
+// heldBackCounters names the counter of held-back requests for each reason.
 var heldBackCounters = map[error]string{
 	errCoolingDown: "held-back.cooling-down",
 	errLeaving:     "held-back.leaving",
@@ -30,9 +30,9 @@
 	errRateLimited: "held-back.rate-limited",
 }
 
-// mayLeave reports why a request must not leave for an instance now, or nil. It is asked
-// last, with a connection at hand: while the request waited for one, other requests may
-// have learned that the instance wants none.
+// mayLeave returns the reason why a request must not be sent to an instance now, or nil. It is
+// called once the connection is established: other requests may have received a cooldown, a rate
+// limit or a leaving notice of the instance during the dial.
 func (c *call) mayLeave(target *dispatch.Candidate) error {
 	if _, cooling := c.Backpressure.CoolingDown(&target.Instance); cooling {
 		return errCoolingDown
@@ -43,14 +43,14 @@
 	if c.sends == 1 && !c.keyHolds() {
 		return errStaleKeys
 	}
-	// Last: what is counted here must leave.
+	// This check is last because it spends a grant: the request must be sent if it passes.
 	if !c.Backpressure.Send(&target.Instance) {
 		return errRateLimited
 	}
 	return nil
 }
 
-// holdBack records that an attempt was not made after all: it counts neither as a send nor as a run.
+// holdBack records that a request was held back. The attempt counts neither as a send nor as a run.
 func (c *call) holdBack(target *dispatch.Candidate, err error) result {
 	c.sends--
 	c.runs--
@@ -63,8 +63,8 @@
 	return heldBack
 }
 
-// allHeldOff reports whether all instances that could run the request want none of this node
-// now, with the reason and when to come back.
+// allHeldOff reports whether all instances that could run the request are cooling down or
+// rate-limited, and returns the reason and the retry delay.
 func (c *call) allHeldOff() (code Code, after time.Duration, all bool) {
 	var cooled time.Time
 	limited, perSecond := false, 0.0
@@ -92,15 +92,15 @@
 	return CodeRateLimited, min(c.rateLimitWait(perSecond), free), true
 }
 
-// rateLimitWait returns when a caller should come back to instances that together take so
-// many requests a second: the time in which they take what callers ask for in a second.
+// rateLimitWait returns the retry delay for instances that together accept perSecond requests a
+// second: the time in which they accept the requests that callers send in one second.
 func (c *call) rateLimitWait(perSecond float64) time.Duration {
 	seconds := max(c.Table.Asked(c.service, c.model), 1) / perSecond
 	return time.Duration(min(seconds, c.Policy.RateLimitRetryAfterMax.Seconds()) * float64(time.Second))
 }
 
-// comeBack returns when a caller should come back: after a usual time, or once the first
-// instance takes requests again where none does.
+// comeBack returns the retry delay: the usual one, or, if all instances are cooling down or
+// rate-limited, the time until the first of them accepts requests again.
 func (c *call) comeBack(usual time.Duration) time.Duration {
 	if _, after, all := c.allHeldOff(); all {
 		return after
@@ -108,7 +108,7 @@
 	return usual
 }
 
-// toCaller returns the head of an instance's answer as its caller gets it.
+// toCaller returns the headers of an instance's response that are forwarded to the caller.
 func (c *call) toCaller(resp *direct.Response) http.Header {
 	h := travelling(resp.Header)
 	c.Dialect.ToCaller(resp.Status, h)
--- a/transport/gateway/backpressure_test.go
+++ b/transport/gateway/backpressure_test.go
@@ -16,16 +16,15 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// backpressure keeps what instances ask of the lab's node.
+// backpressure implements gateway.Backpressure with real cooldown and rate limit books.
 type backpressure struct {
-	book *cooldown.Book
-	mu   sync.Mutex
-	gone map[state.InstanceID]bool
-	// limits are the rate limits of instances.
+	book   *cooldown.Book
+	mu     sync.Mutex
+	gone   map[state.InstanceID]bool
 	limits *ratelimit.Book
-	// free is how often an instance that cools down still looks as if it did not.
+	// free is the number of further checks that do not show the cooldown of an instance.
 	free map[state.InstanceID]int
-	// hidden is how often an instance with a rate limit still looks as if it had none.
+	// hidden is the number of further checks that do not show the rate limit of an instance.
 	hidden map[state.InstanceID]int
 }
 
@@ -77,13 +76,13 @@
 	return b.limits.Send(in.Incarnation(), time.Now())
 }
 
-// cool has an instance cool down for a time; it still looks free the first few times.
+// cool starts a cooldown of an instance. The first checks, as many as free, do not show it.
 func (l *lab) cool(id string, d time.Duration, free int) {
 	l.backpressure.Told(&fleet.Instance{ID: state.InstanceID(id)}, fleet.Notice{Cooldown: d}, "", time.Now())
 	l.backpressure.free[state.InstanceID(id)] = free
 }
 
-// runsAt returns how many requests reached an instance.
+// runsAt returns the number of requests that an instance received.
 func (l *lab) runsAt(id string) int {
 	n := 0
 	for _, r := range l.journal.all() {
@@ -94,7 +93,7 @@
 	return n
 }
 
-// shed turns a request away and asks for a cooldown.
+// shed returns a handler that refuses requests and asks for a cooldown.
 func shed(d time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Not-Run", "1")
@@ -103,7 +102,7 @@
 	}
 }
 
-// status answers with a status.
+// status returns a handler that responds with a status code.
 func status(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 }
@@ -111,10 +110,10 @@
 func TestNoRequestReachesAnInstanceThatIsCoolingDown(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
-		// other is how the instance answers that is not cooling down.
+		// other is the handler of the instance that is not cooling down.
 		other  http.HandlerFunc
 		status int
-		// free is how often the cooldown does not show yet.
+		// free is the number of checks that do not show the cooldown yet.
 		free int
 	}{
 		{"first sends", "/safe/", ok("x"), http.StatusOK, 0},
@@ -153,7 +152,7 @@
 	a := func() answer { return l.call(http.MethodPost, "/stream/", "x", nil) }
 	l.instance("cooling", "lm", ok("x"))
 	l.cool("cooling", time.Minute, 0)
-	g.Expect(a().err).To(HaveOccurred(), "there is no other group")
+	g.Expect(a().err).To(HaveOccurred(), "there is no other group to resume on")
 	l.instance("b", "lm", func(w http.ResponseWriter, _ *http.Request) { events(w, 4, 5) })
 	g.Eventually(func() string { return a().body }).Should(HaveSuffix("id: 5\ndata: x5\n\n"))
 	g.Expect(l.runsAt("cooling")).To(BeZero())
@@ -177,7 +176,7 @@
 			c.prepare(l)
 			began := time.Now()
 			a := l.call(http.MethodPost, "/unsafe/", "x", nil)
-			g.Expect(time.Since(began)).To(BeNumerically("<", time.Second), "the caller is held")
+			g.Expect(time.Since(began)).To(BeNumerically("<", time.Second), "the caller is refused without waiting")
 			g.Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 			seconds, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -191,7 +190,7 @@
 	g := NewWithT(t)
 	l := newLab(t)
 	l.instance("a", "plain", func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Retry-After", "77") // with no word of whether it ran
+		w.Header().Set("Retry-After", "77") // without stating whether the request ran
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	a := l.call(http.MethodPost, "/safe/", "x", nil)
@@ -199,10 +198,10 @@
 	g.Expect(a.header.Get("Seal")).To(Equal("seal-of-a"))
 	g.Expect(a.header).NotTo(HaveKey("Retry-After"))
 	l.call(http.MethodPost, "/safe/", "x", nil)
-	g.Expect(l.runsAt("a")).To(Equal(1), "it asked for a cooldown")
+	g.Expect(l.runsAt("a")).To(Equal(1), "the instance asked for a cooldown")
 }
 
-// A cooldown is no failure: it ends, and nothing else is held against the instance.
+// A cooldown is not a failure: the instance serves again when it ends, and no failure is recorded.
 func TestAfterItsCooldownAnInstanceServesAsBefore(t *testing.T) {
 	g := NewWithT(t)
 	l := newLab(t)
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -24,87 +24,90 @@
 	"github.com/troutmast/troutmast/transport/event"
 )
 
-// Catalogs gives the configuration in force and tells how old the knowledge of it may be.
+// Catalogs provides the current configuration and reports whether its keys are fresh.
 type Catalogs interface {
-	// Catalog returns the configuration, or nil while none is known.
+	// Catalog returns the current configuration, or nil if none has been read yet.
 	Catalog() *catalog.Catalog
-	// KeysFresh reports whether keys can still be trusted.
+	// KeysFresh reports whether the keys are recent enough to be trusted.
 	KeysFresh() bool
 }
 
-// Health takes in what requests show of instances.
+// Health records the evidence that requests give about the health of instances.
 type Health interface {
-	// Heard tells that an instance answered a request sent at a time.
+	// Heard records that an instance responded to a request sent at a time.
 	Heard(id state.InstanceID, at time.Time)
-	// Failed tells that an instance did not answer a request sent at a time.
+	// Failed records that an instance did not respond to a request sent at a time.
 	Failed(id state.InstanceID, at time.Time)
-	// Replaced tells that another process answers at the instance's address.
+	// Replaced records that another process responds at the instance's address.
 	Replaced(id state.InstanceID)
-	// Suspect asks that the members of a group be checked; moved is when its answers last moved on.
+	// Suspect requests a probe of all members of a group.
 	Suspect(c *dispatch.Candidate)
 }
 
-// Quarantine holds back requests that end the instances that run them.
+// Quarantine refuses requests that repeatedly end the instances that run them.
 type Quarantine interface {
-	// HeldUntil returns until when a request is held back, and whether it is.
+	// HeldUntil returns until when a request is quarantined, and whether it is.
 	HeldUntil(f quarantine.Fingerprint) (time.Time, bool)
-	// Suspected reports whether instances ended under a request, if not yet enough to hold it back.
+	// Suspected reports whether instances ended while running a request, even if too few to
+	// quarantine it.
 	Suspected(f quarantine.Fingerprint) bool
-	// Broken records that an attempt of a request that began at a time got no whole answer, since
-	// one of some instances may have ended.
+	// Broken records that an attempt that began at a time got no complete response. One of the
+	// instances may have ended.
 	Broken(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time)
-	// Answered records that a request got a whole answer.
+	// Answered records that a request got a complete response.
 	Answered(f quarantine.Fingerprint)
-	// Refused records that nothing listens at the address of an instance.
+	// Refused records that an instance's address refused a connection.
 	Refused(c *dispatch.Candidate)
 }
 
-// Backpressure keeps what instances ask of this node beside their answers: not to be called
-// for a while, or no longer.
+// Backpressure tracks the cooldowns, rate limits and leaving notices that instances send with
+// their responses.
 type Backpressure interface {
-	// Told records what an instance said in the answer to a request, which was sent at a time.
+	// Told records the notice in an instance's response to a request that was sent at a time.
 	Told(in *fleet.Instance, n fleet.Notice, request string, sent time.Time)
-	// CoolingDown returns until when an instance wants nothing of this node, and whether it does so now.
+	// CoolingDown returns until when an instance has asked this node for a cooldown, and whether
+	// the cooldown is active.
 	CoolingDown(in *fleet.Instance) (until time.Time, cooling bool)
-	// Leaving reports whether an instance is known to leave.
+	// Leaving reports whether an instance has announced that it is leaving.
 	Leaving(in *fleet.Instance) bool
-	// RateLimit returns how many requests a second an instance takes from all nodes together,
-	// and whether it has such a limit.
+	// RateLimit returns how many requests a second an instance accepts from all nodes together,
+	// and whether it has a limit.
 	RateLimit(in *fleet.Instance) (perSecond float64, limited bool)
-	// Open reports whether a request may be sent to an instance, as far as its rate limit goes.
+	// Open reports whether the rate limit of an instance allows this node to send a request now.
 	Open(in *fleet.Instance) bool
-	// Send counts a request that leaves for an instance now; if it reports false, the
-	// instance's rate limit keeps it back.
+	// Send counts a request that is sent to an instance now. It reports false, without counting,
+	// if the instance's rate limit forbids the request.
 	Send(in *fleet.Instance) bool
 }
 
-// Recorder counts and logs decisions that touch requests.
+// Recorder records metrics and logs decisions about requests.
 type Recorder interface {
+	// Count increments a counter.
 	Count(name string)
 	// Time adds a duration to a histogram.
 	Time(name string, d time.Duration)
+	// Decide logs a decision.
 	Decide(d event.Decision)
 }
 
-// Options are what a Gateway is made of.
+// Options holds the dependencies and settings of a Gateway.
 type Options struct {
-	Clock    clockwork.Clock
-	Dialect  Dialect
-	Catalogs Catalogs
-	Table    *dispatch.Table
-	Health   Health
-	Recorder Recorder
-	// Quarantine holds back requests under which instances end.
+	Clock        clockwork.Clock
+	Dialect      Dialect
+	Catalogs     Catalogs
+	Table        *dispatch.Table
+	Health       Health
+	Recorder     Recorder
 	Quarantine   Quarantine
 	Backpressure Backpressure
 	Pool         *direct.Pool
 	Demand       *demand.Meter
 	Policy       Policy
-	// Retry bounds the repeats that all nodes send to one service.
+	// Retry bounds the retries that all nodes together send to one service.
 	Retry retry.Bounds
 }
 
-// Gateway is the handler for callers.
+// Gateway is the HTTP handler for the requests of callers.
 type Gateway struct {
 	Options
 	Watch    *Watch
@@ -126,16 +129,16 @@
 	}
 }
 
-// Stop has every answer tell its caller that the connection ends.
+// Stop makes every further response ask the caller to close its connection.
 func (g *Gateway) Stop() { g.stopping.Store(true) }
 
-// Refuse has every new request refused.
+// Refuse makes the gateway refuse every new request.
 func (g *Gateway) Refuse() { g.refusing.Store(true) }
 
-// Arrived returns the number of requests so far.
+// Arrived returns the number of requests received.
 func (g *Gateway) Arrived() int64 { return g.arrived.Load() }
 
-// SetNodes sets the number of nodes that share the retry budgets.
+// SetNodes sets the number of nodes that share the retry budgets. 0 means unknown.
 func (g *Gateway) SetNodes(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,7 +148,7 @@
 	}
 }
 
-// SetRetry changes the bounds of the repeats.
+// SetRetry sets the bounds of retries. New bounds reset all retry budgets.
 func (g *Gateway) SetRetry(b retry.Bounds) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -156,7 +159,7 @@
 	clear(g.budgets)
 }
 
-// budget returns this node's part of a service's retry budget.
+// budget returns this node's share of the retry budget of a service.
 func (g *Gateway) budget(service state.ServiceName) *retry.SharedBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,7 +171,7 @@
 	return b
 }
 
-// call is one request on its way.
+// call is the state of one request in progress.
 type call struct {
 	*Gateway
 	w       http.ResponseWriter
@@ -180,28 +183,29 @@
 	service state.ServiceName
 	model   string
 	body    []byte
-	// fingerprint names the request alike for all its attempts.
+	// fingerprint identifies the content of the request. It is the same for all attempts.
 	fingerprint quarantine.Fingerprint
 	ctx         context.Context
 	arrived     time.Time
-	// deadline is when the caller or the operator gives the request up.
+	// deadline is when the time-out of the caller or of the route expires.
 	deadline time.Time
 	budget   *retry.SharedBudget
 
-	// runs counts the instances that may have run the request, sends all that it was sent to.
+	// runs counts the instances that may have run the request, sends all instances that it was
+	// sent to.
 	runs  int
 	sends int
 	tried []state.InstanceID
-	// hold is the attempt under way, as the target's load counts it.
+	// hold counts the current attempt in the load of its target.
 	hold *dispatch.Hold
-	// loadWhenPicked is the number of requests that the last target was known to hold when it was chosen.
+	// loadWhenPicked is the known number of requests in progress at the last target when it was picked.
 	loadWhenPicked int64
-	// last is the newest failure that an instance answered.
+	// last is the most recent server error of an instance.
 	last *plain
 	stream
 }
 
-// refusal is an answer that the product itself gives.
+// refusal is a response that the gateway generates itself. A positive after is the retry delay.
 type refusal struct {
 	code  Code
 	after time.Duration
@@ -226,12 +230,12 @@
 	}
 }
 
-// refusedAt returns a refusal with a jittered time to come back.
+// refusedAt returns a refusal with a retry delay, extended by a jitter of up to half of it.
 func refusedAt(code Code, after time.Duration) *refusal {
 	return &refusal{code: code, after: after + rand.N(after/2+1)}
 }
 
-// admit checks a request and reads its body.
+// admit validates and authenticates a request, reads its body and sets its deadline.
 func (c *call) admit() *refusal {
 	claims, err := c.Dialect.Parse(c.r.Header)
 	c.claims = claims
@@ -276,7 +280,7 @@
 	return nil
 }
 
-// authenticate finds the team that holds the request's key.
+// authenticate sets the team that the request's key belongs to.
 func (c *call) authenticate() *refusal {
 	if !c.catalog.Keyed || c.route.Public {
 		return nil
@@ -290,14 +294,14 @@
 	return nil
 }
 
-// keyHolds reports whether the request's key can still be trusted, if it needs one. It is
-// asked again right before the request leaves: a body may take seconds to arrive, and the
-// machine may be suspended between any two steps.
+// keyHolds reports whether the request needs no key or the keys are fresh. It is called again
+// right before the request is sent: a body may take seconds to arrive, and the machine may be
+// suspended between any two steps.
 func (c *call) keyHolds() bool {
 	return !c.catalog.Keyed || c.route.Public || c.Catalogs.KeysFresh()
 }
 
-// contentFingerprint returns the fingerprint of the request, whose body has been read.
+// contentFingerprint returns the fingerprint of the request. The body must have been read.
 func (c *call) contentFingerprint() quarantine.Fingerprint {
 	content := quarantine.Content{Method: c.r.Method, Host: strings.ToLower(hostOnly(c.r.Host)), Target: c.r.RequestURI, Body: c.body}
 	if c.team != nil {
@@ -306,10 +310,10 @@
 	return quarantine.NewFingerprint(content)
 }
 
-// bodyTime bounds the reading of a request's body.
+// bodyTime is the time-out for reading a request body.
 const bodyTime = 10 * time.Second
 
-// readBody reads the whole body, within the limit.
+// readBody reads the request body, up to the size limit of the catalog.
 func (c *call) readBody() *refusal {
 	if c.r.ContentLength == 0 {
 		return nil
@@ -337,7 +341,7 @@
 	return nil
 }
 
-// refuse writes an answer of the product's own, or cuts an answer that has begun.
+// refuse writes a refusal to the caller, or aborts the connection if the response has begun.
 func (c *call) refuse(no *refusal) {
 	c.Recorder.Count("refused." + string(no.code))
 	c.Recorder.Decide(&event.RequestEnded{Request: c.named(), Progress: c.progress(), Code: string(no.code), Tried: c.tried, Begun: c.begun})
@@ -356,17 +360,17 @@
 	_, _ = io.WriteString(c.w, string(no.code)+"\n")
 }
 
-// named returns what names the request in the log.
+// named returns the identity of the request for the log.
 func (c *call) named() event.Request {
 	return event.Request{ID: c.claims.ID, Fingerprint: c.fingerprint}
 }
 
-// progress returns how far the request has come, for the log.
+// progress returns the progress of the request for the log.
 func (c *call) progress() event.Progress {
 	return event.Progress{Route: c.routeName(), Model: c.model, Sends: c.sends, Runs: c.runs, Timeout: c.claims.Patience, Took: c.Clock.Since(c.arrived)}
 }
 
-// routeName returns the name of the request's route, if it has one.
+// routeName returns the name of the request's route, or an empty string if no route matched.
 func (c *call) routeName() string {
 	if c.route == nil {
 		return ""
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -15,7 +15,7 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// ok answers with a body.
+// ok returns a handler that responds with a body.
 func ok(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-// staleAfter is a body during which keys become stale.
+// staleAfter is a request body that makes the keys stale when it is read.
 type staleAfter struct {
 	io.Reader
 	know *knowledge
@@ -88,7 +88,8 @@
 	return s.Reader.Read(p)
 }
 
-// The machine may be suspended, or the body take its time, after the key was looked up.
+// Keys can become stale between the key lookup and the send: the body may take long to arrive,
+// or the machine may be suspended.
 func TestKeysThatBecomeStaleBeforeTheRequestLeavesAreNotTrusted(t *testing.T) {
 	g := NewWithT(t)
 	l := newLab(t)
@@ -98,7 +99,7 @@
 	req.Host = "h"
 	req.Header.Set("Id", "r1")
 	req.Header.Set("Key", "k")
-	req.Header.Set("Expect", "100-continue") // the body is sent once the node reads it
+	req.Header.Set("Expect", "100-continue") // the client sends the body when the node starts to read it
 	client := &http.Client{Transport: &http.Transport{ExpectContinueTimeout: time.Minute}}
 	resp, err := client.Do(req)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -157,7 +158,7 @@
 	a := l.call(http.MethodGet, "/safe/", "", nil)
 	g.Expect(a.status).To(BeNumerically(">=", 500))
 	runs := l.journal.all()
-	g.Expect(runs).To(HaveLen(2), "no more instances than the route allows")
+	g.Expect(runs).To(HaveLen(2), "at most as many attempts as the route allows")
 	g.Expect(runs[0].instance).NotTo(Equal(runs[1].instance))
 }
 
@@ -209,7 +210,7 @@
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
 		if broken++; broken == 1 {
 			events(w, last+1, 3)
-			_, _ = io.WriteString(w, "id: 4\nda") // in the middle of an event
+			_, _ = io.WriteString(w, "id: 4\nda") // incomplete event
 			cut(w)
 			return
 		}
@@ -227,11 +228,12 @@
 	runs := l.journal.all()
 	g.Expect(runs).To(HaveLen(2))
 	g.Expect(runs[1].last).To(Equal("3"))
-	g.Expect(a.header.Get("Seal")).To(Equal("seal-of-"+runs[0].instance), "the head stays that of the first run")
+	g.Expect(a.header.Get("Seal")).To(Equal("seal-of-"+runs[0].instance), "the head of the response is that of the first attempt")
 }
 
-// A connection may go silent for good without a reset, while the group behind it works on:
-// nothing but the missing events shows it, and the caller gives up after some seconds.
+// A connection may go silent for good without a reset while its group keeps working. The group
+// answers probes, so only the missing events reveal the fault, and the caller gives up after some
+// seconds.
 func TestAStreamWhoseConnectionGoesSilentGoesOnElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
@@ -356,7 +358,7 @@
 		l.health.mu.Lock()
 		defer l.health.mu.Unlock()
 		return l.health.suspected
-	}, 3*time.Second).Should(BeNumerically(">", 0), "silent streams have their group checked")
+	}, 3*time.Second).Should(BeNumerically(">", 0), "the group of a silent stream is probed")
 	for _, v := range l.views {
 		if l.journal.all()[0].instance == string(v.ID) {
 			l.gate.Watch.CutStalled(v.ID)
@@ -370,7 +372,7 @@
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
 	g := NewWithT(t)
 	l := newLab(t)
-	l.gate.SetNodes(1000) // this node's part of the slack is nothing
+	l.gate.SetNodes(1000) // reduces this node's share of the slack to almost nothing
 	l.instance("a", "plain", func(w http.ResponseWriter, _ *http.Request) { cut(w) })
 	l.instance("b", "plain", func(w http.ResponseWriter, _ *http.Request) { cut(w) })
 	for i := range 10 {
--- a/transport/gateway/headers.go
+++ b/transport/gateway/headers.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// hostOnly returns a host without its port.
+// hostOnly returns the host of a host and optional port.
 func hostOnly(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
@@ -14,7 +14,7 @@
 	return host
 }
 
-// pathOf returns the path of a request's target.
+// pathOf returns the path of a request URI.
 func pathOf(uri string) string {
 	if i := strings.IndexByte(uri, '?'); i >= 0 {
 		return uri[:i]
@@ -22,13 +22,13 @@
 	return uri
 }
 
-// perConnection are the headers that concern one connection only.
+// perConnection lists the hop-by-hop headers, which are not forwarded.
 var perConnection = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// travelling returns the headers that travel with a message.
+// travelling returns the end-to-end headers of a message, without those that its Connection header lists.
 func travelling(h http.Header) http.Header {
 	out := make(http.Header, len(h)+4)
 	named := h.Values("Connection")
@@ -41,7 +41,7 @@
 	return out
 }
 
-// namedIn tells whether a Connection header names another header.
+// namedIn reports whether the values of a Connection header list a header name.
 func namedIn(lists []string, name string) bool {
 	for _, list := range lists {
 		for word := range strings.SplitSeq(list, ",") {
--- a/transport/gateway/outcome.go
+++ b/transport/gateway/outcome.go
@@ -8,21 +8,21 @@
 	"github.com/troutmast/troutmast/transport/event"
 )
 
-// Lateness names why an answer missed the goals of its route; the empty value
+// Lateness is the reason why a response missed the latency goals of its route. The empty value
 // means that it met them.
 type Lateness string
 
-// The reasons for a late answer, the most specific first.
+// The reasons for a late response, the most specific first.
 const (
-	// LateRetried means that an attempt before the last one failed or was refused.
+	// LateRetried means that an earlier attempt failed or was refused.
 	LateRetried Lateness = "retried"
-	// LateFirst means that the answer, or the first event of a stream, came after Route.Goal.
+	// LateFirst means that the response, or the first event of a stream, took longer than Route.Goal.
 	LateFirst Lateness = "first"
-	// LateGap means that two events of a stream were further apart than Route.GapGoal.
+	// LateGap means that the gap between two events of a stream was longer than Route.GapGoal.
 	LateGap Lateness = "gap"
 )
 
-// lateness judges a whole answer against the goals of its route.
+// lateness compares the latency of a complete response with the goals of its route.
 func (c *call) lateness(total time.Duration) Lateness {
 	first, gap := total, time.Duration(0)
 	if c.route.Kind == catalog.Stream {
@@ -41,7 +41,7 @@
 	return LateGap
 }
 
-// recordAnswer counts and logs a whole answer, with what the target held when it was chosen.
+// recordAnswer counts and logs a complete response, with the load of the target when it was picked.
 func (c *call) recordAnswer(target *dispatch.Candidate) {
 	total := c.Clock.Since(c.arrived)
 	c.Recorder.Time("answer", total)
--- a/transport/gateway/port.go
+++ b/transport/gateway/port.go
@@ -1,6 +1,6 @@
-// Package gateway answers callers by the routes of a catalog: it checks a
-// request, sends it to an instance or a replica group, follows the answer, and
-// resumes a stream elsewhere when its group fails.
+// Package gateway serves callers according to the routes of a catalog: it admits a
+// request, sends it to an instance or a replica group, relays the response, and
+// resumes a stream on another group when its group fails.
 package gateway
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// The faults of a request that cannot be read.
+// Errors of a request whose claims cannot be parsed.
 var (
-	ErrNoID        = errors.New("gateway: the request names no id")
-	ErrBadDeadline = errors.New("gateway: the deadline is no number of milliseconds")
+	ErrNoID        = errors.New("gateway: request has no ID")
+	ErrBadDeadline = errors.New("gateway: request deadline is not a non-negative number of milliseconds")
 )
 
-// Code is the reason of an answer that the product itself gives.
+// Code is the reason for a response that the gateway generates itself.
 type Code string
 
-// The reasons. All but the first six promise that the request has not run and will not.
+// The reasons. All but the first six guarantee that the request has not run and will not run.
 const (
 	CodeBadRequest Code = "bad-request"
 	CodeNoRoute    Code = "no-route"
@@ -38,65 +38,73 @@
 	CodeUnreachable Code = "targets-unreachable"
 	CodeNoTime      Code = "no-time-left"
 	CodeStopping    Code = "stopping"
-	// CodeQuarantined says that instances ended under earlier attempts of the request. It
-	// promises that this attempt has not run, and when the next one may: the request may be
-	// sound, so that no status blames the caller.
+	// CodeQuarantined means that instances ended while running earlier attempts of the request.
+	// It guarantees that this attempt has not run and tells when to retry. The request may be
+	// valid, so the status is not a client error.
 	CodeQuarantined Code = "quarantined"
-	// CodeCoolingDown says that all instances that could run the request asked this node to
-	// send them nothing for a while.
+	// CodeCoolingDown means that every instance that could run the request has asked this node
+	// for a cooldown.
 	CodeCoolingDown Code = "cooling-down"
-	// CodeRateLimited says that the instances that could run the request take no more than
-	// they are sent, from all nodes together.
+	// CodeRateLimited means that the instances that could run the request have reached their
+	// rate limits, which count the requests of all nodes.
 	CodeRateLimited Code = "rate-limited"
 )
 
-// Claims is what a request says of itself.
+// Claims holds the properties that a request states in its headers.
 type Claims struct {
 	ID    string
 	Key   string
 	Model string
-	// LastEvent is the last event that the caller has of a stream.
+	// LastEvent is the ID of the last stream event that the caller has received.
 	LastEvent string
-	// Prompt is the number of tokens of the prompt, Answer that which the caller expects; 0 is unknown.
+	// Prompt is the number of prompt tokens, Answer the number of response tokens that the
+	// caller expects. 0 means unknown.
 	Prompt int
 	Answer int
-	// Patience is how long the caller waits; 0 is without bound.
+	// Patience is the caller's time-out. 0 means none.
 	Patience time.Duration
 }
 
-// Forward is what an instance is told of a request.
+// Forward holds the properties of a request that are forwarded to an instance.
 type Forward struct {
 	Instance  state.InstanceID
 	Team      state.TeamName
 	LastEvent string
-	// Left is the time that the caller still waits.
+	// Left is the time left until the deadline.
 	Left time.Duration
-	// Urgency ranks requests, 0 first; below 0 it is not told.
+	// Urgency is the priority of the request, 0 being the highest. A negative value is not forwarded.
 	Urgency int
 }
 
-// Verdict is what an instance's answer says about itself.
+// Verdict holds the properties that an instance states in the head of its response.
 type Verdict struct {
-	// NotRun tells that the instance did not run the request.
+	// NotRun reports whether the instance did not run the request.
 	NotRun bool
-	// Instance is the one that answers, if it says so.
+	// Instance is the ID of the responding instance, or empty if the response does not name it.
 	Instance state.InstanceID
-	// Culprit is the address of the instance at fault, if the answer tells it.
+	// Culprit is the address of the instance at fault, or empty if the response does not name it.
 	Culprit string
-	// Sealed tells that a success can be believed.
+	// Sealed reports whether the response carries its seal. A success without one is not trusted.
 	Sealed bool
 	fleet.Notice
 }
 
-// Dialect knows the names under which requests and answers carry these things.
+// Dialect maps claims, forwarded properties and verdicts to the headers and status codes of a platform.
 type Dialect interface {
+	// Parse returns the claims of a request.
 	Parse(h http.Header) (Claims, error)
+	// Forward sets the headers of a request to an instance.
 	Forward(h http.Header, f Forward)
+	// Belongs reports whether a response belongs to the request with an ID.
 	Belongs(h http.Header, id string) bool
+	// Verdict returns the properties that a response states.
 	Verdict(status int, h http.Header) Verdict
-	// ToCaller removes from the head of an instance's answer what it tells the node alone.
+	// ToCaller removes the headers of an instance's response that are meant for the node only.
 	ToCaller(status int, h http.Header)
+	// Status returns the status code for a reason.
 	Status(c Code) int
+	// RetryAfter sets the time after which the caller may retry.
 	RetryAfter(h http.Header, d time.Duration)
+	// Echo sets the ID of the request that a response belongs to.
 	Echo(h http.Header, id string)
 }
--- a/transport/gateway/quarantine_test.go
+++ b/transport/gateway/quarantine_test.go
@@ -10,7 +10,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// fingerprintOf returns the fingerprint of a POST by the lab's team.
+// fingerprintOf returns the fingerprint of a POST request of the test team.
 func fingerprintOf(target, body string) quarantine.Fingerprint {
 	return quarantine.NewFingerprint(quarantine.Content{Method: http.MethodPost, Host: "h", Target: target, Caller: "team", Body: []byte(body)})
 }
@@ -34,7 +34,7 @@
 	}
 }
 
-// A request that is quarantined while its attempt is under way goes to no second instance.
+// A request that is quarantined during an attempt is not retried on another instance.
 func TestAnAttemptEndsWhenItsRequestIsQuarantined(t *testing.T) {
 	g := NewWithT(t)
 	l := newLab(t)
@@ -98,10 +98,11 @@
 	l.at("a", "plain", deadAddress(t))
 	l.call(http.MethodPost, "/unsafe/", "x", nil)
 	g.Expect(l.quarantine.refused).To(ContainElement(BeEquivalentTo("a")))
-	g.Expect(l.quarantine.broken).To(BeEmpty(), "nothing was under way there")
+	g.Expect(l.quarantine.broken).To(BeEmpty(), "no request was in progress at the instance")
 }
 
-// What may end its instance goes where the fewest other requests would break off with it.
+// A suspected request may end its instance, so it goes where the fewest other requests would fail
+// with it.
 func TestASuspectGoesToTheInstanceThatHoldsTheFewestRequests(t *testing.T) {
 	g := NewWithT(t)
 	l := newLab(t)
@@ -117,7 +118,7 @@
 	l.table.SetOthers(map[state.InstanceID]int{"a": 2, "b": 9, "c": 3}, nil, nil)
 	g.Expect(l.call(http.MethodPost, "/safe/", "suspect", nil).status).To(Equal(http.StatusOK))
 	g.Expect(l.runsAt("a")).To(Equal(1))
-	// Those that are not suspected are spread as ever.
+	// Requests that are not suspected are still spread over all instances.
 	l.table.SetOthers(nil, nil, nil)
 	for range 60 {
 		l.call(http.MethodPost, "/safe/", "sound", nil)
--- a/transport/gateway/ratelimit_test.go
+++ b/transport/gateway/ratelimit_test.go
@@ -14,8 +14,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// limit has an instance take so many requests a second, of which this node may send some; the
-// limit does not show the first few times that the instance is looked at.
+// limit sets the rate limit of an instance and this node's grants. The first checks, as many as
+// hidden, do not show the limit.
 func (l *lab) limit(id string, perSecond float64, grants, hidden int) {
 	in := fleet.Instance{ID: state.InstanceID(id)}
 	now := time.Now()
@@ -29,10 +29,10 @@
 func TestNoRequestReachesALimitedInstanceWithoutAGrant(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
-		// other is how the instance answers that has no limit.
+		// other is the handler of the instance without a limit.
 		other          http.HandlerFunc
 		status, grants int
-		// hidden is how often the limit does not show yet.
+		// hidden is the number of checks that do not show the limit yet.
 		hidden int
 	}{
 		{"first sends", "/safe/", ok("x"), http.StatusOK, 0, 0},
@@ -64,7 +64,7 @@
 	}
 }
 
-// What was sent before goes to an instance that asks for little only if no other takes it.
+// A retry goes to a rate-limited instance only if no other instance accepts it.
 func TestARequestGoesOnAtAnInstanceWithoutALimit(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -126,7 +126,7 @@
 			c.prepare(l)
 			began := time.Now()
 			a := l.call(http.MethodPost, "/safe/", "x", nil)
-			g.Expect(time.Since(began)).To(BeNumerically("<", time.Second), "the caller is held")
+			g.Expect(time.Since(began)).To(BeNumerically("<", time.Second), "the caller is refused without waiting")
 			g.Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 			seconds, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -137,8 +137,8 @@
 	}
 }
 
-// A node that has just started does not know how many others there are. It took the whole
-// slack of the repeats that all nodes share, until it had heard of them.
+// A node that has just started does not know how many other nodes there are. It must not take the
+// whole slack of the retry budget that all nodes share.
 func TestANodeThatDoesNotKnowTheOthersTakesNoPartOfTheSlack(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/transport/gateway/serve.go
+++ b/transport/gateway/serve.go
@@ -18,26 +18,27 @@
 	"github.com/troutmast/troutmast/transport/event"
 )
 
-// result is how one attempt ended.
+// result is the outcome of one attempt.
 type result string
 
 // The results of an attempt.
 const (
-	// answered means that the caller has its whole answer.
+	// answered means that the caller has received a complete response.
 	answered result = "answered"
-	// notRun means that the instance did not run the request and will not.
+	// notRun means that the instance has not run the request and will not run it.
 	notRun result = "not-run"
-	// heldBack means that the request was not sent after all.
+	// heldBack means that the request was held back right before it was sent.
 	heldBack result = "held-back"
-	// unknown means that the request may have run, and its answer is lost.
+	// unknown means that the request may have run and its response is lost.
 	unknown result = "unknown"
-	// failed means that the instance answered with a failure.
+	// failed means that the instance returned a server error.
 	failed result = "failed"
-	// callerGone means that the caller has left.
+	// callerGone means that the caller has disconnected.
 	callerGone result = "caller-gone"
 )
 
-// serve sends a request to instances until one has answered, or returns why it was given up.
+// serve sends a request to one instance after another until one responds. It returns a refusal
+// if the request is given up.
 func (c *call) serve() *refusal {
 	for {
 		if no := c.mayGoOn(); no != nil {
@@ -79,7 +80,8 @@
 	}
 }
 
-// mayGoOn reports whether a request has time and sends left.
+// mayGoOn returns a refusal if the request must not be sent again: the caller has disconnected,
+// the keys may be stale before the first send, or no time or sends are left.
 func (c *call) mayGoOn() *refusal {
 	if c.r.Context().Err() != nil {
 		return c.giveUp(CodeBroken)
@@ -97,8 +99,9 @@
 	return nil
 }
 
-// giveUp returns the final answer of a request that is not tried again: what an
-// instance answered, if one did, else what is certain about it.
+// giveUp ends a request that is not tried again. It forwards the last server error of an
+// instance if there is one, and otherwise returns a refusal: with the given code only if the
+// request has certainly not run.
 func (c *call) giveUp(code Code) *refusal {
 	switch {
 	case c.begun:
@@ -114,8 +117,8 @@
 	return &refusal{code: CodeBroken}
 }
 
-// pick chooses where the request goes next; it never goes twice to the same instance. A
-// request that was sent before goes to an instance with a rate limit only if no other takes it.
+// pick returns the next target of the request, or nil. It never returns the same instance twice.
+// A retry goes to an instance with a rate limit only if every other one is full or unavailable.
 func (c *call) pick() *dispatch.Candidate {
 	if c.sends > 0 {
 		if t := c.pickUnless(c.limited); t != nil && !t.Full(c.Clock.Now()) {
@@ -131,8 +134,8 @@
 	return limited
 }
 
-// pickUnless chooses one of the targets that the request was not sent to, that are not
-// cooling down, and for which a function does not hold.
+// pickUnless picks a target that has not been tried, is not cooling down, and for which avoid
+// reports false. A request suspected of ending instances goes to the target with the lowest load.
 func (c *call) pickUnless(avoid func(*dispatch.Candidate) bool) *dispatch.Candidate {
 	unfit := func(t *dispatch.Candidate) bool {
 		if slices.Contains(c.tried, t.ID) || avoid(t) {
@@ -147,7 +150,8 @@
 	return c.Table.Pick(c.service, c.model, c.Clock.Now(), unfit)
 }
 
-// waitForTarget waits a moment for a group at which a begun stream can go on.
+// waitForTarget waits for one poll interval and reports whether to search again for a group that
+// can resume the stream.
 func (c *call) waitForTarget() bool {
 	if c.Clock.Since(c.moved) > c.Policy.ResumeWait {
 		return false
@@ -160,7 +164,7 @@
 	}
 }
 
-// noTarget returns the refusal of a request that no instance can take.
+// noTarget returns the refusal of a request that no instance can accept.
 func (c *call) noTarget() *refusal {
 	if c.sends > 0 {
 		return c.giveUp(CodeUnreachable)
@@ -171,7 +175,7 @@
 	return refusedAt(CodeNoTarget, c.Policy.RepairRetryAfter)
 }
 
-// attempt sends the request to one instance and follows its answer.
+// attempt sends the request to one instance and relays its response.
 func (c *call) attempt(target *dispatch.Candidate) result {
 	c.tried = append(c.tried, target.ID)
 	c.sends++
@@ -207,7 +211,7 @@
 	return c.follow(ctx, target, resp, watched, sent)
 }
 
-// request returns the request as an instance gets it.
+// request returns the request to send to an instance.
 func (c *call) request(target *dispatch.Candidate, now time.Time) *direct.Request {
 	h := travelling(c.r.Header)
 	f := Forward{
@@ -233,14 +237,14 @@
 	}
 }
 
-// trouble notes that an instance failed a request.
+// trouble records and logs that an instance failed a request, and reports it to the failure detector.
 func (c *call) trouble(target *dispatch.Candidate, sent time.Time, what event.Failure, err error) {
 	target.Failed()
 	c.Health.Failed(target.ID, sent)
 	c.logFailure(target, sent, what, err)
 }
 
-// logFailure logs that an attempt was lost.
+// logFailure logs an attempt without a usable response.
 func (c *call) logFailure(target *dispatch.Candidate, sent time.Time, what event.Failure, err error) {
 	c.Recorder.Decide(&event.AttemptFailed{
 		Request: c.named(), Instance: target.ID, Group: target.Membership.Group, Epoch: target.Membership.Epoch, What: what, Err: err,
@@ -248,7 +252,8 @@
 	})
 }
 
-// lost judges an attempt whose answer did not come, or broke off.
+// lost handles an attempt whose response is missing or incomplete. It records the failure and
+// returns the result.
 func (c *call) lost(ctx context.Context, target *dispatch.Candidate, sent time.Time, err error) result {
 	if c.r.Context().Err() != nil {
 		return callerGone
@@ -271,8 +276,8 @@
 	return unknown
 }
 
-// mayHaveEnded returns the instances of which one may have ended under an attempt: the
-// head, which broke its connection off, or any member of a group that stands still.
+// mayHaveEnded returns the instances of which one may have ended during an attempt: any member
+// of a stalled group, or else the target, whose connection broke.
 func mayHaveEnded(target *dispatch.Candidate, cause error) []fleet.Instance {
 	if errors.Is(cause, errStalled) && len(target.Members) > 0 {
 		return target.Members
@@ -280,7 +285,7 @@
 	return []fleet.Instance{target.Instance}
 }
 
-// follow passes an answer on.
+// follow evaluates the head of a response and relays it to the caller if it is usable.
 func (c *call) follow(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, w *watched, sent time.Time) result {
 	v := c.Dialect.Verdict(resp.Status, resp.Header)
 	replaced := v.NotRun && v.Instance != "" && v.Instance != target.ID
@@ -314,8 +319,8 @@
 	return c.whole(ctx, target, resp, sent)
 }
 
-// answeredBy records a whole answer of an instance. One that ends with its
-// connection looks whole as well when the instance ends, so it clears no request.
+// answeredBy records a complete response of an instance. A response that is delimited by the end
+// of its connection also looks complete if the instance ended, so it does not clear the request.
 func (c *call) answeredBy(target *dispatch.Candidate, resp *direct.Response) {
 	target.Answered()
 	if resp.Framed() {
@@ -323,17 +328,18 @@
 	}
 }
 
-// maxBuffered is the size up to which an answer is read whole before it is passed on, in bytes.
+// maxBuffered is the size up to which a response is buffered before it is forwarded, in bytes.
 const maxBuffered = 1 << 20
 
-// plain is an answer that was read whole.
+// plain is a buffered response.
 type plain struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// whole reads an answer whole and passes it on, unless it is a failure that may be tried again.
+// whole buffers a response and forwards it. A server error is kept in c.last instead, since the
+// request may be retried. Nothing is forwarded if a stream has begun.
 func (c *call) whole(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, sent time.Time) result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBuffered))
 	if err != nil {
@@ -359,13 +365,13 @@
 	return answered
 }
 
-// write passes a whole answer on.
+// write forwards the response to the caller.
 func (p *plain) write(c *call) {
 	c.head(p.status, p.header, int64(len(p.body)))
 	_, _ = c.w.Write(p.body)
 }
 
-// head writes the head of an answer; length is -1 when it is not known.
+// head writes the head of a response. A length of -1 means unknown.
 func (c *call) head(status int, header http.Header, length int64) {
 	h := c.w.Header()
 	for name, values := range header {
@@ -381,7 +387,7 @@
 	c.w.WriteHeader(status)
 }
 
-// large passes on an answer that is too large to be read whole first.
+// large forwards a response that is too large to be buffered as a whole.
 func (c *call) large(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, p *plain, sent time.Time) result {
 	c.head(p.status, p.header, resp.Length)
 	c.begun = true
--- a/transport/gateway/standin_test.go
+++ b/transport/gateway/standin_test.go
@@ -29,7 +29,7 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// dialect is a stand-in for a platform's names.
+// dialect implements gateway.Dialect with short header names.
 type dialect struct{}
 
 func (dialect) Parse(h http.Header) (gateway.Claims, error) {
@@ -87,7 +87,7 @@
 
 func (dialect) Echo(h http.Header, id string) { h.Set("Id", id) }
 
-// knowledge gives a fixed catalog.
+// knowledge implements gateway.Catalogs with a fixed catalog.
 type knowledge struct {
 	c     *catalog.Catalog
 	stale atomic.Bool
@@ -96,7 +96,7 @@
 func (k *knowledge) Catalog() *catalog.Catalog { return k.c }
 func (k *knowledge) KeysFresh() bool           { return !k.stale.Load() }
 
-// health remembers what it is told.
+// health implements gateway.Health and records failures and probe requests.
 type health struct {
 	mu        sync.Mutex
 	failed    []state.InstanceID
@@ -116,11 +116,11 @@
 	h.suspected++
 }
 
-// quarantined stands in for the quarantine: it holds back what it is told to.
+// quarantined implements gateway.Quarantine. Tests set which requests it quarantines.
 type quarantined struct {
 	mu   sync.Mutex
 	held map[quarantine.Fingerprint]bool
-	// suspected are requests under which instances ended, if not enough of them.
+	// suspected holds requests that ended instances, but too few to be quarantined.
 	suspected map[quarantine.Fingerprint]bool
 	broken    []quarantine.Fingerprint
 	answered  []quarantine.Fingerprint
@@ -157,7 +157,7 @@
 	q.refused = append(q.refused, c.ID)
 }
 
-// recorder counts decisions.
+// recorder implements gateway.Recorder and keeps the counters only.
 type recorder struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -171,23 +171,22 @@
 func (r *recorder) Time(string, time.Duration) {}
 func (r *recorder) Decide(event.Decision)      {}
 
-// lab is a gateway before stand-in instances.
+// lab runs a gateway in front of fake instances.
 type lab struct {
-	t          *testing.T
-	gate       *gateway.Gateway
-	front      *httptest.Server
-	table      *dispatch.Table
-	know       *knowledge
-	health     *health
-	counts     *recorder
-	quarantine *quarantined
-	// backpressure keeps what instances ask of the node.
+	t            *testing.T
+	gate         *gateway.Gateway
+	front        *httptest.Server
+	table        *dispatch.Table
+	know         *knowledge
+	health       *health
+	counts       *recorder
+	quarantine   *quarantined
 	backpressure *backpressure
 	views        []roster.View
 	journal      *journal
 }
 
-// journal notes which instance ran which request.
+// journal records which instance received which request.
 type journal struct {
 	mu   sync.Mutex
 	runs []run
@@ -210,7 +209,8 @@
 	return append([]run(nil), j.runs...)
 }
 
-// newLab returns a lab whose routes are /safe/, /unsafe/, /stream/, /once/ (a stream that cannot go on elsewhere) and /public/.
+// newLab returns a lab with the routes /safe/, /unsafe/, /stream/, /once/ (a stream that cannot
+// be resumed) and /public/.
 func newLab(t *testing.T) *lab {
 	route := func(name string, kind catalog.RouteKind, service state.ServiceName) catalog.Route {
 		return catalog.Route{
@@ -244,7 +244,8 @@
 	return l
 }
 
-// instance adds an instance whose requests a function answers; h notes the run and echoes the id first.
+// instance adds an instance with a handler. Before the handler is called, the request is recorded
+// and its ID and a seal are set on the response.
 func (l *lab) instance(id string, service state.ServiceName, answer http.HandlerFunc) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -257,7 +258,7 @@
 	l.at(id, service, netip.MustParseAddrPort(srv.Listener.Addr().String()))
 }
 
-// at adds an instance at an address.
+// at adds an instance with an address.
 func (l *lab) at(id string, service state.ServiceName, at netip.AddrPort) {
 	in := fleet.Instance{ID: state.InstanceID(id), Service: service, Address: at, Hall: "hall", Slots: 4}
 	if service == "lm" {
@@ -268,7 +269,7 @@
 	l.table.Update(l.know.c, l.views, func(fleet.GroupKey) bool { return false })
 }
 
-// deadAddress returns an address at which nothing listens.
+// deadAddress returns an address that refuses connections.
 func deadAddress(t *testing.T) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -278,7 +279,7 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status int
 	header http.Header
@@ -286,7 +287,7 @@
 	err    error
 }
 
-// call sends a request with a key and a model, and reads the whole answer.
+// call sends a request with a key and a model, and reads the complete response.
 func (l *lab) call(method, path, body string, header map[string]string) answer {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -318,7 +319,7 @@
 	return answer{resp.StatusCode, resp.Header, string(text), err}
 }
 
-// onlyReader sends a body in chunks.
+// onlyReader hides the length of a body, so that net/http sends it chunked.
 type onlyReader struct{ s string }
 
 func (r *onlyReader) Read(p []byte) (int, error) {
@@ -330,7 +331,7 @@
 	return n, nil
 }
 
-// events writes events with ids from first to last, and waits for the next to be wanted.
+// events writes events with the IDs first to last and flushes each of them.
 func events(w http.ResponseWriter, first, last int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := first; i <= last; i++ {
@@ -339,7 +340,7 @@
 	}
 }
 
-// cut closes the connection of an answer without an end.
+// cut closes the connection without completing the response.
 func cut(w http.ResponseWriter) {
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err == nil {
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -13,13 +13,13 @@
 	"github.com/troutmast/troutmast/protocol/direct"
 )
 
-// stream is how far the answer to a stream has come.
+// stream is the progress of a streamed response.
 type stream struct {
-	// begun tells that the head of the answer has been written.
+	// begun reports whether the head of the response has been written to the caller.
 	begun bool
-	// lastEvent is the id of the last event that the caller was sent.
+	// lastEvent is the ID of the last event accepted for the caller.
 	lastEvent string
-	// moved is when the last event was passed on.
+	// moved is when events were last written to the caller.
 	moved  time.Time
 	events int
 	// firstAfter is the time from the arrival of the request to its first event.
@@ -28,13 +28,14 @@
 	longestGap time.Duration
 }
 
-// errOrder means that an instance sent an event again, or out of order.
+// errOrder means that an instance repeated an event or sent it out of order.
 var errOrder = errors.New("gateway: events out of order")
 
 // readSize is the size of one read of a stream, in bytes.
 const readSize = 4096
 
-// relay passes the events of a stream on, whole ones only.
+// relay forwards the events of a stream to the caller. It forwards complete events only, except
+// for a remainder at the end of a framed response.
 func (c *call) relay(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, w *watched, sent time.Time) result {
 	var pending []byte
 	buf := make([]byte, readSize)
@@ -63,7 +64,7 @@
 	}
 }
 
-// broken judges a stream that broke off.
+// broken handles a stream that ended early and returns the result of its attempt.
 func (c *call) broken(ctx context.Context, target *dispatch.Candidate, sent time.Time, err error) result {
 	if errors.Is(err, errCaller) {
 		return callerGone
@@ -71,10 +72,10 @@
 	return c.lost(ctx, target, sent, err)
 }
 
-// errCaller means that the caller no longer reads.
-var errCaller = errors.New("gateway: caller does not read")
+// errCaller means that writing to the caller failed.
+var errCaller = errors.New("gateway: write to the caller failed")
 
-// pass writes the whole events at the front of what was read and returns the rest.
+// pass writes the complete events at the start of pending to the caller and returns the rest.
 func (c *call) pass(pending []byte, resp *direct.Response, now time.Time) ([]byte, error) {
 	end, fault := c.take(pending)
 	if end == 0 {
@@ -94,8 +95,8 @@
 	return pending[end:], fault
 }
 
-// take returns the length of the whole events at the front of what was read, up
-// to one that does not follow the event before it.
+// take returns the length of the complete events at the start of pending. It stops with errOrder
+// before an event whose ID is not after that of the previous event.
 func (c *call) take(pending []byte) (int, error) {
 	end := 0
 	for {
@@ -114,7 +115,7 @@
 	}
 }
 
-// begin writes the head of the stream, once.
+// begin writes the head of the stream if it has not been written yet.
 func (c *call) begin(resp *direct.Response) {
 	if c.begun {
 		return
@@ -125,7 +126,7 @@
 	c.head(resp.Status, c.toCaller(resp), -1)
 }
 
-// finish ends a stream whose last byte has come.
+// finish completes a stream whose last byte has been read.
 func (c *call) finish(resp *direct.Response, rest []byte) result {
 	c.begin(resp)
 	if len(rest) > 0 {
@@ -134,7 +135,7 @@
 	return answered
 }
 
-// eventEnd returns the length of the first whole event, or 0.
+// eventEnd returns the length of the first complete event, or 0 if there is none.
 func eventEnd(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
@@ -147,7 +148,7 @@
 	return 0
 }
 
-// eventID returns the id of an event, or none.
+// eventID returns the ID of an event, or an empty string if it has none.
 func eventID(event []byte) string {
 	for len(event) > 0 {
 		line := event
@@ -163,7 +164,8 @@
 	return ""
 }
 
-// follows reports whether an event id comes after another.
+// follows reports whether an event ID comes after another. IDs that are not numbers are not
+// compared: they always count as following.
 func follows(before, id string) bool {
 	a, errA := strconv.ParseInt(before, 10, 64)
 	b, errB := strconv.ParseInt(id, 10, 64)
--- a/transport/gateway/watch.go
+++ b/transport/gateway/watch.go
@@ -14,30 +14,33 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// errStalled means that an attempt was given up because its group stands still.
-var errStalled = errors.New("gateway: the group stands still")
+// errStalled means that an attempt was canceled because its group has stalled.
+var errStalled = errors.New("gateway: replica group stalled: a member did not answer its probe")
 
-// errSilent means that a stream was given up because no event came, though its group lives.
-var errSilent = errors.New("gateway: no event came for long")
+// errSilent means that a stream was canceled because it received no event although its group answers probes.
+var errSilent = errors.New("gateway: stream silent: no event received within silent-after")
 
-// watched is one attempt under watch.
+// watched is an attempt in progress.
 type watched struct {
 	target *dispatch.Candidate
-	// resumable tells that the request may go on at another group.
+	// resumable reports whether the stream may be resumed on another group.
 	resumable bool
 	sent      time.Time
-	moved     atomic.Int64
-	cancel    context.CancelCauseFunc
-	// seen is what moved was at the last look, still the number of looks since it changed.
+	// moved is when the last data arrived, in nanoseconds of the steady clock, or 0 before the first.
+	moved  atomic.Int64
+	cancel context.CancelCauseFunc
+	// seen is the value of moved at the last check, still the number of checks since it changed.
 	seen  int64
 	still int
 }
 
-// looksInSilence is how many looks in a row must show no event for a stream to count as
-// silent: a node that was frozen reads meanwhile what has come.
+// looksInSilence is the number of consecutive checks without an event after which a stream
+// counts as silent. A node that was frozen reads the events that arrived meanwhile between
+// these checks, so its streams do not count as silent.
 const looksInSilence = 8
 
-// standsStill counts a look at a stream and reports whether it has brought no event for long.
+// standsStill counts a check of a stream and reports whether the stream is silent: no event for
+// longer than after, over enough checks. It reports false before the first event.
 func (w *watched) standsStill(now time.Time, after time.Duration) bool {
 	moved := w.moved.Load()
 	if moved != w.seen {
@@ -47,10 +50,10 @@
 	return moved > 0 && after > 0 && w.still >= looksInSilence && steady.Nanos(now)-moved > int64(after)
 }
 
-// move notes that the answer has moved on.
+// move records that data of the response arrived.
 func (w *watched) move(now time.Time) { w.moved.Store(steady.Nanos(now)) }
 
-// silent reports whether nothing has come of the attempt for too long.
+// silent reports whether the attempt received nothing for so long that its group must be probed.
 func (w *watched) silent(now time.Time, policy *Policy) bool {
 	if moved := w.moved.Load(); moved > 0 {
 		return steady.Nanos(now)-moved > int64(policy.EventSilence)
@@ -58,7 +61,7 @@
 	return now.Sub(w.sent) > policy.FirstSilence
 }
 
-// Watch looks for attempts that stand still.
+// Watch detects attempts that make no progress. It is safe for concurrent use.
 type Watch struct {
 	clock  clockwork.Clock
 	health Health
@@ -67,12 +70,12 @@
 	active map[*watched]struct{}
 }
 
-// newWatch returns an empty Watch.
+// newWatch returns a Watch without attempts.
 func newWatch(clock clockwork.Clock, health Health, policy *Policy) *Watch {
 	return &Watch{clock: clock, health: health, policy: policy, active: map[*watched]struct{}{}}
 }
 
-// add puts an attempt under watch.
+// add registers an attempt.
 func (w *Watch) add(target *dispatch.Candidate, resumable bool, sent time.Time, cancel context.CancelCauseFunc) *watched {
 	a := &watched{target: target, resumable: resumable, sent: sent, cancel: cancel}
 	w.mu.Lock()
@@ -81,16 +84,15 @@
 	return a
 }
 
-// remove takes an attempt off the watch.
+// remove unregisters an attempt.
 func (w *Watch) remove(a *watched) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.active, a)
 }
 
-// Look asks for a check of every group whose attempts are silent, and gives up streams that
-// were silent for long: a connection may go silent for good without a reset, while its group
-// works on.
+// Look requests a probe of every group with a silent attempt, and cancels resumable streams that
+// stay silent: a connection may go silent for good without a reset while its group keeps working.
 func (w *Watch) Look() {
 	now := w.clock.Now()
 	silent := map[state.InstanceID]*dispatch.Candidate{}
@@ -111,7 +113,7 @@
 	}
 }
 
-// CutStalled gives up the attempts at a head whose group cannot go on.
+// CutStalled cancels the attempts at the head of a stalled group.
 func (w *Watch) CutStalled(head state.InstanceID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,7 +124,7 @@
 	}
 }
 
-// Active returns the number of attempts under way.
+// Active returns the number of attempts in progress.
 func (w *Watch) Active() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
