--- a/transport/gateway/backpressure.go
+++ b/transport/gateway/backpressure.go
@@ -18,7 +18,7 @@
 var (
 	errCoolingDown = fmt.Errorf("%w: the instance is cooling down", errHeldBack)
 	errLeaving     = fmt.Errorf("%w: the instance is leaving", errHeldBack)
-	errStaleKeys   = fmt.Errorf("%w: keys may be stale", errHeldBack)
+	errKeysStale   = fmt.Errorf("%w: keys may be stale", errHeldBack)
 	errRateLimited = fmt.Errorf("%w: the instance takes no more requests for now", errHeldBack)
 )
 
@@ -26,22 +26,22 @@
 var heldBackCounters = map[error]string{
 	errCoolingDown: "held-back.cooling-down",
 	errLeaving:     "held-back.leaving",
-	errStaleKeys:   "held-back.keys-may-be-stale",
+	errKeysStale:   "held-back.keys-may-be-stale",
 	errRateLimited: "held-back.rate-limited",
 }
 
-// mayLeave returns the reason why a request must not be sent to an instance now, or nil. It is
-// called once the connection is established: other requests may have received a cooldown, a rate
-// limit or a leaving notice of the instance during the dial.
-func (c *call) mayLeave(target *dispatch.Candidate) error {
+// checkBeforeSend returns the reason why a request must not be sent to an instance now, or nil. It
+// is called once the connection is established: other requests may have received a cooldown, a
+// rate limit or a leaving notice of the instance during the dial.
+func (c *call) checkBeforeSend(target *dispatch.Candidate) error {
 	if _, cooling := c.Backpressure.CoolingDown(&target.Instance); cooling {
 		return errCoolingDown
 	}
 	if c.Backpressure.Leaving(&target.Instance) {
 		return errLeaving
 	}
-	if c.sends == 1 && !c.keyHolds() {
-		return errStaleKeys
+	if c.sends == 1 && !c.keyTrusted() {
+		return errKeysStale
 	}
 	// This check is last because it spends a grant: the request must be sent if it passes.
 	if !c.Backpressure.Send(&target.Instance) {
@@ -50,8 +50,9 @@
 	return nil
 }
 
-// holdBack records that a request was held back. The attempt counts neither as a send nor as a run.
-func (c *call) holdBack(target *dispatch.Candidate, err error) result {
+// recordHeldBack records that a request was held back. The attempt counts neither as a send nor as
+// a run.
+func (c *call) recordHeldBack(target *dispatch.Candidate, err error) attemptResult {
 	c.sends--
 	c.runs--
 	for reason, counter := range heldBackCounters {
@@ -59,21 +60,21 @@
 			c.Recorder.Count(counter)
 		}
 	}
-	c.Recorder.Decide(&event.AttemptHeldBack{Request: c.named(), Instance: target.ID, Err: err, Sends: c.sends})
-	return heldBack
+	c.Recorder.Decide(&event.AttemptHeldBack{Request: c.eventRequest(), Instance: target.ID, Err: err, Sends: c.sends})
+	return resultHeldBack
 }
 
-// allHeldOff reports whether all instances that could run the request are cooling down or
+// allUnderBackpressure reports whether all instances that could run the request are cooling down or
 // rate-limited, and returns the reason and the retry delay.
-func (c *call) allHeldOff() (code Code, after time.Duration, all bool) {
-	var cooled time.Time
+func (c *call) allUnderBackpressure() (code Code, after time.Duration, all bool) {
+	var earliestCooldownEnd time.Time
 	limited, perSecond := false, 0.0
 	targets := c.Table.Candidates(c.service, c.model)
 	for _, t := range targets {
 		until, cooling := c.Backpressure.CoolingDown(&t.Instance)
 		switch {
-		case cooling && (cooled.IsZero() || until.Before(cooled)):
-			cooled = until
+		case cooling && (earliestCooldownEnd.IsZero() || until.Before(earliestCooldownEnd)):
+			earliestCooldownEnd = until
 		case cooling:
 		case c.Backpressure.Open(&t.Instance):
 			return "", 0, false
@@ -82,14 +83,14 @@
 			limited, perSecond = true, perSecond+rate
 		}
 	}
-	free := max(cooled.Sub(c.Clock.Now()), 0)
+	cooldownLeft := max(earliestCooldownEnd.Sub(c.Clock.Now()), 0)
 	switch {
 	case !limited:
-		return CodeCoolingDown, free, len(targets) > 0
-	case cooled.IsZero():
+		return CodeCoolingDown, cooldownLeft, len(targets) > 0
+	case earliestCooldownEnd.IsZero():
 		return CodeRateLimited, c.rateLimitWait(perSecond), true
 	}
-	return CodeRateLimited, min(c.rateLimitWait(perSecond), free), true
+	return CodeRateLimited, min(c.rateLimitWait(perSecond), cooldownLeft), true
 }
 
 // rateLimitWait returns the retry delay for instances that together accept perSecond requests a
@@ -99,18 +100,18 @@
 	return time.Duration(min(seconds, c.Policy.RateLimitRetryAfterMax.Seconds()) * float64(time.Second))
 }
 
-// comeBack returns the retry delay: the usual one, or, if all instances are cooling down or
-// rate-limited, the time until the first of them accepts requests again.
-func (c *call) comeBack(usual time.Duration) time.Duration {
-	if _, after, all := c.allHeldOff(); all {
+// retryDelay returns the time after which the caller may retry: until the first instance accepts
+// requests again if all are cooling down or rate-limited, and fallback otherwise.
+func (c *call) retryDelay(fallback time.Duration) time.Duration {
+	if _, after, all := c.allUnderBackpressure(); all {
 		return after
 	}
-	return usual
+	return fallback
 }
 
-// toCaller returns the headers of an instance's response that are forwarded to the caller.
-func (c *call) toCaller(resp *direct.Response) http.Header {
-	h := travelling(resp.Header)
+// callerHeaders returns the headers of an instance's response that are forwarded to the caller.
+func (c *call) callerHeaders(resp *direct.Response) http.Header {
+	h := endToEndHeaders(resp.Header)
 	c.Dialect.ToCaller(resp.Status, h)
 	return h
 }
--- a/transport/gateway/backpressure_test.go
+++ b/transport/gateway/backpressure_test.go
@@ -16,76 +16,76 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// backpressure implements gateway.Backpressure with real cooldown and rate limit books.
-type backpressure struct {
-	book   *cooldown.Book
-	mu     sync.Mutex
-	gone   map[state.InstanceID]bool
-	limits *ratelimit.Book
-	// free is the number of further checks that do not show the cooldown of an instance.
-	free map[state.InstanceID]int
-	// hidden is the number of further checks that do not show the rate limit of an instance.
-	hidden map[state.InstanceID]int
+// fakeBackpressure implements gateway.Backpressure with real cooldown and rate limit books.
+type fakeBackpressure struct {
+	cooldowns *cooldown.Book
+	mu        sync.Mutex
+	leaving   map[state.InstanceID]bool
+	limits    *ratelimit.Book
+	// cooldownHiddenFor is the number of further checks that do not show the cooldown of an instance.
+	cooldownHiddenFor map[state.InstanceID]int
+	// limitHiddenFor is the number of further checks that do not show the rate limit of an instance.
+	limitHiddenFor map[state.InstanceID]int
 }
 
-func newBackpressure() *backpressure {
-	return &backpressure{book: cooldown.NewBook(cooldown.DefaultPolicy()), gone: map[state.InstanceID]bool{}, hidden: map[state.InstanceID]int{}, limits: ratelimit.NewBook(ratelimit.DefaultPolicy()), free: map[state.InstanceID]int{}}
+func newFakeBackpressure() *fakeBackpressure {
+	return &fakeBackpressure{cooldowns: cooldown.NewBook(cooldown.DefaultPolicy()), leaving: map[state.InstanceID]bool{}, limitHiddenFor: map[state.InstanceID]int{}, limits: ratelimit.NewBook(ratelimit.DefaultPolicy()), cooldownHiddenFor: map[state.InstanceID]int{}}
 }
 
-func (b *backpressure) Told(in *fleet.Instance, n fleet.Notice, _ string, _ time.Time) {
+func (b *fakeBackpressure) Told(in *fleet.Instance, n fleet.Notice, _ string, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.gone[in.ID] = b.gone[in.ID] || n.Leaving
+	b.leaving[in.ID] = b.leaving[in.ID] || n.Leaving
 	b.limits.Observe(in.Incarnation(), n.RateLimit, time.Now(), time.Now())
 	if n.Cooldown > 0 {
-		b.book.Ask(in.Incarnation(), n.Cooldown, time.Now())
+		b.cooldowns.Ask(in.Incarnation(), n.Cooldown, time.Now())
 	}
 }
 
-func (b *backpressure) CoolingDown(in *fleet.Instance) (time.Time, bool) {
+func (b *fakeBackpressure) CoolingDown(in *fleet.Instance) (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.free[in.ID] > 0 {
-		b.free[in.ID]--
+	if b.cooldownHiddenFor[in.ID] > 0 {
+		b.cooldownHiddenFor[in.ID]--
 		return time.Time{}, false
 	}
-	return b.book.Until(in.Incarnation(), time.Now())
+	return b.cooldowns.Until(in.Incarnation(), time.Now())
 }
 
-func (b *backpressure) Leaving(in *fleet.Instance) bool {
+func (b *fakeBackpressure) Leaving(in *fleet.Instance) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.gone[in.ID]
+	return b.leaving[in.ID]
 }
 
-func (b *backpressure) RateLimit(in *fleet.Instance) (float64, bool) {
+func (b *fakeBackpressure) RateLimit(in *fleet.Instance) (float64, bool) {
 	return b.limits.Limited(in.Incarnation())
 }
 
-func (b *backpressure) Open(in *fleet.Instance) bool {
+func (b *fakeBackpressure) Open(in *fleet.Instance) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.hidden[in.ID] > 0 {
-		b.hidden[in.ID]--
+	if b.limitHiddenFor[in.ID] > 0 {
+		b.limitHiddenFor[in.ID]--
 		return true
 	}
 	return b.limits.Open(in.Incarnation(), time.Now())
 }
 
-func (b *backpressure) Send(in *fleet.Instance) bool {
+func (b *fakeBackpressure) Send(in *fleet.Instance) bool {
 	return b.limits.Send(in.Incarnation(), time.Now())
 }
 
-// cool starts a cooldown of an instance. The first checks, as many as free, do not show it.
-func (l *lab) cool(id string, d time.Duration, free int) {
-	l.backpressure.Told(&fleet.Instance{ID: state.InstanceID(id)}, fleet.Notice{Cooldown: d}, "", time.Now())
-	l.backpressure.free[state.InstanceID(id)] = free
+// startCooldown starts a cooldown of an instance. The first hiddenFor checks do not show it.
+func (h *harness) startCooldown(id string, d time.Duration, hiddenFor int) {
+	h.backpressure.Told(&fleet.Instance{ID: state.InstanceID(id)}, fleet.Notice{Cooldown: d}, "", time.Now())
+	h.backpressure.cooldownHiddenFor[state.InstanceID(id)] = hiddenFor
 }
 
-// runsAt returns the number of requests that an instance received.
-func (l *lab) runsAt(id string) int {
+// countRuns returns the number of requests that an instance received.
+func (h *harness) countRuns(id string) int {
 	n := 0
-	for _, r := range l.journal.all() {
+	for _, r := range h.runLog.all() {
 		if r.instance == id {
 			n++
 		}
@@ -93,8 +93,8 @@
 	return n
 }
 
-// shed returns a handler that refuses requests and asks for a cooldown.
-func shed(d time.Duration) http.HandlerFunc {
+// refuseWithCooldown returns a handler that refuses requests and asks for a cooldown.
+func refuseWithCooldown(d time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Not-Run", "1")
 		w.Header().Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', -1, 64))
@@ -102,153 +102,153 @@
 	}
 }
 
-// status returns a handler that responds with a status code.
-func status(code int) http.HandlerFunc {
+// respondStatus returns a handler that responds with a status code.
+func respondStatus(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 }
 
-func TestNoRequestReachesAnInstanceThatIsCoolingDown(t *testing.T) {
+func TestNoRequestIsSentDuringCooldown(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
-		// other is the handler of the instance that is not cooling down.
-		other  http.HandlerFunc
-		status int
-		// free is the number of checks that do not show the cooldown yet.
-		free int
+		// otherHandler is the handler of the instance that is not cooling down.
+		otherHandler http.HandlerFunc
+		status       int
+		// hiddenFor is the number of checks that do not show the cooldown yet.
+		hiddenFor int
 	}{
-		{"first sends", "/safe/", ok("x"), http.StatusOK, 0},
-		{"repeats after a failure elsewhere", "/safe/", status(http.StatusInternalServerError), http.StatusInternalServerError, 0},
-		{"repeats after a broken connection", "/safe/", func(w http.ResponseWriter, _ *http.Request) { cut(w) }, http.StatusBadGateway, 0},
-		{"repeats of what was not run", "/unsafe/", func(w http.ResponseWriter, _ *http.Request) {
+		{"first attempts", "/safe/", respondWith("x"), http.StatusOK, 0},
+		{"retries after a server error", "/safe/", respondStatus(http.StatusInternalServerError), http.StatusInternalServerError, 0},
+		{"retries after a broken connection", "/safe/", func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }, http.StatusBadGateway, 0},
+		{"retries of a request that was not run", "/unsafe/", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, http.StatusServiceUnavailable, 0},
-		{"sends that were decided before", "/safe/", ok("x"), http.StatusOK, 1},
+		{"cooldown starts between pick and send", "/safe/", respondWith("x"), http.StatusOK, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			l := newLab(t)
-			l.instance("cooling", "plain", ok("x"))
-			l.instance("other", "plain", c.other)
+			h := newHarness(t)
+			h.addInstance("cooling", "plain", respondWith("x"))
+			h.addInstance("other", "plain", c.otherHandler)
 			for i := range 8 {
-				l.cool("cooling", time.Minute, c.free)
-				a := l.call(http.MethodPost, c.path, "x", map[string]string{"Id": fmt.Sprint("r", i)})
+				h.startCooldown("cooling", time.Minute, c.hiddenFor)
+				a := h.call(http.MethodPost, c.path, "x", map[string]string{"Id": fmt.Sprint("r", i)})
 				g.Expect(a.err).NotTo(HaveOccurred())
 				g.Expect(a.status).To(Equal(c.status))
 			}
-			g.Expect(l.runsAt("cooling")).To(BeZero())
-			g.Expect(l.runsAt("other")).To(Equal(8))
+			g.Expect(h.countRuns("cooling")).To(BeZero())
+			g.Expect(h.countRuns("other")).To(Equal(8))
 		})
 	}
 }
 
-func TestAStreamGoesOnAtAGroupThatIsNotCoolingDown(t *testing.T) {
+func TestStreamResumesOnGroupNotCoolingDown(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.instance("a", "lm", func(w http.ResponseWriter, r *http.Request) {
-		events(w, 1, 3)
-		cut(w)
+	h := newHarness(t)
+	h.addInstance("a", "lm", func(w http.ResponseWriter, r *http.Request) {
+		writeEvents(w, 1, 3)
+		closeConnection(w)
 	})
-	a := func() answer { return l.call(http.MethodPost, "/stream/", "x", nil) }
-	l.instance("cooling", "lm", ok("x"))
-	l.cool("cooling", time.Minute, 0)
+	a := func() callResponse { return h.call(http.MethodPost, "/stream/", "x", nil) }
+	h.addInstance("cooling", "lm", respondWith("x"))
+	h.startCooldown("cooling", time.Minute, 0)
 	g.Expect(a().err).To(HaveOccurred(), "there is no other group to resume on")
-	l.instance("b", "lm", func(w http.ResponseWriter, _ *http.Request) { events(w, 4, 5) })
+	h.addInstance("b", "lm", func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 4, 5) })
 	g.Eventually(func() string { return a().body }).Should(HaveSuffix("id: 5\ndata: x5\n\n"))
-	g.Expect(l.runsAt("cooling")).To(BeZero())
+	g.Expect(h.countRuns("cooling")).To(BeZero())
 }
 
-func TestACallerIsToldWhenTheFirstInstanceIsFreeAgain(t *testing.T) {
+func TestRetryAfterIsEarliestCooldownEnd(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		prepare func(l *lab)
+		prepare func(h *harness)
 		code    string
 	}{
-		{"all are cooling down", func(l *lab) { l.cool("a", 4*time.Second, 0); l.cool("b", 9*time.Second, 0) }, "refused.cooling-down"},
-		{"the last two have just asked for it", func(*lab) {}, "refused.targets-unreachable"},
-		{"a cooldown begins before the request leaves", func(l *lab) { l.cool("a", 4*time.Second, 1); l.cool("b", 9*time.Second, 1) }, "refused.cooling-down"},
+		{"all instances are cooling down", func(h *harness) { h.startCooldown("a", 4*time.Second, 0); h.startCooldown("b", 9*time.Second, 0) }, "refused.cooling-down"},
+		{"all instances ask for a cooldown in their responses", func(*harness) {}, "refused.targets-unreachable"},
+		{"cooldowns start between pick and send", func(h *harness) { h.startCooldown("a", 4*time.Second, 1); h.startCooldown("b", 9*time.Second, 1) }, "refused.cooling-down"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			l := newLab(t)
-			l.instance("a", "plain", shed(4*time.Second))
-			l.instance("b", "plain", shed(9*time.Second))
-			c.prepare(l)
+			h := newHarness(t)
+			h.addInstance("a", "plain", refuseWithCooldown(4*time.Second))
+			h.addInstance("b", "plain", refuseWithCooldown(9*time.Second))
+			c.prepare(h)
 			began := time.Now()
-			a := l.call(http.MethodPost, "/unsafe/", "x", nil)
+			a := h.call(http.MethodPost, "/unsafe/", "x", nil)
 			g.Expect(time.Since(began)).To(BeNumerically("<", time.Second), "the caller is refused without waiting")
 			g.Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 			seconds, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(seconds).To(And(BeNumerically(">", 3), BeNumerically("<=", 6)))
-			g.Expect(l.counts.counts[c.code]).To(Equal(1), "%v", l.counts.counts)
+			g.Expect(h.recorder.counts[c.code]).To(Equal(1), "%v", h.recorder.counts)
 		})
 	}
 }
 
-func TestWhatAnInstanceAsksOfTheNodeIsNotToldToCallers(t *testing.T) {
+func TestInstanceRetryAfterIsNotForwardedToCaller(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.instance("a", "plain", func(w http.ResponseWriter, _ *http.Request) {
+	h := newHarness(t)
+	h.addInstance("a", "plain", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "77") // without stating whether the request ran
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	a := l.call(http.MethodPost, "/safe/", "x", nil)
+	a := h.call(http.MethodPost, "/safe/", "x", nil)
 	g.Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(a.header.Get("Seal")).To(Equal("seal-of-a"))
 	g.Expect(a.header).NotTo(HaveKey("Retry-After"))
-	l.call(http.MethodPost, "/safe/", "x", nil)
-	g.Expect(l.runsAt("a")).To(Equal(1), "the instance asked for a cooldown")
+	h.call(http.MethodPost, "/safe/", "x", nil)
+	g.Expect(h.countRuns("a")).To(Equal(1), "the instance asked for a cooldown")
 }
 
 // A cooldown is not a failure: the instance serves again when it ends, and no failure is recorded.
-func TestAfterItsCooldownAnInstanceServesAsBefore(t *testing.T) {
+func TestInstanceServesAgainAfterCooldown(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	turnsAway := true
-	l.instance("a", "plain", func(w http.ResponseWriter, r *http.Request) {
-		if turnsAway {
-			turnsAway = false
-			shed(50*time.Millisecond)(w, r)
+	h := newHarness(t)
+	overloaded := true
+	h.addInstance("a", "plain", func(w http.ResponseWriter, r *http.Request) {
+		if overloaded {
+			overloaded = false
+			refuseWithCooldown(50*time.Millisecond)(w, r)
 			return
 		}
-		ok("x")(w, r)
+		respondWith("x")(w, r)
 	})
-	g.Expect(l.call(http.MethodPost, "/unsafe/", "x", nil).status).To(Equal(http.StatusServiceUnavailable))
-	g.Eventually(func() int { return l.call(http.MethodPost, "/unsafe/", "x", nil).status }).Should(Equal(http.StatusOK))
-	g.Expect(l.health.failed).To(BeEmpty())
+	g.Expect(h.call(http.MethodPost, "/unsafe/", "x", nil).status).To(Equal(http.StatusServiceUnavailable))
+	g.Eventually(func() int { return h.call(http.MethodPost, "/unsafe/", "x", nil).status }).Should(Equal(http.StatusOK))
+	g.Expect(h.health.failed).To(BeEmpty())
 }
 
-func TestAnInstanceThatSaysItIsLeavingGetsNoFurtherRequest(t *testing.T) {
+func TestLeavingInstanceGetsNoFurtherRequest(t *testing.T) {
 	for _, c := range []struct {
 		name, path, service string
 		answer              http.HandlerFunc
 	}{
-		{"in a whole answer", "/safe/", "plain", ok("x")},
-		{"in a failure", "/safe/", "plain", status(http.StatusInternalServerError)},
-		{"in a refusal", "/unsafe/", "plain", shed(0)},
-		{"in the head of a stream", "/stream/", "lm", func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 2) }},
-		{"in a stream that breaks off", "/stream/", "lm", func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 2); cut(w) }},
+		{"in a complete response", "/safe/", "plain", respondWith("x")},
+		{"in a server error", "/safe/", "plain", respondStatus(http.StatusInternalServerError)},
+		{"in a refusal", "/unsafe/", "plain", refuseWithCooldown(0)},
+		{"in the head of a stream", "/stream/", "lm", func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 2) }},
+		{"in a stream that is interrupted", "/stream/", "lm", func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 2); closeConnection(w) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			l := newLab(t)
-			l.instance("leaving", state.ServiceName(c.service), func(w http.ResponseWriter, r *http.Request) {
+			h := newHarness(t)
+			h.addInstance("leaving", state.ServiceName(c.service), func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Leaving", "1")
 				c.answer(w, r)
 			})
-			l.instance("stays", state.ServiceName(c.service), func(w http.ResponseWriter, r *http.Request) {
+			h.addInstance("stays", state.ServiceName(c.service), func(w http.ResponseWriter, r *http.Request) {
 				if c.service == "lm" {
-					events(w, 3, 4)
+					writeEvents(w, 3, 4)
 					return
 				}
-				ok("x")(w, r)
+				respondWith("x")(w, r)
 			})
 			for i := range 30 {
-				l.call(http.MethodPost, c.path, "x", map[string]string{"Id": fmt.Sprint("r", i)})
+				h.call(http.MethodPost, c.path, "x", map[string]string{"Id": fmt.Sprint("r", i)})
 			}
-			g.Expect(l.runsAt("leaving")).To(Equal(1))
-			g.Expect(l.runsAt("stays")).To(BeNumerically(">=", 29))
+			g.Expect(h.countRuns("leaving")).To(Equal(1))
+			g.Expect(h.countRuns("stays")).To(BeNumerically(">=", 29))
 		})
 	}
 }
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -110,10 +110,10 @@
 // Gateway is the HTTP handler for the requests of callers.
 type Gateway struct {
 	Options
-	Watch    *Watch
-	stopping atomic.Bool
-	refusing atomic.Bool
-	arrived  atomic.Int64
+	Watch        *StallDetector
+	stopping     atomic.Bool
+	refusing     atomic.Bool
+	requestCount atomic.Int64
 
 	mu      sync.Mutex
 	budgets map[state.ServiceName]*retry.SharedBudget
@@ -124,7 +124,7 @@
 func New(o Options) *Gateway {
 	return &Gateway{
 		Options: o,
-		Watch:   newWatch(o.Clock, o.Health, &o.Policy),
+		Watch:   newStallDetector(o.Clock, o.Health, &o.Policy),
 		budgets: map[state.ServiceName]*retry.SharedBudget{},
 	}
 }
@@ -136,7 +136,7 @@
 func (g *Gateway) Refuse() { g.refusing.Store(true) }
 
 // Arrived returns the number of requests received.
-func (g *Gateway) Arrived() int64 { return g.arrived.Load() }
+func (g *Gateway) Arrived() int64 { return g.requestCount.Load() }
 
 // SetNodes sets the number of nodes that share the retry budgets. 0 means unknown.
 func (g *Gateway) SetNodes(n int) {
@@ -186,7 +186,7 @@
 	// fingerprint identifies the content of the request. It is the same for all attempts.
 	fingerprint quarantine.Fingerprint
 	ctx         context.Context
-	arrived     time.Time
+	arrivedAt   time.Time
 	// deadline is when the time-out of the caller or of the route expires.
 	deadline time.Time
 	budget   *retry.SharedBudget
@@ -198,11 +198,11 @@
 	tried []state.InstanceID
 	// hold counts the current attempt in the load of its target.
 	hold *dispatch.Hold
-	// loadWhenPicked is the known number of requests in progress at the last target when it was picked.
-	loadWhenPicked int64
-	// last is the most recent server error of an instance.
-	last *plain
-	stream
+	// loadAtPick is the known number of requests in progress at the last target when it was picked.
+	loadAtPick int64
+	// lastFailure is the most recent server error of an instance.
+	lastFailure *bufferedResponse
+	streamProgress
 }
 
 // refusal is a response that the gateway generates itself. A positive after is the retry delay.
@@ -213,25 +213,25 @@
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.arrived.Add(1)
-	c := &call{Gateway: g, w: w, r: r, arrived: g.Clock.Now()}
+	g.requestCount.Add(1)
+	c := &call{Gateway: g, w: w, r: r, arrivedAt: g.Clock.Now()}
 	if g.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	no := c.admit()
-	if no == nil {
+	refused := c.admit()
+	if refused == nil {
 		ctx, cancel := context.WithTimeout(r.Context(), c.deadline.Sub(g.Clock.Now()))
 		defer cancel()
 		c.ctx = ctx
-		no = c.serve()
+		refused = c.serve()
 	}
-	if no != nil {
-		c.refuse(no)
+	if refused != nil {
+		c.refuse(refused)
 	}
 }
 
-// refusedAt returns a refusal with a retry delay, extended by a jitter of up to half of it.
-func refusedAt(code Code, after time.Duration) *refusal {
+// refusalWithRetryAfter returns a refusal with a retry delay. Jitter adds up to half of the delay.
+func refusalWithRetryAfter(code Code, after time.Duration) *refusal {
 	return &refusal{code: code, after: after + rand.N(after/2+1)}
 }
 
@@ -243,40 +243,40 @@
 		return &refusal{code: CodeBadRequest}
 	}
 	if c.refusing.Load() {
-		return refusedAt(CodeStopping, c.Policy.RetryAfter)
+		return refusalWithRetryAfter(CodeStopping, c.Policy.RetryAfter)
 	}
 	c.catalog = c.Catalogs.Catalog()
 	if c.catalog == nil {
-		return refusedAt(CodeNoConfig, c.Policy.RetryAfter)
+		return refusalWithRetryAfter(CodeNoConfig, c.Policy.RetryAfter)
 	}
-	if c.route = c.catalog.Route(hostOnly(c.r.Host), pathOf(c.r.RequestURI)); c.route == nil {
+	if c.route = c.catalog.Route(stripPort(c.r.Host), uriPath(c.r.RequestURI)); c.route == nil {
 		return &refusal{code: CodeNoRoute}
 	}
-	if no := c.authenticate(); no != nil {
-		return no
+	if refused := c.authenticate(); refused != nil {
+		return refused
 	}
-	if no := c.readBody(); no != nil {
-		return no
+	if refused := c.readBody(); refused != nil {
+		return refused
 	}
-	c.fingerprint = c.contentFingerprint()
+	c.fingerprint = c.computeFingerprint()
 	if until, held := c.Quarantine.HeldUntil(c.fingerprint); held {
-		return &refusal{code: CodeQuarantined, after: until.Sub(c.arrived)}
+		return &refusal{code: CodeQuarantined, after: until.Sub(c.arrivedAt)}
 	}
-	patience := claims.Patience
-	if patience <= 0 {
-		patience = c.Policy.DefaultTimeout
+	timeout := claims.Patience
+	if timeout <= 0 {
+		timeout = c.Policy.DefaultTimeout
 	}
 	if c.route.Timeout > 0 {
-		patience = min(patience, c.route.Timeout)
+		timeout = min(timeout, c.route.Timeout)
 	}
-	c.deadline = c.arrived.Add(patience)
+	c.deadline = c.arrivedAt.Add(timeout)
 	c.service = c.route.Pick()
 	if s := c.catalog.Services[c.service]; s != nil && s.Engine != nil {
 		c.model = claims.Model
 	}
 	c.budget = c.Gateway.budget(c.service)
-	c.budget.Attempt(c.arrived)
-	c.Demand.Add(c.service, c.model, claims.Prompt, claims.Answer, c.arrived)
+	c.budget.Attempt(c.arrivedAt)
+	c.Demand.Add(c.service, c.model, claims.Prompt, claims.Answer, c.arrivedAt)
 	return nil
 }
 
@@ -285,8 +285,8 @@
 	if !c.catalog.Keyed || c.route.Public {
 		return nil
 	}
-	if !c.keyHolds() {
-		return refusedAt(CodeStale, c.Policy.RetryAfter)
+	if !c.keyTrusted() {
+		return refusalWithRetryAfter(CodeStale, c.Policy.RetryAfter)
 	}
 	if c.team = c.catalog.Team(c.claims.Key); c.team == nil {
 		return &refusal{code: CodeBadKey}
@@ -294,24 +294,24 @@
 	return nil
 }
 
-// keyHolds reports whether the request needs no key or the keys are fresh. It is called again
+// keyTrusted reports whether the request needs no key or the keys are fresh. It is called again
 // right before the request is sent: a body may take seconds to arrive, and the machine may be
 // suspended between any two steps.
-func (c *call) keyHolds() bool {
+func (c *call) keyTrusted() bool {
 	return !c.catalog.Keyed || c.route.Public || c.Catalogs.KeysFresh()
 }
 
-// contentFingerprint returns the fingerprint of the request. The body must have been read.
-func (c *call) contentFingerprint() quarantine.Fingerprint {
-	content := quarantine.Content{Method: c.r.Method, Host: strings.ToLower(hostOnly(c.r.Host)), Target: c.r.RequestURI, Body: c.body}
+// computeFingerprint returns the fingerprint of the request. The body must have been read.
+func (c *call) computeFingerprint() quarantine.Fingerprint {
+	content := quarantine.Content{Method: c.r.Method, Host: strings.ToLower(stripPort(c.r.Host)), Target: c.r.RequestURI, Body: c.body}
 	if c.team != nil {
 		content.Caller = string(c.team.Name)
 	}
 	return quarantine.NewFingerprint(content)
 }
 
-// bodyTime is the time-out for reading a request body.
-const bodyTime = 10 * time.Second
+// bodyReadTimeout is the time-out for reading a request body.
+const bodyReadTimeout = 10 * time.Second
 
 // readBody reads the request body, up to the size limit of the catalog.
 func (c *call) readBody() *refusal {
@@ -323,7 +323,7 @@
 		return &refusal{code: CodeTooLarge}
 	}
 	rc := http.NewResponseController(c.w)
-	_ = rc.SetReadDeadline(time.Now().Add(bodyTime))
+	_ = rc.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	var in io.Reader = c.r.Body
 	if limit > 0 {
 		in = http.MaxBytesReader(c.w, c.r.Body, limit)
@@ -342,32 +342,32 @@
 }
 
 // refuse writes a refusal to the caller, or aborts the connection if the response has begun.
-func (c *call) refuse(no *refusal) {
-	c.Recorder.Count("refused." + string(no.code))
-	c.Recorder.Decide(&event.RequestEnded{Request: c.named(), Progress: c.progress(), Code: string(no.code), Tried: c.tried, Begun: c.begun})
-	if c.begun {
+func (c *call) refuse(refused *refusal) {
+	c.Recorder.Count("refused." + string(refused.code))
+	c.Recorder.Decide(&event.RequestEnded{Request: c.eventRequest(), Progress: c.eventProgress(), Code: string(refused.code), Tried: c.tried, Begun: c.headerWritten})
+	if c.headerWritten {
 		panic(http.ErrAbortHandler)
 	}
 	h := c.w.Header()
 	if c.claims.ID != "" {
 		c.Dialect.Echo(h, c.claims.ID)
 	}
-	if no.after > 0 {
-		c.Dialect.RetryAfter(h, no.after)
+	if refused.after > 0 {
+		c.Dialect.RetryAfter(h, refused.after)
 	}
 	h.Set("Content-Type", "text/plain")
-	c.w.WriteHeader(c.Dialect.Status(no.code))
-	_, _ = io.WriteString(c.w, string(no.code)+"\n")
+	c.w.WriteHeader(c.Dialect.Status(refused.code))
+	_, _ = io.WriteString(c.w, string(refused.code)+"\n")
 }
 
-// named returns the identity of the request for the log.
-func (c *call) named() event.Request {
+// eventRequest returns the identity of the request for the log.
+func (c *call) eventRequest() event.Request {
 	return event.Request{ID: c.claims.ID, Fingerprint: c.fingerprint}
 }
 
-// progress returns the progress of the request for the log.
-func (c *call) progress() event.Progress {
-	return event.Progress{Route: c.routeName(), Model: c.model, Sends: c.sends, Runs: c.runs, Timeout: c.claims.Patience, Took: c.Clock.Since(c.arrived)}
+// eventProgress returns the progress of the request for the log.
+func (c *call) eventProgress() event.Progress {
+	return event.Progress{Route: c.routeName(), Model: c.model, Sends: c.sends, Runs: c.runs, Timeout: c.claims.Patience, Took: c.Clock.Since(c.arrivedAt)}
 }
 
 // routeName returns the name of the request's route, or an empty string if no route matched.
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -15,26 +15,26 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// ok returns a handler that responds with a body.
-func ok(text string) http.HandlerFunc {
+// respondWith returns a handler that responds with a body.
+func respondWith(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-func TestAnAnswerIsPassedOnUnchanged(t *testing.T) {
+func TestResponseIsForwardedUnchanged(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.instance("a", "plain", func(w http.ResponseWriter, r *http.Request) {
+	h := newHarness(t)
+	h.addInstance("a", "plain", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Own", "kept")
 		w.WriteHeader(http.StatusCreated)
 		_, _ = io.WriteString(w, r.Method+" "+r.RequestURI)
 	})
-	a := l.call(http.MethodPost, "/unsafe/x%2Fy?q=%20z", "body", map[string]string{"Other": "travels", "Connection": "keep-alive"})
+	a := h.call(http.MethodPost, "/unsafe/x%2Fy?q=%20z", "body", map[string]string{"Other": "travels", "Connection": "keep-alive"})
 	g.Expect(a.err).NotTo(HaveOccurred())
 	g.Expect(a.status).To(Equal(http.StatusCreated))
 	g.Expect(a.body).To(Equal("POST /unsafe/x%2Fy?q=%20z"))
 	g.Expect(a.header.Get("Seal")).To(Equal("seal-of-a"))
 	g.Expect(a.header.Get("Own")).To(Equal("kept"))
-	ran := l.journal.all()[0]
+	ran := h.runLog.all()[0]
 	g.Expect(ran.body).To(Equal("body"))
 	g.Expect(ran.header.Get("Other")).To(Equal("travels"))
 	g.Expect(ran.header.Get("For")).To(Equal("a"))
@@ -43,58 +43,58 @@
 	g.Expect(left).To(And(BeNumerically("<=", 2000), BeNumerically(">", 1000)))
 }
 
-func TestRefusalsBeforeAnythingIsSent(t *testing.T) {
+func TestRefusalsBeforeAnySend(t *testing.T) {
 	for _, c := range []struct {
-		name, path string
-		header     map[string]string
-		body       string
-		prepare    func(l *lab)
-		status     int
-		comeBack   bool
+		name, path     string
+		header         map[string]string
+		body           string
+		prepare        func(h *harness)
+		status         int
+		wantRetryAfter bool
 	}{
 		{name: "no id", path: "/safe/", header: map[string]string{"Id": ""}, status: http.StatusBadRequest},
 		{name: "no route", path: "/none/", status: http.StatusNotFound},
 		{name: "unknown key", path: "/safe/", header: map[string]string{"Key": "other"}, status: http.StatusUnauthorized},
 		{name: "too large", path: "/unsafe/", body: strings.Repeat("x", 1001), status: http.StatusRequestEntityTooLarge},
-		{name: "no configuration", path: "/safe/", prepare: func(l *lab) { l.know.c = nil }, status: http.StatusServiceUnavailable, comeBack: true},
-		{name: "keys may be stale", path: "/safe/", prepare: func(l *lab) { l.know.stale.Store(true) }, status: http.StatusServiceUnavailable, comeBack: true},
-		{name: "stopping", path: "/safe/", prepare: func(l *lab) { l.gate.Refuse() }, status: http.StatusServiceUnavailable, comeBack: true},
-		{name: "no group of the model", path: "/stream/", header: map[string]string{"Model": "none"}, status: http.StatusServiceUnavailable, comeBack: true},
+		{name: "no configuration", path: "/safe/", prepare: func(h *harness) { h.catalogs.current = nil }, status: http.StatusServiceUnavailable, wantRetryAfter: true},
+		{name: "keys may be stale", path: "/safe/", prepare: func(h *harness) { h.catalogs.stale.Store(true) }, status: http.StatusServiceUnavailable, wantRetryAfter: true},
+		{name: "stopping", path: "/safe/", prepare: func(h *harness) { h.gateway.Refuse() }, status: http.StatusServiceUnavailable, wantRetryAfter: true},
+		{name: "no group serves the model", path: "/stream/", header: map[string]string{"Model": "none"}, status: http.StatusServiceUnavailable, wantRetryAfter: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			l := newLab(t)
-			l.instance("a", "plain", ok("x"))
+			h := newHarness(t)
+			h.addInstance("a", "plain", respondWith("x"))
 			if c.prepare != nil {
-				c.prepare(l)
+				c.prepare(h)
 			}
-			a := l.call(http.MethodPost, c.path, c.body, c.header)
+			a := h.call(http.MethodPost, c.path, c.body, c.header)
 			g.Expect(a.err).NotTo(HaveOccurred())
 			g.Expect(a.status).To(Equal(c.status))
-			g.Expect(a.header.Get("Retry-After") != "").To(Equal(c.comeBack))
-			g.Expect(l.journal.all()).To(BeEmpty())
+			g.Expect(a.header.Get("Retry-After") != "").To(Equal(c.wantRetryAfter))
+			g.Expect(h.runLog.all()).To(BeEmpty())
 		})
 	}
 }
 
-// staleAfter is a request body that makes the keys stale when it is read.
-type staleAfter struct {
+// staleOnRead is a request body that makes the keys stale when it is read.
+type staleOnRead struct {
 	io.Reader
-	know *knowledge
+	catalogs *fixedCatalogs
 }
 
-func (s staleAfter) Read(p []byte) (int, error) {
-	s.know.stale.Store(true)
+func (s staleOnRead) Read(p []byte) (int, error) {
+	s.catalogs.stale.Store(true)
 	return s.Reader.Read(p)
 }
 
 // Keys can become stale between the key lookup and the send: the body may take long to arrive,
 // or the machine may be suspended.
-func TestKeysThatBecomeStaleBeforeTheRequestLeavesAreNotTrusted(t *testing.T) {
+func TestKeysStaleBeforeSendAreNotTrusted(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.instance("a", "plain", ok("x"))
-	req, err := http.NewRequest(http.MethodPost, l.front.URL+"/unsafe/", staleAfter{strings.NewReader("body"), l.know})
+	h := newHarness(t)
+	h.addInstance("a", "plain", respondWith("x"))
+	req, err := http.NewRequest(http.MethodPost, h.server.URL+"/unsafe/", staleOnRead{strings.NewReader("body"), h.catalogs})
 	g.Expect(err).NotTo(HaveOccurred())
 	req.Host = "h"
 	req.Header.Set("Id", "r1")
@@ -105,127 +105,127 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(resp.Body.Close()).To(Succeed())
 	g.Expect(resp.StatusCode).To(Equal(http.StatusServiceUnavailable))
-	g.Expect(l.journal.all()).To(BeEmpty())
+	g.Expect(h.runLog.all()).To(BeEmpty())
 }
 
-func TestPublicRoutesNeedNoKeyAndNoFreshKeys(t *testing.T) {
+func TestPublicRouteNeedsNeitherKeyNorFreshKeys(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.know.stale.Store(true)
-	l.instance("a", "plain", ok("x"))
-	g.Expect(l.call(http.MethodGet, "/public/", "", map[string]string{"Key": ""}).status).To(Equal(http.StatusOK))
+	h := newHarness(t)
+	h.catalogs.stale.Store(true)
+	h.addInstance("a", "plain", respondWith("x"))
+	g.Expect(h.call(http.MethodGet, "/public/", "", map[string]string{"Key": ""}).status).To(Equal(http.StatusOK))
 }
 
-func TestWhatMayNotBeRepeatedIsSentOnce(t *testing.T) {
+func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer http.HandlerFunc
 		status int
 	}{
-		{"the answer is lost", func(w http.ResponseWriter, _ *http.Request) { cut(w) }, http.StatusBadGateway},
-		{"the answer is cut short", func(w http.ResponseWriter, _ *http.Request) {
+		{"response missing", func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }, http.StatusBadGateway},
+		{"response truncated", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = io.WriteString(w, "short")
-			cut(w)
+			closeConnection(w)
 		}, http.StatusBadGateway},
-		{"the answer has no seal", func(w http.ResponseWriter, _ *http.Request) { w.Header().Del("Seal") }, http.StatusBadGateway},
-		{"the answer belongs to another", func(w http.ResponseWriter, _ *http.Request) {
+		{"response without seal", func(w http.ResponseWriter, _ *http.Request) { w.Header().Del("Seal") }, http.StatusBadGateway},
+		{"response to another request", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Id", "other")
 			w.Header().Set("Connection", "close")
 		}, http.StatusBadGateway},
-		{"the instance fails", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
+		{"server error", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
 			http.StatusInternalServerError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			l := newLab(t)
-			l.instance("a", "plain", c.answer)
-			l.instance("b", "plain", c.answer)
-			a := l.call(http.MethodPost, "/unsafe/", "x", nil)
+			h := newHarness(t)
+			h.addInstance("a", "plain", c.answer)
+			h.addInstance("b", "plain", c.answer)
+			a := h.call(http.MethodPost, "/unsafe/", "x", nil)
 			g.Expect(a.err).NotTo(HaveOccurred())
 			g.Expect(a.status).To(Equal(c.status))
-			g.Expect(l.journal.all()).To(HaveLen(1))
+			g.Expect(h.runLog.all()).To(HaveLen(1))
 		})
 	}
 }
 
-func TestWhatMayBeRepeatedIsTriedAtAnotherInstance(t *testing.T) {
+func TestRepeatableRequestIsRetriedOnAnotherInstance(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.instance("a", "plain", func(w http.ResponseWriter, _ *http.Request) { cut(w) })
-	l.instance("b", "plain", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
-	l.instance("c", "plain", func(w http.ResponseWriter, _ *http.Request) { cut(w) })
-	a := l.call(http.MethodGet, "/safe/", "", nil)
+	h := newHarness(t)
+	h.addInstance("a", "plain", func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
+	h.addInstance("b", "plain", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
+	h.addInstance("c", "plain", func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
+	a := h.call(http.MethodGet, "/safe/", "", nil)
 	g.Expect(a.status).To(BeNumerically(">=", 500))
-	runs := l.journal.all()
+	runs := h.runLog.all()
 	g.Expect(runs).To(HaveLen(2), "at most as many attempts as the route allows")
 	g.Expect(runs[0].instance).NotTo(Equal(runs[1].instance))
 }
 
-func TestWhatWasNotRunIsSentElsewhereAlsoIfItMayNotBeRepeated(t *testing.T) {
+func TestRequestNotRunIsRetriedEvenIfNotRepeatable(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.at("dead", "plain", deadAddress(t))
-	l.instance("full", "plain", func(w http.ResponseWriter, _ *http.Request) {
+	h := newHarness(t)
+	h.addInstanceAt("dead", "plain", refusingAddress(t))
+	h.addInstance("full", "plain", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	l.instance("good", "plain", ok("done"))
+	h.addInstance("good", "plain", respondWith("done"))
 	for i := range 6 {
-		a := l.call(http.MethodPost, "/unsafe/", "x", map[string]string{"Id": fmt.Sprint("r", i)})
+		a := h.call(http.MethodPost, "/unsafe/", "x", map[string]string{"Id": fmt.Sprint("r", i)})
 		g.Expect(a.status).To(Equal(http.StatusOK))
 		g.Expect(a.body).To(Equal("done"))
 	}
 }
 
-func TestRefusedEverywhereIsAPromise(t *testing.T) {
+func TestUnreachableTargetsReturnRetryAfter(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.at("dead", "plain", deadAddress(t))
-	a := l.call(http.MethodPost, "/unsafe/", "x", nil)
+	h := newHarness(t)
+	h.addInstanceAt("dead", "plain", refusingAddress(t))
+	a := h.call(http.MethodPost, "/unsafe/", "x", nil)
 	g.Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
 }
 
-func TestAnAnswerToAnotherRequestIsReadPast(t *testing.T) {
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.instance("a", "plain", func(w http.ResponseWriter, r *http.Request) {
+	h := newHarness(t)
+	h.addInstance("a", "plain", func(w http.ResponseWriter, r *http.Request) {
 		conn, buf, _ := http.NewResponseController(w).Hijack()
 		_, _ = buf.WriteString("HTTP/1.1 200 OK\r\nId: other\r\nSeal: s\r\nContent-Length: 5\r\n\r\nwrong")
 		_, _ = buf.WriteString("HTTP/1.1 200 OK\r\nId: " + r.Header.Get("Id") + "\r\nSeal: s\r\nContent-Length: 5\r\n\r\nright")
 		_ = buf.Flush()
 		_ = conn.Close()
 	})
-	a := l.call(http.MethodPost, "/unsafe/", "x", nil)
+	a := h.call(http.MethodPost, "/unsafe/", "x", nil)
 	g.Expect(a.status).To(Equal(http.StatusOK))
 	g.Expect(a.body).To(Equal("right"))
 }
 
-func TestAStreamGoesOnAtAnotherGroup(t *testing.T) {
+func TestStreamResumesOnAnotherGroup(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	broken := 0
+	h := newHarness(t)
+	attempts := 0
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
-		if broken++; broken == 1 {
-			events(w, last+1, 3)
+		if attempts++; attempts == 1 {
+			writeEvents(w, last+1, 3)
 			_, _ = io.WriteString(w, "id: 4\nda") // incomplete event
-			cut(w)
+			closeConnection(w)
 			return
 		}
-		events(w, last+1, 6)
+		writeEvents(w, last+1, 6)
 	}
-	l.instance("a", "lm", handler)
-	l.instance("b", "lm", handler)
-	a := l.call(http.MethodPost, "/stream/", "x", nil)
+	h.addInstance("a", "lm", handler)
+	h.addInstance("b", "lm", handler)
+	a := h.call(http.MethodPost, "/stream/", "x", nil)
 	g.Expect(a.err).NotTo(HaveOccurred())
 	var want strings.Builder
 	for i := 1; i <= 6; i++ {
 		_, _ = fmt.Fprintf(&want, "id: %d\ndata: x%d\n\n", i, i)
 	}
 	g.Expect(a.body).To(Equal(want.String()))
-	runs := l.journal.all()
+	runs := h.runLog.all()
 	g.Expect(runs).To(HaveLen(2))
 	g.Expect(runs[1].last).To(Equal("3"))
 	g.Expect(a.header.Get("Seal")).To(Equal("seal-of-"+runs[0].instance), "the head of the response is that of the first attempt")
@@ -234,95 +234,95 @@
 // A connection may go silent for good without a reset while its group keeps working. The group
 // answers probes, so only the missing events reveal the fault, and the caller gives up after some
 // seconds.
-func TestAStreamWhoseConnectionGoesSilentGoesOnElsewhere(t *testing.T) {
+func TestStreamResumesWhenConnectionGoesSilent(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
-		events     int
-		silent     int
+		wantEvents int
+		wantSilent int
 	}{
-		{"it may go on elsewhere", "/stream/", 6, 1},
-		{"it may not", "/once/", 3, 0},
+		{"resumable route", "/stream/", 6, 1},
+		{"route not resumable", "/once/", 3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			l := newLab(t)
+			h := newHarness(t)
 			runs, released := 0, make(chan struct{})
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				last, _ := strconv.Atoi(r.Header.Get("Last"))
 				if runs++; runs == 1 {
-					events(w, last+1, 3)
+					writeEvents(w, last+1, 3)
 					<-released
 					return
 				}
-				events(w, last+1, 6)
+				writeEvents(w, last+1, 6)
 			}
-			l.instance("a", "lm", handler)
-			l.instance("b", "lm", handler)
-			looked := make(chan struct{})
+			h.addInstance("a", "lm", handler)
+			h.addInstance("b", "lm", handler)
+			checksDone := make(chan struct{})
 			go func() {
-				defer close(looked)
+				defer close(checksDone)
 				for end := time.Now().Add(gateway.DefaultPolicy().SilentAfter + 500*time.Millisecond); time.Now().Before(end); {
 					time.Sleep(50 * time.Millisecond)
-					l.gate.Watch.Look()
+					h.gateway.Watch.Look()
 				}
 				close(released)
 			}()
-			a := l.call(http.MethodPost, c.path, "x", nil)
-			<-looked
+			a := h.call(http.MethodPost, c.path, "x", nil)
+			<-checksDone
 			g.Expect(a.err).NotTo(HaveOccurred())
-			g.Expect(strings.Count(a.body, "id: ")).To(Equal(c.events))
-			g.Expect(l.journal.all()).To(HaveLen(1 + c.silent))
-			g.Expect(l.counts.counts["attempt.silent"]).To(Equal(c.silent))
+			g.Expect(strings.Count(a.body, "id: ")).To(Equal(c.wantEvents))
+			g.Expect(h.runLog.all()).To(HaveLen(1 + c.wantSilent))
+			g.Expect(h.recorder.counts["attempt.silent"]).To(Equal(c.wantSilent))
 		})
 	}
 }
 
-func TestAStreamThatCannotGoOnNeverLooksWhole(t *testing.T) {
+func TestInterruptedStreamNeverLooksComplete(t *testing.T) {
 	for _, path := range []string{"/once/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
 			g := NewWithT(t)
-			l := newLab(t)
+			h := newHarness(t)
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				last, _ := strconv.Atoi(r.Header.Get("Last"))
-				events(w, last+1, last+2)
-				cut(w)
+				writeEvents(w, last+1, last+2)
+				closeConnection(w)
 			}
-			l.instance("a", "lm", handler)
-			l.instance("b", "lm", handler)
-			a := l.call(http.MethodPost, path, "x", nil)
+			h.addInstance("a", "lm", handler)
+			h.addInstance("b", "lm", handler)
+			a := h.call(http.MethodPost, path, "x", nil)
 			g.Expect(a.err).To(HaveOccurred())
-			g.Expect(len(l.journal.all())).To(BeNumerically("<=", 2))
+			g.Expect(len(h.runLog.all())).To(BeNumerically("<=", 2))
 		})
 	}
 }
 
-func TestEventsOutOfOrderEndTheRun(t *testing.T) {
+func TestOutOfOrderEventsEndTheAttempt(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.instance("a", "lm", func(w http.ResponseWriter, _ *http.Request) {
-		events(w, 1, 3)
-		events(w, 2, 4)
+	h := newHarness(t)
+	h.addInstance("a", "lm", func(w http.ResponseWriter, _ *http.Request) {
+		writeEvents(w, 1, 3)
+		writeEvents(w, 2, 4)
 	})
-	a := l.call(http.MethodPost, "/once/", "x", nil)
+	a := h.call(http.MethodPost, "/once/", "x", nil)
 	g.Expect(a.err).To(HaveOccurred())
 	g.Expect(a.body).NotTo(ContainSubstring("x4"))
 }
 
-func TestAnAnswerComesAtTheTimeOut(t *testing.T) {
+func TestTimeoutReturnsGatewayTimeout(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.instance("a", "plain", func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	a := l.call(http.MethodPost, "/unsafe/", "x", map[string]string{"Patience": "300"})
+	h := newHarness(t)
+	h.addInstance("a", "plain", func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	a := h.call(http.MethodPost, "/unsafe/", "x", map[string]string{"Patience": "300"})
 	g.Expect(a.status).To(Equal(http.StatusGatewayTimeout))
-	g.Expect(l.journal.all()).To(HaveLen(1))
+	g.Expect(h.runLog.all()).To(HaveLen(1))
 }
 
-func TestACallerThatLeavesEndsTheWork(t *testing.T) {
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
+	h := newHarness(t)
 	started, ended := make(chan struct{}), make(chan struct{})
-	l.instance("a", "lm", func(w http.ResponseWriter, r *http.Request) {
-		events(w, 1, 1)
+	h.addInstance("a", "lm", func(w http.ResponseWriter, r *http.Request) {
+		writeEvents(w, 1, 1)
 		close(started)
 		<-r.Context().Done()
 		close(ended)
@@ -332,36 +332,36 @@
 		<-started
 		cancel()
 	}()
-	l.callWith(ctx, http.MethodPost, "/stream/", "x", nil)
+	h.callWith(ctx, http.MethodPost, "/stream/", "x", nil)
 	g.Eventually(ended, 5*time.Second).Should(BeClosed())
-	g.Expect(l.journal.all()).To(HaveLen(1))
+	g.Expect(h.runLog.all()).To(HaveLen(1))
 }
 
-func TestAStalledGroupIsGivenUpAndTheStreamGoesOn(t *testing.T) {
+func TestStreamResumesAfterGroupStalls(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	stalls := true
+	h := newHarness(t)
+	stallNext := true
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
-		events(w, last+1, last+2)
-		if stalls {
-			stalls = false
+		writeEvents(w, last+1, last+2)
+		if stallNext {
+			stallNext = false
 			<-r.Context().Done()
 		}
 	}
-	l.instance("a", "lm", handler)
-	l.instance("b", "lm", handler)
-	result := make(chan answer, 1)
-	go func() { result <- l.call(http.MethodPost, "/stream/", "x", nil) }()
+	h.addInstance("a", "lm", handler)
+	h.addInstance("b", "lm", handler)
+	result := make(chan callResponse, 1)
+	go func() { result <- h.call(http.MethodPost, "/stream/", "x", nil) }()
 	g.Eventually(func() int {
-		l.gate.Watch.Look()
-		l.health.mu.Lock()
-		defer l.health.mu.Unlock()
-		return l.health.suspected
+		h.gateway.Watch.Look()
+		h.health.mu.Lock()
+		defer h.health.mu.Unlock()
+		return h.health.suspected
 	}, 3*time.Second).Should(BeNumerically(">", 0), "the group of a silent stream is probed")
-	for _, v := range l.views {
-		if l.journal.all()[0].instance == string(v.ID) {
-			l.gate.Watch.CutStalled(v.ID)
+	for _, v := range h.instances {
+		if h.runLog.all()[0].instance == string(v.ID) {
+			h.gateway.Watch.CutStalled(v.ID)
 		}
 	}
 	a := <-result
@@ -369,14 +369,14 @@
 	g.Expect(a.body).To(HaveSuffix("id: 4\ndata: x4\n\n"))
 }
 
-func TestRepeatsStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	g := NewWithT(t)
-	l := newLab(t)
-	l.gate.SetNodes(1000) // reduces this node's share of the slack to almost nothing
-	l.instance("a", "plain", func(w http.ResponseWriter, _ *http.Request) { cut(w) })
-	l.instance("b", "plain", func(w http.ResponseWriter, _ *http.Request) { cut(w) })
+	h := newHarness(t)
+	h.gateway.SetNodes(1000) // reduces this node's share of the slack to almost nothing
+	h.addInstance("a", "plain", func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
+	h.addInstance("b", "plain", func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
 	for i := range 10 {
-		l.call(http.MethodGet, "/safe/", "", map[string]string{"Id": fmt.Sprint("r", i)})
+		h.call(http.MethodGet, "/safe/", "", map[string]string{"Id": fmt.Sprint("r", i)})
 	}
-	g.Expect(len(l.journal.all())).To(BeNumerically("<=", 12))
+	g.Expect(len(h.runLog.all())).To(BeNumerically("<=", 12))
 }
--- a/transport/gateway/outcome.go
+++ b/transport/gateway/outcome.go
@@ -24,18 +24,18 @@
 
 // lateness compares the latency of a complete response with the goals of its route.
 func (c *call) lateness(total time.Duration) Lateness {
-	first, gap := total, time.Duration(0)
+	firstLatency, maxGap := total, time.Duration(0)
 	if c.route.Kind == catalog.Stream {
-		first, gap = c.firstAfter, c.longestGap
+		firstLatency, maxGap = c.firstEventLatency, c.maxEventGap
 	}
-	lateFirst := c.route.Goal > 0 && first > c.route.Goal
-	lateGap := c.route.GapGoal > 0 && gap > c.route.GapGoal
+	isFirstLate := c.route.Goal > 0 && firstLatency > c.route.Goal
+	isGapLate := c.route.GapGoal > 0 && maxGap > c.route.GapGoal
 	switch {
-	case !lateFirst && !lateGap:
+	case !isFirstLate && !isGapLate:
 		return ""
 	case c.sends > 1:
 		return LateRetried
-	case lateFirst:
+	case isFirstLate:
 		return LateFirst
 	}
 	return LateGap
@@ -43,14 +43,14 @@
 
 // recordAnswer counts and logs a complete response, with the load of the target when it was picked.
 func (c *call) recordAnswer(target *dispatch.Candidate) {
-	total := c.Clock.Since(c.arrived)
+	total := c.Clock.Since(c.arrivedAt)
 	c.Recorder.Time("answer", total)
 	late := c.lateness(total)
 	if late != "" {
 		c.Recorder.Count("late." + string(late))
 	}
 	c.Recorder.Decide(&event.RequestAnswered{
-		Request: c.named(), Progress: c.progress(), Instance: target.ID, Group: target.Membership.Group, Prompt: c.claims.Prompt, Events: c.events,
-		Load: c.loadWhenPicked, First: c.firstAfter, Gap: c.longestGap, Late: string(late),
+		Request: c.eventRequest(), Progress: c.eventProgress(), Instance: target.ID, Group: target.Membership.Group, Prompt: c.claims.Prompt, Events: c.eventCount,
+		Load: c.loadAtPick, First: c.firstEventLatency, Gap: c.maxEventGap, Late: string(late),
 	})
 }
--- a/transport/gateway/outcome_test.go
+++ b/transport/gateway/outcome_test.go
@@ -9,7 +9,7 @@
 	"github.com/troutmast/troutmast/state/catalog"
 )
 
-func TestLatenessNamesTheGoalThatWasMissed(t *testing.T) {
+func TestLatenessNamesMissedGoal(t *testing.T) {
 	stream := &catalog.Route{Kind: catalog.Stream, Goal: 500 * time.Millisecond, GapGoal: 300 * time.Millisecond}
 	plain := &catalog.Route{Kind: catalog.Safe, Goal: 500 * time.Millisecond}
 	for _, c := range []struct {
@@ -19,18 +19,18 @@
 		sends                int
 		want                 Lateness
 	}{
-		{"stream in time, however long it lasts", stream, 400 * time.Millisecond, 200 * time.Millisecond, 9 * time.Second, 1, ""},
-		{"stream resumed in time", stream, 400 * time.Millisecond, 200 * time.Millisecond, time.Second, 2, ""},
-		{"first event late", stream, 600 * time.Millisecond, 400 * time.Millisecond, time.Second, 1, LateFirst},
-		{"pause too long", stream, 100 * time.Millisecond, 400 * time.Millisecond, time.Second, 1, LateGap},
-		{"pause at a failed group", stream, 100 * time.Millisecond, 400 * time.Millisecond, time.Second, 2, LateRetried},
-		{"whole answer late", plain, 0, 0, time.Second, 1, LateFirst},
-		{"whole answer in time", plain, 0, 0, 100 * time.Millisecond, 1, ""},
+		{"long stream within its goals", stream, 400 * time.Millisecond, 200 * time.Millisecond, 9 * time.Second, 1, ""},
+		{"resumed stream within its goals", stream, 400 * time.Millisecond, 200 * time.Millisecond, time.Second, 2, ""},
+		{"late first event", stream, 600 * time.Millisecond, 400 * time.Millisecond, time.Second, 1, LateFirst},
+		{"gap too long", stream, 100 * time.Millisecond, 400 * time.Millisecond, time.Second, 1, LateGap},
+		{"gap due to a failed group", stream, 100 * time.Millisecond, 400 * time.Millisecond, time.Second, 2, LateRetried},
+		{"late response", plain, 0, 0, time.Second, 1, LateFirst},
+		{"response within its goal", plain, 0, 0, 100 * time.Millisecond, 1, ""},
 		{"no goals", &catalog.Route{Kind: catalog.Stream}, time.Hour, time.Hour, time.Hour, 1, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			call := &call{route: c.route, sends: c.sends}
-			call.firstAfter, call.longestGap = c.first, c.gap
+			call.firstEventLatency, call.maxEventGap = c.first, c.gap
 			NewWithT(t).Expect(call.lateness(c.duration)).To(Equal(c.want))
 		})
 	}
--- a/transport/gateway/port.go
+++ b/transport/gateway/port.go
@@ -30,14 +30,14 @@
 	CodeTimeout    Code = "timeout"
 	CodeBroken     Code = "broken"
 
-	CodeNoConfig    Code = "no-configuration"
-	CodeStale       Code = "keys-may-be-stale"
-	CodeNoTarget    Code = "no-target"
-	CodeOverloaded  Code = "overloaded"
-	CodeRefused     Code = "refused-by-targets"
-	CodeUnreachable Code = "targets-unreachable"
-	CodeNoTime      Code = "no-time-left"
-	CodeStopping    Code = "stopping"
+	CodeNoConfig           Code = "no-configuration"
+	CodeStale              Code = "keys-may-be-stale"
+	CodeNoTarget           Code = "no-target"
+	CodeOverloaded         Code = "overloaded"
+	CodeRefusedByTargets   Code = "refused-by-targets"
+	CodeTargetsUnreachable Code = "targets-unreachable"
+	CodeNoTimeLeft         Code = "no-time-left"
+	CodeStopping           Code = "stopping"
 	// CodeQuarantined means that instances ended while running earlier attempts of the request.
 	// It guarantees that this attempt has not run and tells when to retry. The request may be
 	// valid, so the status is not a client error.
--- a/transport/gateway/serve.go
+++ b/transport/gateway/serve.go
@@ -18,61 +18,61 @@
 	"github.com/troutmast/troutmast/transport/event"
 )
 
-// result is the outcome of one attempt.
-type result string
+// attemptResult is the outcome of one attempt.
+type attemptResult string
 
 // The results of an attempt.
 const (
-	// answered means that the caller has received a complete response.
-	answered result = "answered"
-	// notRun means that the instance has not run the request and will not run it.
-	notRun result = "not-run"
-	// heldBack means that the request was held back right before it was sent.
-	heldBack result = "held-back"
-	// unknown means that the request may have run and its response is lost.
-	unknown result = "unknown"
-	// failed means that the instance returned a server error.
-	failed result = "failed"
-	// callerGone means that the caller has disconnected.
-	callerGone result = "caller-gone"
+	// resultAnswered means that the caller has received a complete response.
+	resultAnswered attemptResult = "answered"
+	// resultNotRun means that the instance has not run the request and will not run it.
+	resultNotRun attemptResult = "not-run"
+	// resultHeldBack means that the request was held back right before it was sent.
+	resultHeldBack attemptResult = "held-back"
+	// resultUnknown means that the request may have run and its response is lost.
+	resultUnknown attemptResult = "unknown"
+	// resultFailed means that the instance returned a server error.
+	resultFailed attemptResult = "failed"
+	// resultCallerGone means that the caller has disconnected.
+	resultCallerGone attemptResult = "caller-gone"
 )
 
 // serve sends a request to one instance after another until one responds. It returns a refusal
 // if the request is given up.
 func (c *call) serve() *refusal {
 	for {
-		if no := c.mayGoOn(); no != nil {
-			return no
+		if refused := c.checkAttemptAllowed(); refused != nil {
+			return refused
 		}
 		target := c.pick()
-		if target == nil && c.begun && c.waitForTarget() {
+		if target == nil && c.headerWritten && c.waitForTarget() {
 			continue
 		}
 		if target == nil {
-			return c.noTarget()
+			return c.refuseNoTarget()
 		}
 		if c.sends == 0 && target.Full(c.Clock.Now()) {
-			return refusedAt(CodeOverloaded, c.Policy.OverloadRetryAfter)
+			return refusalWithRetryAfter(CodeOverloaded, c.Policy.OverloadRetryAfter)
 		}
 		if _, held := c.Quarantine.HeldUntil(c.fingerprint); c.sends > 0 && held {
 			return c.giveUp(CodeQuarantined)
 		}
 		if c.sends > 0 && !c.budget.Take(c.Clock.Now()) {
 			c.Recorder.Count("retry.no-budget")
-			return c.giveUp(CodeRefused)
+			return c.giveUp(CodeRefusedByTargets)
 		}
-		if c.begun {
+		if c.headerWritten {
 			c.Recorder.Count("retry.resume")
 		}
 		res := c.attempt(target)
 		c.Recorder.Count("attempt." + string(res))
-		if res == answered {
+		if res == resultAnswered {
 			c.recordAnswer(target)
 		}
 		switch {
-		case res == answered || res == callerGone:
+		case res == resultAnswered || res == resultCallerGone:
 			return nil
-		case res == notRun || res == heldBack:
+		case res == resultNotRun || res == resultHeldBack:
 			continue
 		case !c.route.Repeatable() || c.runs >= c.route.MaxAttempts:
 			return c.giveUp(CodeBroken)
@@ -80,21 +80,21 @@
 	}
 }
 
-// mayGoOn returns a refusal if the request must not be sent again: the caller has disconnected,
-// the keys may be stale before the first send, or no time or sends are left.
-func (c *call) mayGoOn() *refusal {
+// checkAttemptAllowed returns a refusal if the request must not be sent: the caller has
+// disconnected, the keys may be stale before the first send, or no time or sends are left.
+func (c *call) checkAttemptAllowed() *refusal {
 	if c.r.Context().Err() != nil {
 		return c.giveUp(CodeBroken)
 	}
-	if c.sends == 0 && !c.keyHolds() {
-		return refusedAt(CodeStale, c.Policy.RetryAfter)
+	if c.sends == 0 && !c.keyTrusted() {
+		return refusalWithRetryAfter(CodeStale, c.Policy.RetryAfter)
 	}
 	left := c.deadline.Sub(c.Clock.Now())
 	if left < c.Policy.MinTimeLeft {
-		return c.giveUp(CodeNoTime)
+		return c.giveUp(CodeNoTimeLeft)
 	}
 	if c.sends >= c.route.MaxAttempts+c.Policy.ExtraSends {
-		return c.giveUp(CodeRefused)
+		return c.giveUp(CodeRefusedByTargets)
 	}
 	return nil
 }
@@ -104,13 +104,13 @@
 // request has certainly not run.
 func (c *call) giveUp(code Code) *refusal {
 	switch {
-	case c.begun:
+	case c.headerWritten:
 		return &refusal{code: CodeBroken}
-	case c.last != nil:
-		c.last.write(c)
+	case c.lastFailure != nil:
+		c.lastFailure.writeTo(c)
 		return nil
 	case c.runs == 0:
-		return refusedAt(code, c.comeBack(c.Policy.RetryAfter))
+		return refusalWithRetryAfter(code, c.retryDelay(c.Policy.RetryAfter))
 	case !c.Clock.Now().Before(c.deadline.Add(-c.Policy.MinTimeLeft)):
 		return &refusal{code: CodeTimeout}
 	}
@@ -121,39 +121,39 @@
 // A retry goes to an instance with a rate limit only if every other one is full or unavailable.
 func (c *call) pick() *dispatch.Candidate {
 	if c.sends > 0 {
-		if t := c.pickUnless(c.limited); t != nil && !t.Full(c.Clock.Now()) {
+		if t := c.pickExcept(c.hasRateLimit); t != nil && !t.Full(c.Clock.Now()) {
 			return t
 		}
 	}
-	return c.pickUnless(func(t *dispatch.Candidate) bool { return !c.Backpressure.Open(&t.Instance) })
+	return c.pickExcept(func(t *dispatch.Candidate) bool { return !c.Backpressure.Open(&t.Instance) })
 }
 
-// limited reports whether a target has a rate limit.
-func (c *call) limited(t *dispatch.Candidate) bool {
+// hasRateLimit reports whether a target has a rate limit.
+func (c *call) hasRateLimit(t *dispatch.Candidate) bool {
 	_, limited := c.Backpressure.RateLimit(&t.Instance)
 	return limited
 }
 
-// pickUnless picks a target that has not been tried, is not cooling down, and for which avoid
+// pickExcept picks a target that has not been tried, is not cooling down, and for which exclude
 // reports false. A request suspected of ending instances goes to the target with the lowest load.
-func (c *call) pickUnless(avoid func(*dispatch.Candidate) bool) *dispatch.Candidate {
-	unfit := func(t *dispatch.Candidate) bool {
-		if slices.Contains(c.tried, t.ID) || avoid(t) {
+func (c *call) pickExcept(exclude func(*dispatch.Candidate) bool) *dispatch.Candidate {
+	excluded := func(t *dispatch.Candidate) bool {
+		if slices.Contains(c.tried, t.ID) || exclude(t) {
 			return true
 		}
 		_, cooling := c.Backpressure.CoolingDown(&t.Instance)
 		return cooling
 	}
 	if c.Quarantine.Suspected(c.fingerprint) {
-		return c.Table.PickIdlest(c.service, c.model, unfit)
+		return c.Table.PickIdlest(c.service, c.model, excluded)
 	}
-	return c.Table.Pick(c.service, c.model, c.Clock.Now(), unfit)
+	return c.Table.Pick(c.service, c.model, c.Clock.Now(), excluded)
 }
 
 // waitForTarget waits for one poll interval and reports whether to search again for a group that
 // can resume the stream.
 func (c *call) waitForTarget() bool {
-	if c.Clock.Since(c.moved) > c.Policy.ResumeWait {
+	if c.Clock.Since(c.lastWriteAt) > c.Policy.ResumeWait {
 		return false
 	}
 	select {
@@ -164,22 +164,22 @@
 	}
 }
 
-// noTarget returns the refusal of a request that no instance can accept.
-func (c *call) noTarget() *refusal {
+// refuseNoTarget returns the refusal of a request that no instance can accept.
+func (c *call) refuseNoTarget() *refusal {
 	if c.sends > 0 {
-		return c.giveUp(CodeUnreachable)
+		return c.giveUp(CodeTargetsUnreachable)
 	}
-	if code, after, all := c.allHeldOff(); all {
-		return refusedAt(code, after)
+	if code, after, all := c.allUnderBackpressure(); all {
+		return refusalWithRetryAfter(code, after)
 	}
-	return refusedAt(CodeNoTarget, c.Policy.RepairRetryAfter)
+	return refusalWithRetryAfter(CodeNoTarget, c.Policy.RepairRetryAfter)
 }
 
 // attempt sends the request to one instance and relays its response.
-func (c *call) attempt(target *dispatch.Candidate) result {
+func (c *call) attempt(target *dispatch.Candidate) attemptResult {
 	c.tried = append(c.tried, target.ID)
 	c.sends++
-	c.loadWhenPicked = target.Load()
+	c.loadAtPick = target.Load()
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
 	sent := c.Clock.Now()
@@ -189,35 +189,35 @@
 	resumable := c.route.Kind == catalog.Stream && c.route.Repeatable() && c.runs < c.route.MaxAttempts
 	watched := c.Watch.add(target, resumable, sent, cancel)
 	defer c.Watch.remove(watched)
-	resp, err := c.Pool.Do(ctx, target.Address, c.request(target, sent))
+	resp, err := c.Pool.Do(ctx, target.Address, c.newInstanceRequest(target, sent))
 	switch {
 	case errors.Is(err, errHeldBack):
-		return c.holdBack(target, err)
+		return c.recordHeldBack(target, err)
 	case errors.Is(err, direct.ErrUnsent):
 		c.runs--
 		if c.r.Context().Err() != nil {
-			return callerGone
+			return resultCallerGone
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			c.Quarantine.Refused(target)
 		}
-		c.trouble(target, sent, "not reached", err)
-		return notRun
+		c.recordFailure(target, sent, "not reached", err)
+		return resultNotRun
 	case err != nil:
-		return c.lost(ctx, target, sent, err)
+		return c.handleLostResponse(ctx, target, sent, err)
 	}
 	defer resp.Close()
 	c.Health.Heard(target.ID, sent)
-	return c.follow(ctx, target, resp, watched, sent)
+	return c.handleResponse(ctx, target, resp, watched, sent)
 }
 
-// request returns the request to send to an instance.
-func (c *call) request(target *dispatch.Candidate, now time.Time) *direct.Request {
-	h := travelling(c.r.Header)
+// newInstanceRequest returns the request to send to an instance.
+func (c *call) newInstanceRequest(target *dispatch.Candidate, now time.Time) *direct.Request {
+	h := endToEndHeaders(c.r.Header)
 	f := Forward{
 		Instance:  target.ID,
 		Left:      c.deadline.Sub(now) - c.Policy.NetworkAllowance,
-		LastEvent: c.lastEvent,
+		LastEvent: c.lastEventID,
 		Urgency:   -1,
 	}
 	if c.team != nil {
@@ -233,37 +233,38 @@
 		HasBody: c.r.ContentLength != 0 || c.r.Method == http.MethodPost || c.r.Method == http.MethodPut,
 		Match:   func(h http.Header) bool { return c.Dialect.Belongs(h, c.claims.ID) },
 		Fresh:   !c.route.Repeatable(),
-		Check:   func() error { return c.mayLeave(target) },
+		Check:   func() error { return c.checkBeforeSend(target) },
 	}
 }
 
-// trouble records and logs that an instance failed a request, and reports it to the failure detector.
-func (c *call) trouble(target *dispatch.Candidate, sent time.Time, what event.Failure, err error) {
+// recordFailure records and logs that an instance failed a request, and reports it to the failure
+// detector.
+func (c *call) recordFailure(target *dispatch.Candidate, sent time.Time, failure event.Failure, err error) {
 	target.Failed()
 	c.Health.Failed(target.ID, sent)
-	c.logFailure(target, sent, what, err)
+	c.logFailure(target, sent, failure, err)
 }
 
 // logFailure logs an attempt without a usable response.
-func (c *call) logFailure(target *dispatch.Candidate, sent time.Time, what event.Failure, err error) {
+func (c *call) logFailure(target *dispatch.Candidate, sent time.Time, failure event.Failure, err error) {
 	c.Recorder.Decide(&event.AttemptFailed{
-		Request: c.named(), Instance: target.ID, Group: target.Membership.Group, Epoch: target.Membership.Epoch, What: what, Err: err,
-		After: c.Clock.Since(sent), Held: target.Held(), LastEvent: c.lastEvent,
+		Request: c.eventRequest(), Instance: target.ID, Group: target.Membership.Group, Epoch: target.Membership.Epoch, What: failure, Err: err,
+		After: c.Clock.Since(sent), Held: target.Held(), LastEvent: c.lastEventID,
 	})
 }
 
-// lost handles an attempt whose response is missing or incomplete. It records the failure and
-// returns the result.
-func (c *call) lost(ctx context.Context, target *dispatch.Candidate, sent time.Time, err error) result {
+// handleLostResponse handles an attempt whose response is missing or incomplete. It records the
+// failure and returns the result.
+func (c *call) handleLostResponse(ctx context.Context, target *dispatch.Candidate, sent time.Time, err error) attemptResult {
 	if c.r.Context().Err() != nil {
-		return callerGone
+		return resultCallerGone
 	}
 	cause := context.Cause(ctx)
-	c.Quarantine.Broken(c.fingerprint, mayHaveEnded(target, cause), sent)
+	c.Quarantine.Broken(c.fingerprint, possiblyEndedInstances(target, cause), sent)
 	switch {
-	case errors.Is(cause, errStalled):
-		c.trouble(target, sent, event.Stalled, err)
-	case errors.Is(cause, errSilent):
+	case errors.Is(cause, errGroupStalled):
+		c.recordFailure(target, sent, event.Stalled, err)
+	case errors.Is(cause, errStreamSilent):
 		target.Failed()
 		c.Recorder.Count("attempt.silent")
 		c.logFailure(target, sent, event.Silent, err)
@@ -273,20 +274,20 @@
 		target.Failed()
 		c.logFailure(target, sent, event.BrokenOff, err)
 	}
-	return unknown
+	return resultUnknown
 }
 
-// mayHaveEnded returns the instances of which one may have ended during an attempt: any member
-// of a stalled group, or else the target, whose connection broke.
-func mayHaveEnded(target *dispatch.Candidate, cause error) []fleet.Instance {
-	if errors.Is(cause, errStalled) && len(target.Members) > 0 {
+// possiblyEndedInstances returns the instances of which one may have ended during an attempt: all
+// members of a stalled group, or else the target, whose connection broke.
+func possiblyEndedInstances(target *dispatch.Candidate, cause error) []fleet.Instance {
+	if errors.Is(cause, errGroupStalled) && len(target.Members) > 0 {
 		return target.Members
 	}
 	return []fleet.Instance{target.Instance}
 }
 
-// follow evaluates the head of a response and relays it to the caller if it is usable.
-func (c *call) follow(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, w *watched, sent time.Time) result {
+// handleResponse evaluates the head of a response and relays it to the caller if it is usable.
+func (c *call) handleResponse(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, w *watchedAttempt, sent time.Time) attemptResult {
 	v := c.Dialect.Verdict(resp.Status, resp.Header)
 	replaced := v.NotRun && v.Instance != "" && v.Instance != target.ID
 	if replaced {
@@ -295,84 +296,85 @@
 		c.Backpressure.Told(&target.Instance, v.Notice, c.claims.ID, sent)
 	}
 	if v.NotRun {
-		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBuffered))
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBytes))
 		c.runs--
 		if v.Cooldown == 0 {
 			target.Failed()
 		}
 		c.Recorder.Decide(&event.AttemptRefused{
-			Request: c.named(), Instance: target.ID, Status: resp.Status, Culprit: v.Culprit, Held: target.Held(), Load: target.Load(), Cooldown: v.Cooldown, Sends: c.sends,
+			Request: c.eventRequest(), Instance: target.ID, Status: resp.Status, Culprit: v.Culprit, Held: target.Held(), Load: target.Load(), Cooldown: v.Cooldown, Sends: c.sends,
 		})
 		if v.Culprit != "" && v.Culprit != target.Address.String() {
 			c.Health.Suspect(target)
 		}
-		return notRun
+		return resultNotRun
 	}
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
 	if success && !v.Sealed {
 		c.logFailure(target, sent, event.Unsealed, fmt.Errorf("status %d", resp.Status))
-		return unknown
+		return resultUnknown
 	}
 	if success && c.route.Kind == catalog.Stream {
-		return c.relay(ctx, target, resp, w, sent)
+		return c.relayStream(ctx, target, resp, w, sent)
 	}
-	return c.whole(ctx, target, resp, sent)
+	return c.relayBuffered(ctx, target, resp, sent)
 }
 
-// answeredBy records a complete response of an instance. A response that is delimited by the end
-// of its connection also looks complete if the instance ended, so it does not clear the request.
-func (c *call) answeredBy(target *dispatch.Candidate, resp *direct.Response) {
+// recordCompleteResponse records a complete response of an instance. A response that is delimited
+// by the end of its connection also looks complete if the instance ended, so it does not clear the
+// request.
+func (c *call) recordCompleteResponse(target *dispatch.Candidate, resp *direct.Response) {
 	target.Answered()
 	if resp.Framed() {
 		c.Quarantine.Answered(c.fingerprint)
 	}
 }
 
-// maxBuffered is the size up to which a response is buffered before it is forwarded, in bytes.
-const maxBuffered = 1 << 20
+// maxBufferedBytes is the size up to which a response is buffered before it is forwarded, in bytes.
+const maxBufferedBytes = 1 << 20
 
-// plain is a buffered response.
-type plain struct {
+// bufferedResponse is a response whose body has been read up to maxBufferedBytes.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// whole buffers a response and forwards it. A server error is kept in c.last instead, since the
-// request may be retried. Nothing is forwarded if a stream has begun.
-func (c *call) whole(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, sent time.Time) result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBuffered))
+// relayBuffered buffers a response and forwards it. A server error is kept in c.lastFailure
+// instead, since the request may be retried. Nothing is forwarded if a stream has begun.
+func (c *call) relayBuffered(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, sent time.Time) attemptResult {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
 	if err != nil {
-		return c.lost(ctx, target, sent, err)
+		return c.handleLostResponse(ctx, target, sent, err)
 	}
-	p := &plain{status: resp.Status, header: c.toCaller(resp), body: body}
+	p := &bufferedResponse{status: resp.Status, header: c.callerHeaders(resp), body: body}
 	if resp.Status >= http.StatusInternalServerError {
 		target.Failed()
-		if c.begun {
-			return unknown
+		if c.headerWritten {
+			return resultUnknown
 		}
-		c.last = p
-		return failed
+		c.lastFailure = p
+		return resultFailed
 	}
-	if c.begun {
-		return unknown
+	if c.headerWritten {
+		return resultUnknown
 	}
-	if len(body) == maxBuffered {
-		return c.large(ctx, target, resp, p, sent)
+	if len(body) == maxBufferedBytes {
+		return c.relayLarge(ctx, target, resp, p, sent)
 	}
-	c.answeredBy(target, resp)
-	p.write(c)
-	return answered
+	c.recordCompleteResponse(target, resp)
+	p.writeTo(c)
+	return resultAnswered
 }
 
-// write forwards the response to the caller.
-func (p *plain) write(c *call) {
-	c.head(p.status, p.header, int64(len(p.body)))
+// writeTo forwards the response to the caller.
+func (p *bufferedResponse) writeTo(c *call) {
+	c.writeHeader(p.status, p.header, int64(len(p.body)))
 	_, _ = c.w.Write(p.body)
 }
 
-// head writes the head of a response. A length of -1 means unknown.
-func (c *call) head(status int, header http.Header, length int64) {
+// writeHeader writes the head of a response. A length of -1 means unknown.
+func (c *call) writeHeader(status int, header http.Header, length int64) {
 	h := c.w.Header()
 	for name, values := range header {
 		h[name] = values
@@ -387,20 +389,20 @@
 	c.w.WriteHeader(status)
 }
 
-// large forwards a response that is too large to be buffered as a whole.
-func (c *call) large(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, p *plain, sent time.Time) result {
-	c.head(p.status, p.header, resp.Length)
-	c.begun = true
+// relayLarge forwards a response that is too large to be buffered as a whole.
+func (c *call) relayLarge(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, p *bufferedResponse, sent time.Time) attemptResult {
+	c.writeHeader(p.status, p.header, resp.Length)
+	c.headerWritten = true
 	if _, err := c.w.Write(p.body); err != nil {
-		return callerGone
+		return resultCallerGone
 	}
 	if _, err := io.Copy(c.w, resp.Body); err != nil {
 		if c.r.Context().Err() != nil {
-			return callerGone
+			return resultCallerGone
 		}
-		c.lost(ctx, target, sent, err)
+		c.handleLostResponse(ctx, target, sent, err)
 		panic(http.ErrAbortHandler)
 	}
-	c.answeredBy(target, resp)
-	return answered
+	c.recordCompleteResponse(target, resp)
+	return resultAnswered
 }
--- a/transport/gateway/standin_test.go
+++ b/transport/gateway/standin_test.go
@@ -29,10 +29,10 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// dialect implements gateway.Dialect with short header names.
-type dialect struct{}
+// testDialect implements gateway.Dialect with short header names.
+type testDialect struct{}
 
-func (dialect) Parse(h http.Header) (gateway.Claims, error) {
+func (testDialect) Parse(h http.Header) (gateway.Claims, error) {
 	ms, _ := strconv.Atoi(h.Get("Patience"))
 	c := gateway.Claims{ID: h.Get("Id"), Key: h.Get("Key"), Model: h.Get("Model"), LastEvent: h.Get("Last"), Patience: time.Duration(ms) * time.Millisecond}
 	if c.ID == "" {
@@ -41,7 +41,7 @@
 	return c, nil
 }
 
-func (dialect) Forward(h http.Header, f gateway.Forward) {
+func (testDialect) Forward(h http.Header, f gateway.Forward) {
 	h.Del("Key")
 	h.Set("For", string(f.Instance))
 	h.Set("Left", strconv.FormatInt(f.Left.Milliseconds(), 10))
@@ -50,9 +50,9 @@
 	}
 }
 
-func (dialect) Belongs(h http.Header, id string) bool { return h.Get("Id") == id }
+func (testDialect) Belongs(h http.Header, id string) bool { return h.Get("Id") == id }
 
-func (dialect) Verdict(status int, h http.Header) gateway.Verdict {
+func (testDialect) Verdict(status int, h http.Header) gateway.Verdict {
 	v := gateway.Verdict{NotRun: h.Get("Not-Run") != "", Sealed: h.Get("Seal") != ""}
 	v.Leaving = h.Get("Leaving") != ""
 	if seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64); err == nil && status == http.StatusServiceUnavailable {
@@ -61,9 +61,9 @@
 	return v
 }
 
-func (dialect) ToCaller(_ int, h http.Header) { h.Del("Retry-After") }
+func (testDialect) ToCaller(_ int, h http.Header) { h.Del("Retry-After") }
 
-func (dialect) Status(c gateway.Code) int {
+func (testDialect) Status(c gateway.Code) int {
 	switch c {
 	case gateway.CodeBadRequest:
 		return http.StatusBadRequest
@@ -81,43 +81,43 @@
 	return http.StatusServiceUnavailable
 }
 
-func (dialect) RetryAfter(h http.Header, d time.Duration) {
+func (testDialect) RetryAfter(h http.Header, d time.Duration) {
 	h.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
 }
 
-func (dialect) Echo(h http.Header, id string) { h.Set("Id", id) }
+func (testDialect) Echo(h http.Header, id string) { h.Set("Id", id) }
 
-// knowledge implements gateway.Catalogs with a fixed catalog.
-type knowledge struct {
-	c     *catalog.Catalog
-	stale atomic.Bool
+// fixedCatalogs implements gateway.Catalogs with a fixed catalog.
+type fixedCatalogs struct {
+	current *catalog.Catalog
+	stale   atomic.Bool
 }
 
-func (k *knowledge) Catalog() *catalog.Catalog { return k.c }
-func (k *knowledge) KeysFresh() bool           { return !k.stale.Load() }
+func (f *fixedCatalogs) Catalog() *catalog.Catalog { return f.current }
+func (f *fixedCatalogs) KeysFresh() bool           { return !f.stale.Load() }
 
-// health implements gateway.Health and records failures and probe requests.
-type health struct {
+// fakeHealth implements gateway.Health and records failures and probe requests.
+type fakeHealth struct {
 	mu        sync.Mutex
 	failed    []state.InstanceID
 	suspected int
 }
 
-func (h *health) Heard(state.InstanceID, time.Time) {}
-func (h *health) Replaced(state.InstanceID)         {}
-func (h *health) Failed(id state.InstanceID, _ time.Time) {
+func (h *fakeHealth) Heard(state.InstanceID, time.Time) {}
+func (h *fakeHealth) Replaced(state.InstanceID)         {}
+func (h *fakeHealth) Failed(id state.InstanceID, _ time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failed = append(h.failed, id)
 }
-func (h *health) Suspect(*dispatch.Candidate) {
+func (h *fakeHealth) Suspect(*dispatch.Candidate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.suspected++
 }
 
-// quarantined implements gateway.Quarantine. Tests set which requests it quarantines.
-type quarantined struct {
+// fakeQuarantine implements gateway.Quarantine. Tests set which requests it quarantines.
+type fakeQuarantine struct {
 	mu   sync.Mutex
 	held map[quarantine.Fingerprint]bool
 	// suspected holds requests that ended instances, but too few to be quarantined.
@@ -127,67 +127,67 @@
 	refused   []state.InstanceID
 }
 
-func (q *quarantined) HeldUntil(f quarantine.Fingerprint) (time.Time, bool) {
+func (q *fakeQuarantine) HeldUntil(f quarantine.Fingerprint) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return time.Now().Add(time.Minute), q.held[f]
 }
 
-func (q *quarantined) Suspected(f quarantine.Fingerprint) bool {
+func (q *fakeQuarantine) Suspected(f quarantine.Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.suspected[f]
 }
 
-func (q *quarantined) Broken(f quarantine.Fingerprint, _ []fleet.Instance, _ time.Time) {
+func (q *fakeQuarantine) Broken(f quarantine.Fingerprint, _ []fleet.Instance, _ time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.broken = append(q.broken, f)
 }
 
-func (q *quarantined) Answered(f quarantine.Fingerprint) {
+func (q *fakeQuarantine) Answered(f quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.answered = append(q.answered, f)
 }
 
-func (q *quarantined) Refused(c *dispatch.Candidate) {
+func (q *fakeQuarantine) Refused(c *dispatch.Candidate) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.refused = append(q.refused, c.ID)
 }
 
-// recorder implements gateway.Recorder and keeps the counters only.
-type recorder struct {
+// fakeRecorder implements gateway.Recorder and keeps the counters only.
+type fakeRecorder struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func (r *recorder) Count(name string) {
+func (r *fakeRecorder) Count(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[name]++
 }
-func (r *recorder) Time(string, time.Duration) {}
-func (r *recorder) Decide(event.Decision)      {}
+func (r *fakeRecorder) Time(string, time.Duration) {}
+func (r *fakeRecorder) Decide(event.Decision)      {}
 
-// lab runs a gateway in front of fake instances.
-type lab struct {
+// harness runs a gateway in front of fake instances.
+type harness struct {
 	t            *testing.T
-	gate         *gateway.Gateway
-	front        *httptest.Server
+	gateway      *gateway.Gateway
+	server       *httptest.Server
 	table        *dispatch.Table
-	know         *knowledge
-	health       *health
-	counts       *recorder
-	quarantine   *quarantined
-	backpressure *backpressure
-	views        []roster.View
-	journal      *journal
+	catalogs     *fixedCatalogs
+	health       *fakeHealth
+	recorder     *fakeRecorder
+	quarantine   *fakeQuarantine
+	backpressure *fakeBackpressure
+	instances    []roster.View
+	runLog       *runLog
 }
 
-// journal records which instance received which request.
-type journal struct {
+// runLog records which instance received which request.
+type runLog struct {
 	mu   sync.Mutex
 	runs []run
 }
@@ -197,21 +197,21 @@
 	header                   http.Header
 }
 
-func (j *journal) add(r run) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.runs = append(j.runs, r)
+func (l *runLog) add(r run) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.runs = append(l.runs, r)
 }
 
-func (j *journal) all() []run {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return append([]run(nil), j.runs...)
+func (l *runLog) all() []run {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]run(nil), l.runs...)
 }
 
-// newLab returns a lab with the routes /safe/, /unsafe/, /stream/, /once/ (a stream that cannot
+// newHarness returns a harness with the routes /safe/, /unsafe/, /stream/, /once/ (a stream that cannot
 // be resumed) and /public/.
-func newLab(t *testing.T) *lab {
+func newHarness(t *testing.T) *harness {
 	route := func(name string, kind catalog.RouteKind, service state.ServiceName) catalog.Route {
 		return catalog.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Timeout: 3 * time.Second, MaxAttempts: 2,
@@ -227,50 +227,50 @@
 	engine := &catalog.Engine{Slots: 4, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}}}
 	services := []catalog.Service{{Name: "plain"}, {Name: "lm", Engine: engine}}
 	teams := map[string]*catalog.Team{"k": {Name: "team"}}
-	l := &lab{
-		t: t, know: &knowledge{c: catalog.New(1, routes, services, teams, catalog.Limits{BodyBytes: 1000})},
-		health: &health{}, counts: &recorder{counts: map[string]int{}}, quarantine: &quarantined{held: map[quarantine.Fingerprint]bool{}, suspected: map[quarantine.Fingerprint]bool{}}, table: dispatch.NewTable("hall", dispatch.DefaultPolicy()), journal: &journal{}, backpressure: newBackpressure(),
+	h := &harness{
+		t: t, catalogs: &fixedCatalogs{current: catalog.New(1, routes, services, teams, catalog.Limits{BodyBytes: 1000})},
+		health: &fakeHealth{}, recorder: &fakeRecorder{counts: map[string]int{}}, quarantine: &fakeQuarantine{held: map[quarantine.Fingerprint]bool{}, suspected: map[quarantine.Fingerprint]bool{}}, table: dispatch.NewTable("hall", dispatch.DefaultPolicy()), runLog: &runLog{}, backpressure: newFakeBackpressure(),
 	}
 	clock := clockwork.NewRealClock()
-	l.gate = gateway.New(gateway.Options{
+	h.gateway = gateway.New(gateway.Options{
 		Demand: demand.NewMeter(demand.DefaultPolicy()), Policy: gateway.DefaultPolicy(),
-		Clock: clock, Dialect: dialect{}, Catalogs: l.know, Table: l.table, Health: l.health, Recorder: l.counts, Quarantine: l.quarantine, Backpressure: l.backpressure,
+		Clock: clock, Dialect: testDialect{}, Catalogs: h.catalogs, Table: h.table, Health: h.health, Recorder: h.recorder, Quarantine: h.quarantine, Backpressure: h.backpressure,
 		Pool:  direct.NewPool(direct.Dialer{Timeout: time.Second}, time.Now),
 		Retry: retry.Bounds{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 	})
-	l.gate.SetNodes(1)
-	l.front = httptest.NewServer(l.gate)
-	t.Cleanup(l.front.Close)
-	return l
+	h.gateway.SetNodes(1)
+	h.server = httptest.NewServer(h.gateway)
+	t.Cleanup(h.server.Close)
+	return h
 }
 
-// instance adds an instance with a handler. Before the handler is called, the request is recorded
+// addInstance adds an instance with a handler. Before the handler is called, the request is recorded
 // and its ID and a seal are set on the response.
-func (l *lab) instance(id string, service state.ServiceName, answer http.HandlerFunc) {
+func (h *harness) addInstance(id string, service state.ServiceName, handler http.HandlerFunc) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		l.journal.add(run{instance: id, id: r.Header.Get("Id"), last: r.Header.Get("Last"), body: string(body), header: r.Header.Clone()})
+		h.runLog.add(run{instance: id, id: r.Header.Get("Id"), last: r.Header.Get("Last"), body: string(body), header: r.Header.Clone()})
 		w.Header().Set("Id", r.Header.Get("Id"))
 		w.Header().Set("Seal", "seal-of-"+id)
-		answer(w, r)
+		handler(w, r)
 	}))
-	l.t.Cleanup(srv.Close)
-	l.at(id, service, netip.MustParseAddrPort(srv.Listener.Addr().String()))
+	h.t.Cleanup(srv.Close)
+	h.addInstanceAt(id, service, netip.MustParseAddrPort(srv.Listener.Addr().String()))
 }
 
-// at adds an instance with an address.
-func (l *lab) at(id string, service state.ServiceName, at netip.AddrPort) {
-	in := fleet.Instance{ID: state.InstanceID(id), Service: service, Address: at, Hall: "hall", Slots: 4}
+// addInstanceAt adds an instance with an address.
+func (h *harness) addInstanceAt(id string, service state.ServiceName, address netip.AddrPort) {
+	in := fleet.Instance{ID: state.InstanceID(id), Service: service, Address: address, Hall: "hall", Slots: 4}
 	if service == "lm" {
 		in.Model = "m"
 		in.Membership = fleet.Membership{Group: state.GroupName("g-" + id), Epoch: 1, State: fleet.Open}
 	}
-	l.views = append(l.views, roster.View{Instance: in})
-	l.table.Update(l.know.c, l.views, func(fleet.GroupKey) bool { return false })
+	h.instances = append(h.instances, roster.View{Instance: in})
+	h.table.Update(h.catalogs.current, h.instances, func(fleet.GroupKey) bool { return false })
 }
 
-// deadAddress returns an address that refuses connections.
-func deadAddress(t *testing.T) netip.AddrPort {
+// refusingAddress returns an address that refuses connections.
+func refusingAddress(t *testing.T) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -279,8 +279,8 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// answer is the response that a caller received.
-type answer struct {
+// callResponse is the response that a caller received.
+type callResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -288,20 +288,20 @@
 }
 
 // call sends a request with a key and a model, and reads the complete response.
-func (l *lab) call(method, path, body string, header map[string]string) answer {
+func (h *harness) call(method, path, body string, header map[string]string) callResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	return l.callWith(ctx, method, path, body, header)
+	return h.callWith(ctx, method, path, body, header)
 }
 
-func (l *lab) callWith(ctx context.Context, method, path, body string, header map[string]string) answer {
+func (h *harness) callWith(ctx context.Context, method, path, body string, header map[string]string) callResponse {
 	var in io.Reader
 	if body != "" {
-		in = &onlyReader{s: body}
+		in = &unsizedReader{s: body}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, l.front.URL+path, in)
+	req, err := http.NewRequestWithContext(ctx, method, h.server.URL+path, in)
 	if err != nil {
-		return answer{err: err}
+		return callResponse{err: err}
 	}
 	req.Host = "h"
 	for name, value := range map[string]string{"Id": "r1", "Key": "k", "Model": "m", "Patience": "2000"} {
@@ -312,17 +312,17 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return callResponse{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, resp.Header, string(text), err}
+	return callResponse{resp.StatusCode, resp.Header, string(text), err}
 }
 
-// onlyReader hides the length of a body, so that net/http sends it chunked.
-type onlyReader struct{ s string }
+// unsizedReader hides the length of a body, so that net/http sends it chunked.
+type unsizedReader struct{ s string }
 
-func (r *onlyReader) Read(p []byte) (int, error) {
+func (r *unsizedReader) Read(p []byte) (int, error) {
 	if r.s == "" {
 		return 0, io.EOF
 	}
@@ -331,8 +331,8 @@
 	return n, nil
 }
 
-// events writes events with the IDs first to last and flushes each of them.
-func events(w http.ResponseWriter, first, last int) {
+// writeEvents writes events with the IDs first to last and flushes each of them.
+func writeEvents(w http.ResponseWriter, first, last int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := first; i <= last; i++ {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: x%d\n\n", i, i)
@@ -340,8 +340,8 @@
 	}
 }
 
-// cut closes the connection without completing the response.
-func cut(w http.ResponseWriter) {
+// closeConnection closes the connection without completing the response.
+func closeConnection(w http.ResponseWriter) {
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = buf.Flush()
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -13,130 +13,131 @@
 	"github.com/troutmast/troutmast/protocol/direct"
 )
 
-// stream is the progress of a streamed response.
-type stream struct {
-	// begun reports whether the head of the response has been written to the caller.
-	begun bool
-	// lastEvent is the ID of the last event accepted for the caller.
-	lastEvent string
-	// moved is when events were last written to the caller.
-	moved  time.Time
-	events int
-	// firstAfter is the time from the arrival of the request to its first event.
-	firstAfter time.Duration
-	// longestGap is the longest time between two writes of events to the caller.
-	longestGap time.Duration
+// streamProgress is the progress of a streamed response.
+type streamProgress struct {
+	// headerWritten reports whether the head of the response has been written to the caller.
+	headerWritten bool
+	// lastEventID is the ID of the last event accepted for the caller.
+	lastEventID string
+	// lastWriteAt is when events were last written to the caller.
+	lastWriteAt time.Time
+	eventCount  int
+	// firstEventLatency is the time from the arrival of the request to its first event.
+	firstEventLatency time.Duration
+	// maxEventGap is the longest time between two writes of events to the caller.
+	maxEventGap time.Duration
 }
 
-// errOrder means that an instance repeated an event or sent it out of order.
-var errOrder = errors.New("gateway: events out of order")
+// errEventOrder means that an instance repeated an event or sent it out of order.
+var errEventOrder = errors.New("gateway: events out of order")
 
-// readSize is the size of one read of a stream, in bytes.
-const readSize = 4096
+// streamReadSize is the size of one read of a stream, in bytes.
+const streamReadSize = 4096
 
-// relay forwards the events of a stream to the caller. It forwards complete events only, except
-// for a remainder at the end of a framed response.
-func (c *call) relay(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, w *watched, sent time.Time) result {
+// relayStream forwards the events of a stream to the caller. It forwards complete events only,
+// except for a remainder at the end of a framed response.
+func (c *call) relayStream(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, w *watchedAttempt, sent time.Time) attemptResult {
 	var pending []byte
-	buf := make([]byte, readSize)
+	buf := make([]byte, streamReadSize)
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			now := c.Clock.Now()
-			w.move(now)
+			w.recordData(now)
 			c.hold.Started()
 			pending = append(pending, buf[:n]...)
-			rest, fault := c.pass(pending, resp, now)
-			if fault != nil {
-				return c.broken(ctx, target, sent, fault)
+			rest, forwardErr := c.forwardEvents(pending, resp, now)
+			if forwardErr != nil {
+				return c.handleBrokenStream(ctx, target, sent, forwardErr)
 			}
 			pending = append(pending[:0], rest...)
 		}
 		switch {
 		case err == io.EOF && len(pending) > 0 && !resp.Framed():
-			return c.broken(ctx, target, sent, io.ErrUnexpectedEOF)
+			return c.handleBrokenStream(ctx, target, sent, io.ErrUnexpectedEOF)
 		case err == io.EOF:
-			c.answeredBy(target, resp)
-			return c.finish(resp, pending)
+			c.recordCompleteResponse(target, resp)
+			return c.finishStream(resp, pending)
 		case err != nil:
-			return c.broken(ctx, target, sent, err)
+			return c.handleBrokenStream(ctx, target, sent, err)
 		}
 	}
 }
 
-// broken handles a stream that ended early and returns the result of its attempt.
-func (c *call) broken(ctx context.Context, target *dispatch.Candidate, sent time.Time, err error) result {
-	if errors.Is(err, errCaller) {
-		return callerGone
+// handleBrokenStream handles a stream that ended early and returns the result of its attempt.
+func (c *call) handleBrokenStream(ctx context.Context, target *dispatch.Candidate, sent time.Time, err error) attemptResult {
+	if errors.Is(err, errCallerWrite) {
+		return resultCallerGone
 	}
-	return c.lost(ctx, target, sent, err)
+	return c.handleLostResponse(ctx, target, sent, err)
 }
 
-// errCaller means that writing to the caller failed.
-var errCaller = errors.New("gateway: write to the caller failed")
+// errCallerWrite means that writing to the caller failed.
+var errCallerWrite = errors.New("gateway: write to the caller failed")
 
-// pass writes the complete events at the start of pending to the caller and returns the rest.
-func (c *call) pass(pending []byte, resp *direct.Response, now time.Time) ([]byte, error) {
-	end, fault := c.take(pending)
+// forwardEvents writes the complete events at the start of pending to the caller and returns the
+// rest.
+func (c *call) forwardEvents(pending []byte, resp *direct.Response, now time.Time) ([]byte, error) {
+	end, orderErr := c.scanEvents(pending)
 	if end == 0 {
-		return pending, fault
+		return pending, orderErr
 	}
-	c.begin(resp)
+	c.writeStreamHeader(resp)
 	if _, err := c.w.Write(pending[:end]); err != nil {
-		return nil, errCaller
+		return nil, errCallerWrite
 	}
 	if err := http.NewResponseController(c.w).Flush(); err != nil {
-		return nil, errCaller
+		return nil, errCallerWrite
 	}
-	if !c.moved.IsZero() {
-		c.longestGap = max(c.longestGap, now.Sub(c.moved))
+	if !c.lastWriteAt.IsZero() {
+		c.maxEventGap = max(c.maxEventGap, now.Sub(c.lastWriteAt))
 	}
-	c.moved = now
-	return pending[end:], fault
+	c.lastWriteAt = now
+	return pending[end:], orderErr
 }
 
-// take returns the length of the complete events at the start of pending. It stops with errOrder
-// before an event whose ID is not after that of the previous event.
-func (c *call) take(pending []byte) (int, error) {
+// scanEvents returns the length of the complete events at the start of pending. It stops with
+// errEventOrder before an event whose ID is not after that of the previous event.
+func (c *call) scanEvents(pending []byte) (int, error) {
 	end := 0
 	for {
-		n := eventEnd(pending[end:])
+		n := firstEventLength(pending[end:])
 		if n == 0 {
 			return end, nil
 		}
-		if id := eventID(pending[end : end+n]); id != "" {
-			if c.events > 0 && !follows(c.lastEvent, id) {
-				return end, errOrder
+		if id := parseEventID(pending[end : end+n]); id != "" {
+			if c.eventCount > 0 && !isAfterEventID(c.lastEventID, id) {
+				return end, errEventOrder
 			}
-			c.lastEvent = id
+			c.lastEventID = id
 		}
-		c.events++
+		c.eventCount++
 		end += n
 	}
 }
 
-// begin writes the head of the stream if it has not been written yet.
-func (c *call) begin(resp *direct.Response) {
-	if c.begun {
+// writeStreamHeader writes the head of the stream if it has not been written yet.
+func (c *call) writeStreamHeader(resp *direct.Response) {
+	if c.headerWritten {
 		return
 	}
-	c.begun = true
-	c.firstAfter = c.Clock.Since(c.arrived)
-	c.Recorder.Time("first-event", c.firstAfter)
-	c.head(resp.Status, c.toCaller(resp), -1)
+	c.headerWritten = true
+	c.firstEventLatency = c.Clock.Since(c.arrivedAt)
+	c.Recorder.Time("first-event", c.firstEventLatency)
+	c.writeHeader(resp.Status, c.callerHeaders(resp), -1)
 }
 
-// finish completes a stream whose last byte has been read.
-func (c *call) finish(resp *direct.Response, rest []byte) result {
-	c.begin(resp)
+// finishStream completes a stream whose last byte has been read.
+func (c *call) finishStream(resp *direct.Response, rest []byte) attemptResult {
+	c.writeStreamHeader(resp)
 	if len(rest) > 0 {
 		_, _ = c.w.Write(rest)
 	}
-	return answered
+	return resultAnswered
 }
 
-// eventEnd returns the length of the first complete event, or 0 if there is none.
-func eventEnd(b []byte) int {
+// firstEventLength returns the length of the first complete event, or 0 if there is none.
+func firstEventLength(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
@@ -148,8 +149,8 @@
 	return 0
 }
 
-// eventID returns the ID of an event, or an empty string if it has none.
-func eventID(event []byte) string {
+// parseEventID returns the ID of an event, or an empty string if it has none.
+func parseEventID(event []byte) string {
 	for len(event) > 0 {
 		line := event
 		if i := bytes.IndexByte(event, '\n'); i >= 0 {
@@ -164,10 +165,10 @@
 	return ""
 }
 
-// follows reports whether an event ID comes after another. IDs that are not numbers are not
+// isAfterEventID reports whether an event ID comes after another. IDs that are not numbers are not
 // compared: they always count as following.
-func follows(before, id string) bool {
-	a, errA := strconv.ParseInt(before, 10, 64)
+func isAfterEventID(prev, id string) bool {
+	a, errA := strconv.ParseInt(prev, 10, 64)
 	b, errB := strconv.ParseInt(id, 10, 64)
 	return errA != nil || errB != nil || b > a
 }
