--- a/transport/gateway/backpressure.go
+++ b/transport/gateway/backpressure.go
@@ -11,47 +11,48 @@
 	"github.com/troutmast/troutmast/transport/event"
 )
 
-// errHeldBack means that a request was kept back right before it would have left.
+// errHeldBack means that a request was held back right before its first byte was sent.
 var errHeldBack = errors.New("gateway: held back")
 
-// The reasons for which a request is held back.
+// The reasons for holding a request back.
 var (
 	errCoolingDown = fmt.Errorf("%w: the instance is cooling down", errHeldBack)
 	errLeaving     = fmt.Errorf("%w: the instance is leaving", errHeldBack)
-	errStaleKeys   = fmt.Errorf("%w: keys may be stale", errHeldBack)
+	errKeysStale   = fmt.Errorf("%w: keys may be stale", errHeldBack)
 	errRateLimited = fmt.Errorf("%w: the instance takes no more requests for now", errHeldBack)
 )
 
-// heldBackCounters are the counters of requests held back, by reason.
+// heldBackCounters names the counter of held-back requests for each reason.
 var heldBackCounters = map[error]string{
 	errCoolingDown: "held-back.cooling-down",
 	errLeaving:     "held-back.leaving",
-	errStaleKeys:   "held-back.keys-may-be-stale",
+	errKeysStale:   "held-back.keys-may-be-stale",
 	errRateLimited: "held-back.rate-limited",
 }
 
-// mayLeave reports why a request must not leave for an instance now, or nil. It is asked
-// last, with a connection at hand: while the request waited for one, other requests may
-// have learned that the instance wants none.
-func (c *call) mayLeave(target *dispatch.Candidate) error {
+// checkBeforeSend returns the reason why a request must not be sent to an instance now, or nil. It
+// is called once the connection is established: other requests may have received a cooldown, a
+// rate limit or a leaving notice of the instance during the dial.
+func (c *call) checkBeforeSend(target *dispatch.Candidate) error {
 	if _, cooling := c.Backpressure.CoolingDown(&target.Instance); cooling {
 		return errCoolingDown
 	}
 	if c.Backpressure.Leaving(&target.Instance) {
 		return errLeaving
 	}
-	if c.sends == 1 && !c.keyHolds() {
-		return errStaleKeys
+	if c.sends == 1 && !c.keyTrusted() {
+		return errKeysStale
 	}
-	// Last: what is counted here must leave.
+	// This check is last because it spends a grant: the request must be sent if it passes.
 	if !c.Backpressure.Send(&target.Instance) {
 		return errRateLimited
 	}
 	return nil
 }
 
-// holdBack records that an attempt was not made after all: it counts neither as a send nor as a run.
-func (c *call) holdBack(target *dispatch.Candidate, err error) result {
+// recordHeldBack records that a request was held back. The attempt counts neither as a send nor as
+// a run.
+func (c *call) recordHeldBack(target *dispatch.Candidate, err error) attemptResult {
 	c.sends--
 	c.runs--
 	for reason, counter := range heldBackCounters {
@@ -59,21 +60,21 @@
 			c.Recorder.Count(counter)
 		}
 	}
-	c.Recorder.Decide(&event.AttemptHeldBack{Request: c.named(), Instance: target.ID, Err: err, Sends: c.sends})
-	return heldBack
+	c.Recorder.Decide(&event.AttemptHeldBack{Request: c.eventRequest(), Instance: target.ID, Err: err, Sends: c.sends})
+	return resultHeldBack
 }
 
-// allHeldOff reports whether all instances that could run the request want none of this node
-// now, with the reason and when to come back.
-func (c *call) allHeldOff() (code Code, after time.Duration, all bool) {
-	var cooled time.Time
+// allUnderBackpressure reports whether all instances that could run the request are cooling down or
+// rate-limited, and returns the reason and the retry delay.
+func (c *call) allUnderBackpressure() (code Code, after time.Duration, all bool) {
+	var earliestCooldownEnd time.Time
 	limited, perSecond := false, 0.0
 	targets := c.Table.Candidates(c.service, c.model)
 	for _, t := range targets {
 		until, cooling := c.Backpressure.CoolingDown(&t.Instance)
 		switch {
-		case cooling && (cooled.IsZero() || until.Before(cooled)):
-			cooled = until
+		case cooling && (earliestCooldownEnd.IsZero() || until.Before(earliestCooldownEnd)):
+			earliestCooldownEnd = until
 		case cooling:
 		case c.Backpressure.Open(&t.Instance):
 			return "", 0, false
@@ -82,35 +83,35 @@
 			limited, perSecond = true, perSecond+rate
 		}
 	}
-	free := max(cooled.Sub(c.Clock.Now()), 0)
+	cooldownLeft := max(earliestCooldownEnd.Sub(c.Clock.Now()), 0)
 	switch {
 	case !limited:
-		return CodeCoolingDown, free, len(targets) > 0
-	case cooled.IsZero():
+		return CodeCoolingDown, cooldownLeft, len(targets) > 0
+	case earliestCooldownEnd.IsZero():
 		return CodeRateLimited, c.rateLimitWait(perSecond), true
 	}
-	return CodeRateLimited, min(c.rateLimitWait(perSecond), free), true
+	return CodeRateLimited, min(c.rateLimitWait(perSecond), cooldownLeft), true
 }
 
-// rateLimitWait returns when a caller should come back to instances that together take so
-// many requests a second: the time in which they take what callers ask for in a second.
+// rateLimitWait returns the retry delay for instances that together accept perSecond requests a
+// second: the time in which they accept the requests that callers send in one second.
 func (c *call) rateLimitWait(perSecond float64) time.Duration {
 	seconds := max(c.Table.Asked(c.service, c.model), 1) / perSecond
 	return time.Duration(min(seconds, c.Policy.RateLimitRetryAfterMax.Seconds()) * float64(time.Second))
 }
 
-// comeBack returns when a caller should come back: after a usual time, or once the first
-// instance takes requests again where none does.
-func (c *call) comeBack(usual time.Duration) time.Duration {
-	if _, after, all := c.allHeldOff(); all {
+// retryDelay returns the time after which the caller may retry: until the first instance accepts
+// requests again if all are cooling down or rate-limited, and fallback otherwise.
+func (c *call) retryDelay(fallback time.Duration) time.Duration {
+	if _, after, all := c.allUnderBackpressure(); all {
 		return after
 	}
-	return usual
+	return fallback
 }
 
-// toCaller returns the head of an instance's answer as its caller gets it.
-func (c *call) toCaller(resp *direct.Response) http.Header {
-	h := travelling(resp.Header)
+// callerHeaders returns the headers of an instance's response that are forwarded to the caller.
+func (c *call) callerHeaders(resp *direct.Response) http.Header {
+	h := endToEndHeaders(resp.Header)
 	c.Dialect.ToCaller(resp.Status, h)
 	return h
 }
