--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides whether a request may start now, has to wait, or is
-// refused at once with when to come back.
+// Package admission decides whether a request starts now, waits in a queue, or is
+// refused at once with a time after which to retry.
 package admission
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Code is the reason of a refusal.
+// Code is the reason for a refusal.
 type Code string
 
 // The reasons for which a request is refused before it is sent.
@@ -26,15 +26,15 @@
 	CodeNoGroup   Code = "no-whole-group"
 )
 
-// Refusal says why a request is refused and when to come back.
+// Refusal is the error for a refused request: the reason and when to retry.
 type Refusal struct {
 	Code       Code
 	RetryAfter time.Duration
 }
 
-// Error returns the code and the time to wait.
+// Error implements error.
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("admission: %s, come back in %s", r.Code, r.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("admission: request refused (%s), retry after %s", r.Code, r.RetryAfter.Round(time.Millisecond))
 }
 
 // classes is the number of priority classes.
@@ -42,28 +42,28 @@
 
 // Config bounds a Pool.
 type Config struct {
-	// QueueFactor is the greatest length of the queue as a multiple of the capacity.
+	// QueueFactor is the maximum queue length as a multiple of the capacity.
 	QueueFactor float64
-	// MinQueue is the least bound of the queue.
+	// MinQueue is a lower limit for the maximum queue length, for pools of small capacity.
 	MinQueue int
-	// MinRetry and MaxRetry bound what a refused caller is told to wait.
+	// MinRetry and MaxRetry bound RetryAfter of a Refusal, before jitter.
 	MinRetry time.Duration
 	MaxRetry time.Duration
 }
 
-// DefaultConfig returns the bounds that a node uses.
+// DefaultConfig returns the configuration that a node uses.
 func DefaultConfig() Config {
 	return Config{QueueFactor: 1, MinQueue: 8, MinRetry: time.Second, MaxRetry: 30 * time.Second}
 }
 
-// waiter is one request in the queue.
+// waiter is one queued request. granted receives nil when the request gets a slot, else its refusal.
 type waiter struct {
 	priority state.Priority
 	deadline time.Time
 	granted  chan *Refusal
 }
 
-// Pool holds the places of one model or service at one node; safe for concurrent use.
+// Pool manages the slots of one model or service at one node. It is safe for concurrent use.
 type Pool struct {
 	cfg   Config
 	clock clockwork.Clock
@@ -80,8 +80,8 @@
 	return &Pool{cfg: cfg, clock: clock}
 }
 
-// SetCapacity changes the number of places and lets waiting requests in. With no
-// place left, they are all refused at once.
+// SetCapacity sets the number of slots and admits queued requests to free ones. If n
+// is 0, all queued requests are refused at once.
 func (p *Pool) SetCapacity(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,23 +95,23 @@
 	}
 }
 
-// Capacity returns the number of places.
+// Capacity returns the number of slots.
 func (p *Pool) Capacity() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.capacity
 }
 
-// Held returns the places taken and the requests waiting.
+// Held returns the number of slots in use and of queued requests.
 func (p *Pool) Held() (held, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held, p.waiting(classes)
 }
 
-// Acquire takes a place, waiting in the queue of its priority if need be. The
-// place must be given back by Release. A request that cannot be served before
-// its deadline is refused at once.
+// Acquire takes a slot and waits in the queue of the priority class if none is free.
+// The caller must return the slot with Release. A request that is not expected to
+// start before its deadline is refused at once.
 func (p *Pool) Acquire(ctx context.Context, priority state.Priority, deadline time.Time) error {
 	w, refusal := p.enter(priority, deadline)
 	if refusal != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// asError returns a typed nil as a plain nil.
+// asError converts a nil *Refusal to a nil error.
 func asError(r *Refusal) error {
 	if r == nil {
 		return nil
@@ -140,7 +140,7 @@
 	return r
 }
 
-// enter takes a place at once (nil, nil), queues the request, or refuses it.
+// enter takes a free slot and returns nil, nil, or queues the request, or refuses it.
 func (p *Pool) enter(priority state.Priority, deadline time.Time) (*waiter, *Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +164,8 @@
 	return w, nil
 }
 
-// makeRoom keeps the queue within its bound; a request of a lower class gives way to one of a higher.
+// makeRoom reports whether a request of a priority can be queued. If the queue is full, it
+// evicts the last queued request of the lowest class below that priority. p.mu is held.
 func (p *Pool) makeRoom(priority state.Priority) bool {
 	bound := max(p.cfg.MinQueue, int(p.cfg.QueueFactor*float64(p.capacity)))
 	if p.waiting(classes) < bound {
@@ -180,8 +181,8 @@
 	return false
 }
 
-// dropHopeless refuses at once every request of the classes from first on that
-// can no longer be served in time because of those now ahead of it.
+// dropHopeless refuses the queued requests of class first and below that, with the
+// requests now ahead of them, are expected to miss their deadline. p.mu is held.
 func (p *Pool) dropHopeless(first int) {
 	ahead := p.waiting(first)
 	for class := first; class < classes; class++ {
@@ -199,7 +200,7 @@
 	}
 }
 
-// waiting returns how many requests wait in the classes before end.
+// waiting returns the number of queued requests in the classes before end. p.mu is held.
 func (p *Pool) waiting(end int) int {
 	n := 0
 	for _, q := range p.queues[:end] {
@@ -208,7 +209,8 @@
 	return n
 }
 
-// wait returns the expected time until n places have come free; 0 before the first was given back.
+// wait returns the expected time until n slots have been released, or 0 while the
+// release rate is unknown. p.mu is held.
 func (p *Pool) wait(n int) time.Duration {
 	perSecond := p.rate.perSecond(p.clock.Now())
 	if perSecond <= 0 {
@@ -217,14 +219,14 @@
 	return time.Duration(float64(n) / perSecond * float64(time.Second))
 }
 
-// refusal is refuse for callers that do not hold mu.
+// refusal is refuse for callers that do not hold p.mu.
 func (p *Pool) refusal(code Code) *Refusal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.refuse(code)
 }
 
-// refuse returns a Refusal with the time in which the queue will have drained, jittered.
+// refuse returns a Refusal whose RetryAfter is the expected time to drain the queue, with jitter. p.mu is held.
 func (p *Pool) refuse(code Code) *Refusal {
 	d := min(max(p.wait(p.waiting(classes)+1), p.cfg.MinRetry), p.cfg.MaxRetry)
 	return &Refusal{Code: code, RetryAfter: Jitter(d)}
@@ -235,7 +237,8 @@
 	return d + rand.N(d/2+1)
 }
 
-// leave takes a request out of the queue; a place granted meanwhile is given back.
+// leave removes a request from the queue and returns err. If the request was granted a
+// slot in the meantime, the slot is released.
 func (p *Pool) leave(w *waiter, err error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,7 +255,7 @@
 	return err
 }
 
-// Release gives a place back and lets the next request in.
+// Release returns a slot and admits the next queued request.
 func (p *Pool) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -261,7 +264,7 @@
 	p.grant()
 }
 
-// grant lets waiting requests in, the highest class first, while places are free.
+// grant admits queued requests, highest class first, while slots are free. p.mu is held.
 func (p *Pool) grant() {
 	for p.held < p.capacity {
 		w := p.pop()
@@ -273,7 +276,7 @@
 	}
 }
 
-// pop takes the next request out of the queue, or returns nil.
+// pop removes and returns the next queued request, or nil if there is none. p.mu is held.
 func (p *Pool) pop() *waiter {
 	for class := range p.queues {
 		if q := p.queues[class]; len(q) > 0 {
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -19,7 +19,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// code returns the code of a refusal, or "".
+// code returns the code of err if it is a Refusal, else "".
 func code(err error) admission.Code {
 	var r *admission.Refusal
 	if errors.As(err, &r) {
@@ -28,7 +28,7 @@
 	return ""
 }
 
-// pool returns a pool with places, on a clock that the test drives.
+// pool returns a Pool with the given number of slots and its fake clock.
 func pool(places int) (*admission.Pool, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	p := admission.NewPool(admission.DefaultConfig(), clock)
@@ -36,7 +36,7 @@
 	return p, clock
 }
 
-// acquire starts an acquisition and returns its result channel once it waits or has ended.
+// acquire calls Acquire in a goroutine and returns its result channel once the request is queued or done.
 func acquire(p *admission.Pool, priority state.Priority, deadline time.Time) <-chan error {
 	_, before := p.Held()
 	result := make(chan error, 1)
@@ -50,7 +50,8 @@
 	return result
 }
 
-// TestPlacesAreNeverExceeded draws acquisitions, releases and changes of capacity.
+// TestPlacesAreNeverExceeded guards against slots that leak or are counted twice when acquisitions,
+// cancellations, releases and capacity changes interleave.
 func TestPlacesAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
@@ -90,7 +91,7 @@
 		waiting.Wait()
 		held, left := p.Held()
 		if held != granted || left != 0 {
-			t.Fatalf("the pool counts %d held and %d waiting, the callers hold %d", held, left, granted)
+			t.Fatalf("Held() = %d held, %d waiting; want %d held, 0 waiting", held, left, granted)
 		}
 	})
 }
@@ -126,7 +127,8 @@
 	g.Expect(<-alert).To(Succeed())
 }
 
-// TestTooLateIsRefusedAtOnce holds for a newcomer, and for one that waits when an alert goes ahead of it.
+// TestTooLateIsRefusedAtOnce covers a new request that would miss its deadline, and a queued one
+// that would miss it once an alert is queued ahead of it.
 func TestTooLateIsRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	p, clock := pool(1)
@@ -144,7 +146,8 @@
 	g.Expect(code(<-waits)).To(Equal(admission.CodeTooLate))
 }
 
-// TestRetryAfterGrowsWithTheQueue bounds what a refused caller is told by the rate at which places come free.
+// TestRetryAfterGrowsWithTheQueue checks that RetryAfter follows from the queue length and the
+// release rate: 11 requests at 2 releases a second, plus up to half as much jitter.
 func TestRetryAfterGrowsWithTheQueue(t *testing.T) {
 	g := NewWithT(t)
 	p, clock := pool(10)
--- a/coordination/admission/meter.go
+++ b/coordination/admission/meter.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// meterWindow is the time constant of a meter.
+// meterWindow is the time constant of the exponential decay.
 const meterWindow = 5 * time.Second
 
-// meterWarmup is the time from the first event before which a meter gives no rate.
+// meterWarmup is the minimum time since the first event for a rate to be reported.
 const meterWarmup = 100 * time.Millisecond
 
-// meter estimates a rate of events by an exponentially weighted count.
+// meter estimates an event rate from an exponentially decaying count.
 type meter struct {
 	start time.Time
 	last  time.Time
 	sum   float64
 }
 
-// add counts an event.
+// add records one event.
 func (m *meter) add(now time.Time) {
 	if m.start.IsZero() {
 		m.start, m.last = now, now
@@ -27,7 +27,8 @@
 	m.last = now
 }
 
-// perSecond returns the rate, corrected for the short history of a new meter; 0 while there is none.
+// perSecond returns the rate, corrected for the bias of a new meter whose history is
+// shorter than the window. It returns 0 during warm-up.
 func (m *meter) perSecond(now time.Time) float64 {
 	age := now.Sub(m.start)
 	if m.start.IsZero() || age < meterWarmup {
@@ -36,7 +37,7 @@
 	return m.sum * decay(now.Sub(m.last)) / (meterWindow.Seconds() * (1 - decay(age)))
 }
 
-// decay returns the weight of an event after a time.
+// decay returns the weight of an event of the given age.
 func decay(age time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(meterWindow))
 }
--- a/coordination/admission/teams.go
+++ b/coordination/admission/teams.go
@@ -8,10 +8,11 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// teamShards is the number of independently locked parts of Teams.
+// teamShards is the number of shards of Teams.
 const teamShards = 16
 
-// Teams counts the places that each team holds at this node, in shards under their own locks.
+// Teams counts the slots that each team holds at this node. Each shard has its own lock
+// to reduce contention. The zero value is ready for use.
 type Teams struct {
 	shards [teamShards]struct {
 		mu   sync.Mutex
@@ -19,7 +20,7 @@
 	}
 }
 
-// Acquire takes a place of a team, or reports that its limit at this node is reached.
+// Acquire takes a slot for a team. It reports false if the team already holds limit slots at this node.
 func (t *Teams) Acquire(team state.TeamName, limit int) bool {
 	s := &t.shards[xxhash.Sum64String(string(team))%teamShards]
 	s.mu.Lock()
@@ -34,7 +35,7 @@
 	return true
 }
 
-// Release gives a place of a team back.
+// Release returns a slot of a team.
 func (t *Teams) Release(team state.TeamName) {
 	s := &t.shards[xxhash.Sum64String(string(team))%teamShards]
 	s.mu.Lock()
@@ -42,7 +43,7 @@
 	s.held[team]--
 }
 
-// Held returns the places that a team holds at this node.
+// Held returns the number of slots that a team holds at this node.
 func (t *Teams) Held(team state.TeamName) int {
 	s := &t.shards[xxhash.Sum64String(string(team))%teamShards]
 	s.mu.Lock()
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,23 +1,24 @@
-// Package retry decides whether a failed attempt may be made again.
+// Package retry decides whether a failed attempt may be retried, and bounds retries by budgets.
 package retry
 
 import "sync"
 
-// Outcome is what is certain about one attempt.
+// Outcome is what is known for certain about an attempt's effect on the target.
 type Outcome string
 
 // The outcomes of an attempt.
 const (
-	// NotRun means no byte that could start the work left, or the target itself refused.
+	// NotRun means that the work did not start: no byte that could start it was sent, or
+	// the target refused the request.
 	NotRun Outcome = "not-run"
-	// Unknown means the work may have been done.
+	// Unknown means that the work may have been done.
 	Unknown Outcome = "unknown"
-	// Run means the target answered.
+	// Run means that the target answered.
 	Run Outcome = "run"
 )
 
-// Budget bounds retries to a fraction of the first attempts, so that a failing
-// target is not buried under repeats; safe for concurrent use.
+// Budget is a retry budget: it bounds retries to a fraction of first attempts, so that
+// retries do not overload a failing target. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	ratio  float64
@@ -25,19 +26,19 @@
 	credit float64
 }
 
-// NewBudget returns a Budget that grants ratio retries per first attempt and saves up to most.
+// NewBudget returns a full Budget that earns ratio retries per first attempt and holds at most most.
 func NewBudget(ratio, most float64) *Budget {
 	return &Budget{ratio: ratio, most: most, credit: most}
 }
 
-// Attempt counts a first attempt.
+// Attempt records a first attempt.
 func (b *Budget) Attempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.credit = min(b.most, b.credit+b.ratio)
 }
 
-// Take takes one retry out of the budget, or reports that none is left.
+// Take consumes one retry. It reports false if the budget is exhausted.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,7 +49,8 @@
 	return true
 }
 
-// Allowed reports whether an attempt that ended so may be made again.
+// Allowed reports whether an attempt with outcome o may be retried. Work that may have been
+// done is retried only if it is repeatable.
 func Allowed(o Outcome, repeatable bool) bool {
 	return o == NotRun || (o == Unknown && repeatable)
 }
--- a/coordination/retry/shared.go
+++ b/coordination/retry/shared.go
@@ -7,18 +7,19 @@
 	"github.com/troutmast/troutmast/internal/window"
 )
 
-// Bounds say how many repeats all nodes together may send to one service: in any
-// window, Ratio for each first attempt and Slack beyond.
+// Bounds limits the retries that all nodes together send to one service: in any Window,
+// at most Ratio retries per first attempt plus Slack.
 type Bounds struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// sharedPart is the part of a shared budget that nodes use, since they count apart.
+// sharedPart is the fraction of a shared budget that nodes use. The rest is a margin
+// for the error of nodes that count independently of each other.
 const sharedPart = 0.85
 
-// SharedBudget is one node's part of a budget that all nodes share; safe for concurrent use.
+// SharedBudget is one node's share of a retry budget of all nodes. It is safe for concurrent use.
 type SharedBudget struct {
 	mu       sync.Mutex
 	bounds   Bounds
@@ -27,27 +28,27 @@
 	repeats  window.Counter
 }
 
-// NewSharedBudget returns the part of one of a number of nodes.
+// NewSharedBudget returns the SharedBudget of one of the given number of nodes.
 func NewSharedBudget(b Bounds, nodes int) *SharedBudget {
 	return &SharedBudget{bounds: b, nodes: nodes}
 }
 
-// SetNodes changes the number of nodes that share the budget. While it is not known, which 0
-// says, the node takes no part of the slack: all of it may be in use by others.
+// SetNodes sets the number of nodes that share the budget; 0 means unknown. The node then
+// gets no share of the slack, since other nodes may use all of it.
 func (s *SharedBudget) SetNodes(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nodes = n
 }
 
-// Attempt counts a first attempt.
+// Attempt records a first attempt.
 func (s *SharedBudget) Attempt(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.attempts.Add(now, s.bounds.Window)
 }
 
-// Take takes one repeat out of the budget, or reports that none is left.
+// Take consumes one retry. It reports false if the budget is exhausted.
 func (s *SharedBudget) Take(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/retry/shared_test.go
+++ b/coordination/retry/shared_test.go
@@ -12,14 +12,14 @@
 	"github.com/troutmast/troutmast/coordination/retry"
 )
 
-// moment is when something was counted.
+// moment is a first attempt or a retry that was counted.
 type moment struct {
 	at     time.Time
 	repeat bool
 }
 
-// Whatever the schedule, no window holds more repeats on all nodes than the
-// bounds allow for the first attempts in it and just before it.
+// For any schedule, the retries of all nodes in any window stay within the bounds for the
+// first attempts in that window and just before it.
 func TestNoWindowHoldsMoreRepeatsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := retry.Bounds{
@@ -50,7 +50,8 @@
 	})
 }
 
-// checkWindow checks the window that ends at a time; attempts count from half a second before it.
+// checkWindow checks the window that ends at end. Attempts count from a 20th of the window
+// earlier, the resolution of window.Counter.
 func checkWindow(t *rapid.T, b retry.Bounds, log []moment, end time.Time) {
 	repeats, attempts := 0, 0
 	for _, m := range log {
@@ -64,7 +65,7 @@
 		}
 	}
 	if float64(repeats) > b.Ratio*float64(attempts)+b.Slack {
-		t.Fatalf("%d repeats in a window with %d attempts", repeats, attempts)
+		t.Fatalf("%d retries in a window with %d attempts, more than the bounds allow", repeats, attempts)
 	}
 }
 
