--- a/coordination/cooldown/cooldown.go
+++ b/coordination/cooldown/cooldown.go
@@ -1,9 +1,10 @@
-// Package cooldown keeps until when target instances asked this node to send them
-// nothing. An overloaded instance that turns a request away may ask for such a time;
-// requests sent meanwhile would keep it from recovering.
+// Package cooldown tracks the cooldowns that target instances request from this node. An
+// overloaded instance that rejects a request may ask the node to send it nothing for some
+// time, since further requests would keep it from recovering.
 //
-// A cooldown belongs to one node and one life of one instance. It is no sign that the
-// instance fails or ends: its groups stay, and it is sent requests again afterwards.
+// A cooldown applies to one node and one incarnation of an instance. It does not indicate
+// that the instance fails or shuts down: its groups stay, and it gets requests again when
+// the cooldown ends.
 package cooldown
 
 import (
@@ -17,20 +18,21 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Cooldown is the time for which one life of an instance is sent nothing.
+// Cooldown is a period in which an incarnation of an instance is sent no requests.
 type Cooldown struct {
 	Instance fleet.Incarnation
 	Since    time.Time
 	Until    time.Time
-	// calls is the number of orders and questions so far.
+	// calls is the number of orders and probes sent so far.
 	calls int
 }
 
-// Book keeps the cooldowns of one node; safe for concurrent use. It outlives what the node
-// knows of instances otherwise: a changed entry, another configuration or a cut end none.
+// Book holds the cooldowns of one node. It is safe for concurrent use. It is independent of
+// the node's other state about instances: a changed instance entry, a new configuration or
+// a network partition ends no cooldown.
 type Book struct {
 	policy Policy
-	// active is the number of cooldowns kept, so that a node without any takes no lock.
+	// active is the number of cooldowns held. Methods skip the lock while it is 0.
 	active atomic.Int64
 	mu     sync.RWMutex
 	lives  map[state.InstanceID][]*Cooldown
@@ -41,15 +43,15 @@
 	return &Book{policy: policy, lives: map[state.InstanceID][]*Cooldown{}}
 }
 
-// same reports whether two names may be of one life: a process that does not tell its
-// lives apart, or did not yet, is taken to live on.
+// same reports whether a and b may be the same incarnation. An unknown start matches any:
+// an instance that reports no start, or has not done so yet, counts as not restarted.
 func same(a, b fleet.Incarnation) bool {
 	return a.ID == b.ID && (a.Life == b.Life || a.Life == "" || b.Life == "")
 }
 
-// Ask records that an instance asked for a cooldown from now on, and returns until when it
-// lasts and whether it has just begun. A further request makes it longer, never shorter:
-// answers may overtake each other, and each was given for the load that its instance saw.
+// Ask records that an instance asked for a cooldown of d from now. It returns the end of the
+// cooldown and whether it is new. A further request extends a cooldown and never shortens
+// it: answers can arrive out of order, and each reflects the load that the instance saw.
 func (b *Book) Ask(in fleet.Incarnation, d time.Duration, now time.Time) (until time.Time, began bool) {
 	until = now.Add(min(d, b.policy.Max))
 	b.mu.Lock()
@@ -72,7 +74,7 @@
 	return until, true
 }
 
-// Until returns until when an instance is sent nothing, and whether it is in a cooldown at all.
+// Until returns the end of the instance's cooldown, and whether it is in one.
 func (b *Book) Until(in fleet.Incarnation, now time.Time) (time.Time, bool) {
 	if b.active.Load() == 0 {
 		return time.Time{}, false
@@ -86,7 +88,7 @@
 	return c.Until, true
 }
 
-// find returns the cooldown that an instance is in, or nil. b.mu is held.
+// find returns the cooldown in effect for an instance, or nil. b.mu is held.
 func (b *Book) find(in fleet.Incarnation, now time.Time) *Cooldown {
 	for _, c := range b.lives[in.ID] {
 		if same(c.Instance, in) && now.Before(c.Until) {
@@ -96,15 +98,15 @@
 	return nil
 }
 
-// Order counts an order to an instance. Orders are few and do not wait: what a group is
-// changed for does not wait either.
+// Order records an order to an instance. Orders are never delayed: they are few, and the
+// group changes that need them cannot wait.
 func (b *Book) Order(in fleet.Incarnation, now time.Time) { b.call(in, now, true) }
 
-// Question counts a question to an instance unless it should wait for the end of a
-// cooldown, and reports whether it may be asked.
+// Question reports whether a probe may be sent to an instance, and records it if so. Within
+// a cooldown, probes are held back after Policy.Calls orders and probes.
 func (b *Book) Question(in fleet.Incarnation, now time.Time) bool { return b.call(in, now, false) }
 
-// call counts an order or a question and reports whether it may be sent.
+// call records an order or a probe and reports whether it may be sent. If always is set, it may.
 func (b *Book) call(in fleet.Incarnation, now time.Time, always bool) bool {
 	if b.active.Load() == 0 {
 		return true
@@ -122,17 +124,18 @@
 	return true
 }
 
-// Sweep forgets the cooldowns that have ended and returns them, by instance.
+// Sweep removes the cooldowns that have ended and returns them, sorted by instance ID.
 func (b *Book) Sweep(now time.Time) []Cooldown {
 	return b.collect(func(c *Cooldown) bool { return !now.Before(c.Until) }, true)
 }
 
-// List returns the cooldowns at a time, by instance.
+// List returns the cooldowns in effect, sorted by instance ID.
 func (b *Book) List(now time.Time) []Cooldown {
 	return b.collect(func(c *Cooldown) bool { return now.Before(c.Until) }, false)
 }
 
-// collect returns the cooldowns for which a function holds, and forgets them if wanted.
+// collect returns the cooldowns for which wanted holds, sorted by instance ID, and removes
+// them if forget is set.
 func (b *Book) collect(wanted func(*Cooldown) bool, forget bool) []Cooldown {
 	if b.active.Load() == 0 {
 		return nil
--- a/coordination/cooldown/cooldown_test.go
+++ b/coordination/cooldown/cooldown_test.go
@@ -12,7 +12,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Lives of one instance, of which one does not tell its start, and another instance.
+// Incarnations of one instance, one of them without a known start, and another instance.
 var (
 	start   = time.Unix(1000, 0)
 	untold  = fleet.Incarnation{ID: "i1"}
@@ -21,7 +21,7 @@
 	another = fleet.Incarnation{ID: "i2", Life: "1000"}
 )
 
-// after returns a time of the tests.
+// after returns the time d after the start of a test.
 func after(d time.Duration) time.Time { return start.Add(d) }
 
 func TestACooldownBelongsToOneLifeOfOneInstance(t *testing.T) {
@@ -30,12 +30,12 @@
 		asked, of fleet.Incarnation
 		cooling   bool
 	}{
-		{"the same life", first, first, true},
-		{"a later life", first, second, false},
-		{"an earlier life", second, first, false},
+		{"the same incarnation", first, first, true},
+		{"a later incarnation", first, second, false},
+		{"an earlier incarnation", second, first, false},
 		{"another instance", first, another, false},
-		{"a life whose start was not known yet", untold, first, true},
-		{"a life whose start is no longer told", first, untold, true},
+		{"an incarnation whose start was not known yet", untold, first, true},
+		{"an incarnation whose start is no longer reported", first, untold, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := cooldown.NewBook(cooldown.DefaultPolicy())
@@ -54,10 +54,10 @@
 		ends time.Duration
 	}{
 		{"one request", []ask{{0, 3 * time.Second}}, 3 * time.Second},
-		{"a longer one later", []ask{{0, 3 * time.Second}, {time.Second, 3 * time.Second}}, 4 * time.Second},
-		{"a shorter one later", []ask{{0, 3 * time.Second}, {time.Second, time.Second}}, 3 * time.Second},
-		{"far too long a one", []ask{{0, 1e6 * time.Second}}, cooldown.DefaultPolicy().Max},
-		{"another one after its end", []ask{{0, time.Second}, {2 * time.Second, time.Second}}, 3 * time.Second},
+		{"a later request that ends later", []ask{{0, 3 * time.Second}, {time.Second, 3 * time.Second}}, 4 * time.Second},
+		{"a later request that ends earlier", []ask{{0, 3 * time.Second}, {time.Second, time.Second}}, 3 * time.Second},
+		{"a request above the maximum", []ask{{0, 1e6 * time.Second}}, cooldown.DefaultPolicy().Max},
+		{"a request after the end", []ask{{0, time.Second}, {2 * time.Second, time.Second}}, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -85,7 +85,7 @@
 	b.Order(first, start)
 	g.Expect(b.Question(first, start)).To(BeFalse())
 	g.Expect(b.Question(another, start)).To(BeTrue())
-	b.Ask(first, 3*time.Second, after(time.Second)) // the same cooldown, longer
+	b.Ask(first, 3*time.Second, after(time.Second)) // extends the same cooldown
 	g.Expect(b.Question(first, after(time.Second))).To(BeFalse())
 	g.Expect(b.Question(first, after(4*time.Second))).To(BeTrue())
 	b.Ask(first, time.Second, after(5*time.Second))
@@ -108,8 +108,8 @@
 	g.Expect(b.List(after(time.Second))).To(HaveLen(1))
 }
 
-// Over drawn histories an instance is sent nothing for as long as any of its requests
-// says, but for the longest cooldown, and not for longer.
+// For random sequences of requests, a cooldown ends exactly when the last-ending request
+// does, with each request capped at Policy.Max.
 func TestDrawnCooldownsEndWithTheLastRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := cooldown.DefaultPolicy()
--- a/coordination/cooldown/history_test.go
+++ b/coordination/cooldown/history_test.go
@@ -15,22 +15,22 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Histories of nodes before instances of a plain service, of which some shed for a while or
-// all are overloaded, to compare ways of heeding cooldowns. Each node picks with its own
-// dispatch.Table and Book; time is simulated.
+// Simulations of nodes that send requests to instances of a plain service, to compare ways
+// of applying cooldowns. Some instances shed load for a while, or all are overloaded. Each
+// node picks instances with its own dispatch.Table and Book. Time is simulated.
 
-// heeding is a way of heeding cooldowns.
+// heeding is a way of applying cooldowns.
 type heeding struct {
 	name string
-	// off ignores them, shared has all nodes heed what one was asked for.
+	// off ignores cooldowns. shared applies a cooldown requested from one node at all nodes.
 	off, shared bool
-	// jitter lengthens each by up to this part.
+	// jitter lengthens each cooldown by up to this fraction.
 	jitter float64
-	// probing sends one request at a time until one is answered after a cooldown.
+	// probing sends one request at a time after a cooldown until one is answered.
 	probing bool
 }
 
-// shape is a deployment and what happens to it.
+// shape is a deployment, its load and its faults.
 type shape struct {
 	name                 string
 	nodeCount, instances int
@@ -44,7 +44,7 @@
 	length               time.Duration
 }
 
-// history is one run.
+// history is the state of one simulation.
 type history struct {
 	shape
 	heeding
@@ -53,22 +53,24 @@
 	events events
 	nodes  []*historyNode
 	ins    []*historyInstance
-	// sent counts arrivals at instances, turned those turned away, served and refused requests.
+	// sent counts the requests that reached an instance and turned those that it rejected.
+	// served and refused count the outcomes for callers.
 	sent, turned, served, refused int
-	// waited is the time that served requests took.
+	// waited is the total latency of served requests.
 	waited time.Duration
 }
 
-// historyNode is a node of a history.
+// historyNode is a simulated node.
 type historyNode struct {
 	table *dispatch.Table
 	book  *cooldown.Book
-	// probe are instances whose cooldown has ended and that have answered nothing since: whether a request is under way.
+	// probe has an entry for each instance that has answered nothing since it asked for a
+	// cooldown: whether a request after the cooldown is in flight.
 	probe map[state.InstanceID]bool
 	holds map[state.InstanceID]int
 }
 
-// historyInstance is an instance of a history.
+// historyInstance is a simulated instance.
 type historyInstance struct {
 	fleet.Instance
 	sheds            bool
@@ -76,13 +78,13 @@
 	queue            []func()
 }
 
-// event is something that happens at a time.
+// event is a function scheduled for a time.
 type event struct {
 	at time.Time
 	do func()
 }
 
-// events is a heap of events by time.
+// events is a heap of events ordered by time.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -96,17 +98,17 @@
 	return x
 }
 
-// in has something happen after a time.
+// in schedules do to run after d.
 func (h *history) in(d time.Duration, do func()) { heap.Push(&h.events, event{h.now.Add(d), do}) }
 
-// Times of the histories.
+// Parameters of the simulations.
 const (
 	hop          = 2 * time.Millisecond
 	reportsEvery = 250 * time.Millisecond
 	mostSends    = 4
 )
 
-// runHistory plays a history.
+// runHistory runs a simulation.
 func runHistory(s shape, w heeding, seed uint64) *history {
 	h := &history{shape: s, heeding: w, rng: rand.New(rand.NewPCG(seed, 1)), now: start}
 	var views []roster.View
@@ -149,7 +151,7 @@
 	h.send(h.nodes[h.rng.IntN(len(h.nodes))], nil, h.now, 0)
 }
 
-// report tells all nodes what the others hold.
+// report updates every node with the requests that the other nodes have in flight.
 func (h *history) report() {
 	h.in(reportsEvery, h.report)
 	all := map[state.InstanceID]int{}
@@ -167,13 +169,13 @@
 	}
 }
 
-// closed reports whether a node sends nothing to an instance now.
+// closed reports whether a node currently sends no requests to an instance.
 func (h *history) closed(n *historyNode, id state.InstanceID) bool {
 	_, cooling := n.book.Until(fleet.Incarnation{ID: id}, h.now)
 	return cooling || h.probing && n.probe[id]
 }
 
-// send has a node send a request to the next instance, or refuse it.
+// send sends a request from a node to the next instance, or refuses it.
 func (h *history) send(n *historyNode, tried []state.InstanceID, arrived time.Time, sends int) {
 	c := n.table.Pick("plain", "", h.now, func(c *dispatch.Candidate) bool {
 		for _, id := range tried {
@@ -200,7 +202,7 @@
 	}
 }
 
-// reach has a request arrive at an instance.
+// reach handles the arrival of a request at an instance.
 func (h *history) reach(n *historyNode, in *historyInstance, tried []state.InstanceID, arrived time.Time, sends int, done func()) {
 	h.sent++
 	at := h.now.Sub(start)
@@ -222,7 +224,7 @@
 	run()
 }
 
-// run works on a request and takes up the next that waits.
+// run serves a request and then starts the next queued one.
 func (h *history) run(n *historyNode, in *historyInstance, arrived time.Time, done func()) {
 	in.running++
 	h.in(time.Duration((0.5+h.rng.Float64())*float64(h.work)), func() {
@@ -242,7 +244,7 @@
 	})
 }
 
-// ask has an instance ask a node, or all nodes, for a cooldown.
+// ask requests a cooldown for an instance at a node, and at all nodes if cooldowns are shared.
 func (h *history) ask(n *historyNode, in *historyInstance) {
 	if h.off {
 		return
@@ -263,9 +265,11 @@
 	})
 }
 
-// ways are the ways that are compared. Mean of 8 runs each, requests served of about 6,000 that
-// come at one and a half times the capacity for 5 s: 5,250 with cooldowns ignored, 4,314 heeded by
-// the node that was asked, 4,386 with a jitter, 4,276 with one request first, 772 heeded by all nodes.
+// ways are the ways of applying cooldowns that are compared. Cooldowns shared by all nodes lose
+// most requests under overload. Of about 6,000 requests that arrive at 1.5 times the capacity
+// for 5 s, the mean number served over 8 runs each is 5,250 with cooldowns ignored, 4,314 with
+// cooldowns at the node that was asked, 4,386 with jitter, 4,276 with one request first, and
+// 772 with cooldowns at all nodes.
 var ways = []heeding{
 	{name: "ignored", off: true},
 	{name: "own node", jitter: 0},
@@ -274,8 +278,8 @@
 	{name: "all nodes", shared: true},
 }
 
-// shapes are the deployments of the histories: 9 nodes before instances with 6 places and 4
-// in the queue, which ask for 3 s.
+// shapes are the simulated deployments. Unless the name says otherwise, 9 nodes send to
+// instances that have 6 slots and a queue of 4 and ask for cooldowns of 3 s.
 var shapes = []shape{
 	{
 		name: "one of three sheds for 8 s", nodeCount: 9, instances: 3, slots: 6, queue: 4, work: 60 * time.Millisecond, asked: 3 * time.Second,
--- a/coordination/cooldown/policy.go
+++ b/coordination/cooldown/policy.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Policy bounds what instances may ask of a node.
+// Policy bounds the cooldowns that instances may request.
 type Policy struct {
-	// Max is the longest cooldown that an instance gets: a wrong figure must not take it out
-	// of use for days. It is far above the seconds that instances ask for.
-	Max time.Duration `flag:"max" help:"longest cooldown that an instance gets" min:"1s" max:"24h"`
-	// Calls is how many orders and questions may reach an instance in one cooldown before
-	// questions wait for its end: as many as show that it no longer answers.
-	Calls int `flag:"calls" help:"orders and questions in a cooldown after which questions wait" min:"0" max:"100"`
+	// Max bounds the length of a cooldown, so that a wrong value does not take an instance out
+	// of service for days. It is far above the seconds that instances ask for.
+	Max time.Duration `flag:"max" help:"maximum length of a cooldown" min:"1s" max:"24h"`
+	// Calls is the number of orders and probes in one cooldown after which probes wait for its
+	// end. That many calls suffice to detect that an instance no longer answers.
+	Calls int `flag:"calls" help:"number of orders and probes in a cooldown after which probes wait for its end" min:"0" max:"100"`
 }
 
-// DefaultPolicy returns the policy that nodes start with.
+// DefaultPolicy returns the default policy of a node.
 func DefaultPolicy() Policy {
 	return Policy{Max: 10 * time.Minute, Calls: 2}
 }
--- a/coordination/ratelimit/book.go
+++ b/coordination/ratelimit/book.go
@@ -12,12 +12,13 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Book keeps the limits that one node knows of; safe for concurrent use. It outlives what the
-// node knows of instances otherwise: a changed entry, another configuration or a cut end none.
+// Book holds the rate limits known to one node. It is safe for concurrent use. It is
+// independent of the node's other state about instances: a changed instance entry, a new
+// configuration or a network partition ends no limit.
 type Book struct {
 	policy Policy
-	// active is the number of limits in force, known that of all kept, so that a node without
-	// any takes no lock.
+	// active is the number of limits in force, known the number of all entries. Methods skip
+	// the lock while the count they depend on is 0.
 	active atomic.Int64
 	known  atomic.Int64
 
@@ -25,23 +26,24 @@
 	version uint64
 	entries map[state.InstanceID]*entry
 	sends   map[state.InstanceID]*window.Counter
-	// swept is when the counts in sends were last looked through.
+	// swept is when empty counters were last removed from sends.
 	swept time.Time
 }
 
-// entry is what is known of one instance's limit.
+// entry is the state of one instance's limit.
 type entry struct {
 	Limit
-	// stamp is the book's version at the last change.
+	// stamp is the version of the Book at the last change.
 	stamp uint64
-	// toldAt is when the instance told this node of the last change; zero if another node did.
+	// toldAt is when the instance announced the last change to this node. It is zero if the
+	// change came from another node.
 	toldAt time.Time
-	// grants are until when each of the requests that may be sent must have left, the first to end first.
+	// grants holds the expiry time of each unused grant, earliest first. A request must be sent before it.
 	grants []time.Time
-	// lapsed counts the grants that were not used in time, the last one until lapsedAt.
+	// lapsed is the number of grants that expired unused, the last of them at lapsedAt.
 	lapsed   int
 	lapsedAt time.Time
-	// questioned is when the instance was last asked a question.
+	// questioned is when the last probe was sent to the instance.
 	questioned time.Time
 }
 
@@ -50,7 +52,8 @@
 	return &Book{policy: policy, entries: map[state.InstanceID]*entry{}, sends: map[state.InstanceID]*window.Counter{}}
 }
 
-// Observe records what an answer to this node said, which was asked for at a time and came at another.
+// Observe records the limit stated in an answer to this node. asked is when the request was
+// sent, answered when its answer arrived.
 func (b *Book) Observe(in fleet.Incarnation, said fleet.RateLimit, asked, answered time.Time) Change {
 	if !said.Said || !said.Limited && b.known.Load() == 0 {
 		return Unchanged
@@ -67,14 +70,14 @@
 	return change
 }
 
-// Merge records what another node knows of a limit.
+// Merge records a limit known to another node.
 func (b *Book) Merge(l Limit, now time.Time) Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.record(l, now)
 }
 
-// record puts a limit in force unless what is known holds over it. b.mu is held.
+// record updates the entry of an instance unless the known limit takes precedence over l. b.mu is held.
 func (b *Book) record(l Limit, now time.Time) Change {
 	e := b.entries[l.Instance.ID]
 	switch {
@@ -97,13 +100,13 @@
 	b.active.Add(inForce(&l) - inForce(&before))
 	e.Limit, e.toldAt = l, time.Time{}
 	if change != Changed || l.stricter(&before) {
-		e.grants = nil // made by a rate that no longer holds
+		e.grants = nil // issued for a rate that no longer applies
 	}
 	b.stamp(e)
 	return change
 }
 
-// begin records the first limit that is known of a life of an instance. b.mu is held.
+// begin records the first known limit of an incarnation of an instance. b.mu is held.
 func (b *Book) begin(l Limit, now time.Time) Change {
 	before := b.entries[l.Instance.ID]
 	if before != nil {
@@ -125,13 +128,13 @@
 	return Unchanged
 }
 
-// stamp notes that an entry has changed. b.mu is held.
+// stamp marks an entry as changed. b.mu is held.
 func (b *Book) stamp(e *entry) {
 	b.version++
 	e.stamp = b.version
 }
 
-// inForce returns 1 for a limit in force, else 0.
+// inForce returns 1 if l is in force, else 0.
 func inForce(l *Limit) int64 {
 	if l.Ended {
 		return 0
@@ -139,7 +142,7 @@
 	return 1
 }
 
-// find returns the entry of a life of an instance, or nil. b.mu is held.
+// find returns the entry of an incarnation of an instance, or nil. b.mu is held.
 func (b *Book) find(in fleet.Incarnation) *entry {
 	e := b.entries[in.ID]
 	if e == nil || e.Instance.LaterThan(in) || in.LaterThan(e.Instance) {
@@ -148,7 +151,7 @@
 	return e
 }
 
-// limited returns the entry of a life of an instance whose limit is in force, or nil. b.mu is held.
+// limited returns the entry of an incarnation if its limit is in force, else nil. b.mu is held.
 func (b *Book) limited(in fleet.Incarnation) *entry {
 	if e := b.find(in); e != nil && !e.Ended {
 		return e
@@ -156,7 +159,8 @@
 	return nil
 }
 
-// Limited returns the limit of a life of an instance, in requests a second, and whether it has one.
+// Limited returns the limit of an incarnation of an instance, in requests a second, and
+// whether it has one.
 func (b *Book) Limited(in fleet.Incarnation) (perSecond float64, limited bool) {
 	if !b.Any() {
 		return 0, false
@@ -173,7 +177,7 @@
 // Any reports whether any limit is in force.
 func (b *Book) Any() bool { return b.active.Load() > 0 }
 
-// InForce returns the limits in force, by instance.
+// InForce returns the limits in force, sorted by instance ID.
 func (b *Book) InForce() []Limit {
 	if !b.Any() {
 		return nil
@@ -181,7 +185,8 @@
 	return b.list(func(e *entry) bool { return !e.Ended })
 }
 
-// ToldLately returns the limits, in force or ended, of which an instance told this node lately.
+// ToldLately returns the limits, in force or ended, whose last change an instance announced to
+// this node within Policy.ReportFor, sorted by instance ID.
 func (b *Book) ToldLately(now time.Time) []Limit {
 	if b.known.Load() == 0 {
 		return nil
@@ -189,23 +194,23 @@
 	return b.list(func(e *entry) bool { return !e.toldAt.IsZero() && now.Sub(e.toldAt) < b.policy.ReportFor })
 }
 
-// Since returns the limits that have changed after a version, and the version now.
+// Since returns the limits that changed after a version, sorted by instance ID, and the current version.
 func (b *Book) Since(after uint64) ([]Limit, uint64) {
-	version := b.now() // read first: what changes meanwhile is told once more
+	version := b.now() // read before the list, so that a concurrent change is returned again rather than lost
 	if b.known.Load() == 0 {
 		return nil, version
 	}
 	return b.list(func(e *entry) bool { return e.stamp > after }), version
 }
 
-// now returns the book's version.
+// now returns the current version of the Book.
 func (b *Book) now() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.version
 }
 
-// list returns the limits for which a function holds, by instance.
+// list returns the limits whose entries satisfy wanted, sorted by instance ID.
 func (b *Book) list(wanted func(*entry) bool) []Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -219,8 +224,8 @@
 	return list
 }
 
-// Sweep forgets limits that ended long ago, those of lives that are no longer known, and the
-// counts of what was sent before the window.
+// Sweep removes the limits that ended more than Policy.EndedFor ago, those of incarnations for
+// which known reports false, and the counters without a call within the window.
 func (b *Book) Sweep(now time.Time, known func(fleet.Incarnation) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -233,7 +238,7 @@
 		delete(b.entries, id)
 	}
 	if now.Sub(b.swept) < b.policy.Window {
-		return // the counts of thousands of instances need no look at each call
+		return // there may be thousands of counters: check them once per window
 	}
 	b.swept = now
 	for id, c := range b.sends {
--- a/coordination/ratelimit/book_test.go
+++ b/coordination/ratelimit/book_test.go
@@ -12,28 +12,28 @@
 )
 
 var (
-	// start is a boundary of the parts of a window, so that a test counts the same in each run.
+	// start is aligned to the parts of a window.Counter, so that counts are the same in each run.
 	start = aligned(time.Unix(1000, 0))
 	one   = fleet.Incarnation{ID: "i", Life: "5000"}
 )
 
-// aligned returns the last boundary of the parts of a window before a time.
+// aligned returns t rounded down to a multiple of the window on the steady clock.
 func aligned(t time.Time) time.Time {
 	return t.Add(-time.Duration(steady.Nanos(t)) % DefaultPolicy().Window)
 }
 
-// at returns a number of milliseconds after the start of a test.
+// at returns the time ms milliseconds after the start of a test.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// limitedBook returns a book that knows of one limit since the start.
+// limitedBook returns a Book with one limit, announced at start.
 func limitedBook(perSecond float64) *Book {
 	b := NewBook(DefaultPolicy())
 	b.Observe(one, fleet.LimitedTo(perSecond), start, start)
 	return b
 }
 
-// Answers overtake each other: the head of a stream was written before a later answer that
-// came first. Where either may be the newer one, the lower limit holds.
+// Answers can arrive out of order: the head of a stream may be written before another answer
+// and arrive after it. If either may be the newer one, the lower limit applies.
 func TestAnswersThatOvertakeEachOther(t *testing.T) {
 	type answer struct {
 		said            fleet.RateLimit
@@ -43,21 +43,21 @@
 	for _, c := range []struct {
 		name    string
 		answers []answer
-		want    float64 // below 0 is none
+		want    float64 // negative for no limit
 	}{
 		{"named", []answer{{fleet.LimitedTo(2), 0, 10}}, 2},
-		{"the same again", []answer{{fleet.LimitedTo(2), 0, 10}, {fleet.LimitedTo(2), 20, 30}}, 2},
+		{"named again", []answer{{fleet.LimitedTo(2), 0, 10}, {fleet.LimitedTo(2), 20, 30}}, 2},
 		{"lower, later", []answer{{fleet.LimitedTo(2), 0, 10}, {fleet.LimitedTo(1), 20, 30}}, 1},
-		{"lower, perhaps earlier", []answer{{fleet.LimitedTo(2), 0, 20}, {fleet.LimitedTo(1), 10, 30}}, 1},
+		{"lower, possibly earlier", []answer{{fleet.LimitedTo(2), 0, 20}, {fleet.LimitedTo(1), 10, 30}}, 1},
 		{"lower, certainly earlier", []answer{{fleet.LimitedTo(2), 50, 60}, {fleet.LimitedTo(1), 0, 40}}, 2},
 		{"higher, later", []answer{{fleet.LimitedTo(2), 0, 10}, {fleet.LimitedTo(3), 20, 30}}, 3},
-		{"higher, perhaps earlier", []answer{{fleet.LimitedTo(2), 0, 20}, {fleet.LimitedTo(3), 10, 30}}, 2},
+		{"higher, possibly earlier", []answer{{fleet.LimitedTo(2), 0, 20}, {fleet.LimitedTo(3), 10, 30}}, 2},
 		{"ended", []answer{{fleet.LimitedTo(2), 0, 10}, {none, 20, 30}}, -1},
-		{"ended, perhaps earlier", []answer{{fleet.LimitedTo(2), 0, 20}, {none, 10, 30}}, 2},
-		{"named again since", []answer{{fleet.LimitedTo(2), 0, 10}, {fleet.LimitedTo(2), 40, 50}, {none, 20, 60}}, 2},
-		{"a late answer from before the end", []answer{{fleet.LimitedTo(2), 0, 10}, {none, 50, 60}, {fleet.LimitedTo(2), 5, 40}}, -1},
+		{"ended, possibly earlier", []answer{{fleet.LimitedTo(2), 0, 20}, {none, 10, 30}}, 2},
+		{"named again before a late end", []answer{{fleet.LimitedTo(2), 0, 10}, {fleet.LimitedTo(2), 40, 50}, {none, 20, 60}}, 2},
+		{"late answer from before the end", []answer{{fleet.LimitedTo(2), 0, 10}, {none, 50, 60}, {fleet.LimitedTo(2), 5, 40}}, -1},
 		{"named again after the end", []answer{{fleet.LimitedTo(2), 0, 10}, {none, 50, 60}, {fleet.LimitedTo(2), 55, 70}}, 2},
-		{"nothing said", []answer{{fleet.LimitedTo(2), 0, 10}, {fleet.RateLimit{}, 20, 30}}, 2},
+		{"no readable answer", []answer{{fleet.LimitedTo(2), 0, 10}, {fleet.RateLimit{}, 20, 30}}, 2},
 		{"never named", []answer{{none, 0, 10}}, -1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,12 +87,12 @@
 		name, known, asked string
 		limited            bool
 	}{
-		{"the same", "5000", "5000", true},
-		{"a later one", "5000", "6000", false},
-		{"an earlier one", "5000", "4000", false},
-		{"a much later one", "5000", "10000", false},
-		{"one that tells no start", "5000", "", true},
-		{"of a process that tells none", "", "5000", true},
+		{"the same incarnation", "5000", "5000", true},
+		{"a later incarnation", "5000", "6000", false},
+		{"an earlier incarnation", "5000", "4000", false},
+		{"a later incarnation with a longer start", "5000", "10000", false},
+		{"an incarnation without a known start", "5000", "", true},
+		{"limit of an incarnation without a known start", "", "5000", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -113,8 +113,8 @@
 	b.Granted([]Grant{{"i", 3}}, at(1000))
 	g.Expect(b.Observe(later, fleet.Unlimited(), at(5), at(6))).To(Equal(Unchanged))
 	g.Expect(b.Observe(later, fleet.LimitedTo(1), at(10), at(20))).To(Equal(Began))
-	g.Expect(b.Open(later, at(21))).To(BeFalse(), "the grants were for the earlier life")
-	g.Expect(b.Observe(one, fleet.LimitedTo(9), at(30), at(40))).To(Equal(Unchanged), "a late answer of the earlier life")
+	g.Expect(b.Open(later, at(21))).To(BeFalse(), "the grants were for the earlier incarnation")
+	g.Expect(b.Observe(one, fleet.LimitedTo(9), at(30), at(40))).To(Equal(Unchanged), "a late answer of the earlier incarnation")
 	perSecond, _ := b.Limited(later)
 	g.Expect(perSecond).To(Equal(1.0))
 }
@@ -126,10 +126,10 @@
 		want int
 	}{
 		{"used", func(*Book) {}, 2},
-		{"too late", func(b *Book) { b.Open(one, at(500)) }, 0},
-		{"the limit fell", func(b *Book) { b.Observe(one, fleet.LimitedTo(1), at(10), at(20)) }, 0},
-		{"the limit rose", func(b *Book) { b.Observe(one, fleet.LimitedTo(3), at(10), at(20)) }, 2},
-		{"the limit ended and began again", func(b *Book) {
+		{"expired", func(b *Book) { b.Open(one, at(500)) }, 0},
+		{"lower limit", func(b *Book) { b.Observe(one, fleet.LimitedTo(1), at(10), at(20)) }, 0},
+		{"higher limit", func(b *Book) { b.Observe(one, fleet.LimitedTo(3), at(10), at(20)) }, 2},
+		{"limit ended and began again", func(b *Book) {
 			b.Observe(one, fleet.Unlimited(), at(10), at(20))
 			b.Observe(one, fleet.LimitedTo(2), at(30), at(40))
 		}, 0},
@@ -151,7 +151,7 @@
 	}
 }
 
-// What was sent before a limit was known counts for the window, questions and orders too.
+// Calls sent before a limit is known count within the window, as do probes and orders.
 func TestUsageCountsAllCallsWithinTheWindow(t *testing.T) {
 	g := NewWithT(t)
 	b := NewBook(DefaultPolicy())
@@ -167,7 +167,7 @@
 	g.Expect(b.Send(one, at(60))).To(BeTrue())
 	g.Expect(b.Usage(at(100))).To(Equal(map[state.InstanceID]Usage{"i": {Sent: 6, Waiting: 1}}))
 	g.Expect(b.Usage(at(1500))).To(Equal(map[state.InstanceID]Usage{"i": {Sent: 6, Lapsed: 1}}))
-	g.Expect(b.Usage(at(10000))).To(BeEmpty(), "nothing lately: not worth telling")
+	g.Expect(b.Usage(at(10000))).To(BeEmpty(), "no calls or grants within the window")
 }
 
 func TestQuestionsTakeAPartOfTheLimit(t *testing.T) {
@@ -175,14 +175,14 @@
 		name      string
 		perSecond float64
 		by        Asker
-		want      time.Duration // between two questions; 0 is none allowed
+		want      time.Duration // minimum time between two probes; 0 if a probe needs a grant
 	}{
-		{"an eighth", 2, Asker{Leading: true}, 4 * time.Second},
+		{"an eighth of the limit", 2, Asker{Leading: true}, 4 * time.Second},
 		{"a high limit", 100, Asker{Leading: true}, 2 * time.Second},
-		{"a low one", 0.1, Asker{Leading: true}, 4 * time.Second},
-		{"none wanted", 0, Asker{Leading: true}, 4 * time.Second},
-		{"it does not answer", 2, Asker{Leading: true, Failing: true}, time.Second},
-		{"by a node that does not lead", 100, Asker{}, 0},
+		{"a low limit", 0.1, Asker{Leading: true}, 4 * time.Second},
+		{"a limit of zero", 0, Asker{Leading: true}, 4 * time.Second},
+		{"an instance that does not answer", 2, Asker{Leading: true, Failing: true}, time.Second},
+		{"a node that is not the leader", 100, Asker{}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -191,7 +191,7 @@
 				g.Expect(b.Question(one, c.by, at(1))).To(BeFalse())
 				b.Granted([]Grant{{"i", 1}}, at(1000))
 				g.Expect(b.MayQuestion(one, c.by, at(2))).To(BeTrue())
-				g.Expect(b.Question(one, c.by, at(2))).To(BeTrue(), "by a grant")
+				g.Expect(b.Question(one, c.by, at(2))).To(BeTrue(), "the grant allows one probe")
 				g.Expect(b.Question(one, c.by, at(3))).To(BeFalse())
 				return
 			}
@@ -219,9 +219,9 @@
 	g.Expect(n).To(Equal(1))
 	b.Observe(one, fleet.LimitedTo(2), at(10), at(20))
 	n, version = tell(version, at(21))
-	g.Expect(n).To(BeZero(), "it says the same")
+	g.Expect(n).To(BeZero(), "the limit is unchanged")
 	g.Expect(b.ToldLately(at(30))).To(HaveLen(1))
-	g.Expect(other.ToldLately(at(30))).To(BeEmpty(), "it was told by another node")
+	g.Expect(other.ToldLately(at(30))).To(BeEmpty(), "the change came from another node")
 	b.Observe(one, fleet.Unlimited(), at(40), at(50))
 	n, _ = tell(version, at(60))
 	g.Expect(n).To(Equal(1))
@@ -238,8 +238,8 @@
 		want  int
 	}{
 		{"in force", false, time.Hour, true, 1},
-		{"of an instance that is gone", false, time.Second, false, 0},
-		{"ended just now", true, time.Second, true, 1},
+		{"incarnation is not known", false, time.Second, false, 0},
+		{"ended recently", true, time.Second, true, 1},
 		{"ended long ago", true, time.Hour, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/coordination/ratelimit/dealer.go
+++ b/coordination/ratelimit/dealer.go
@@ -7,29 +7,30 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Node is one of the nodes that a Dealer deals to.
+// Node is a node to which a Dealer issues grants.
 type Node struct {
 	Name string
-	// Usage is what the node made of each instance's rate, by its last status report.
+	// Usage is the node's use of each instance's rate, from its last status report.
 	Usage map[state.InstanceID]Usage
 }
 
-// Round is what a Dealer deals by.
+// Round is the input of one round of issuing grants.
 type Round struct {
 	// Limits are the limits in force.
 	Limits []Limit
-	// Nodes are those that are dealt to, Part which part they are of all nodes that may send,
-	// also unheard.
+	// Nodes are the nodes that get grants. Part is their fraction of all nodes that may send
+	// requests, including those that this node cannot reach.
 	Nodes []Node
 	Part  float64
-	// Weight is what a node can use of an instance's rate, against the other nodes.
+	// Weight returns how much of an instance's rate a node can use, relative to the other nodes.
 	Weight func(node string, l *Limit) float64
 }
 
-// Dealer divides the rates of limited instances over nodes, one request at a time: shares of
-// a rate would leave a node of 85 one request in 38 s, and all of them that one at once. Each
-// request is dealt to a node drawn by what it can use, and dealt again if the node did not
-// use it in time. Safe for concurrent use.
+// Dealer divides the rates of limited instances among nodes by grants of single requests.
+// Fixed shares would not do: with 85 nodes, a node's share may be one request in 38 s, and all
+// nodes may send theirs at the same time. Each grant goes to a node chosen at random by
+// weight, and is issued again if the node does not use it in time. A Dealer is safe for
+// concurrent use.
 type Dealer struct {
 	policy Policy
 	draw   func() float64
@@ -38,34 +39,36 @@
 	stocks map[state.InstanceID]*stock
 }
 
-// stock is what is dealt of one instance's rate.
+// stock is a token bucket for the rate of one instance, and the grants issued from it.
 type stock struct {
-	// level is the number of requests that may be dealt now, as of at.
+	// level is the number of tokens as of at. Each grant takes one.
 	level float64
 	at    time.Time
-	// perSecond is the limit that was last dealt by.
+	// perSecond is the limit at the last refill.
 	perSecond float64
 	hands     map[string]*hand
 }
 
-// hand is what one node was dealt of an instance's rate.
+// hand holds the grants issued to one node from an instance's rate.
 type hand struct {
-	// waiting is when each request was dealt that the node has not picked up yet.
+	// waiting holds the issue time of each grant that the node has not collected yet.
 	waiting []time.Time
-	// pickedUp is the number of those picked up at pickedUpAt, which its status reports do not show yet.
+	// pickedUp is the number of grants collected at pickedUpAt, which the node's status reports
+	// do not include yet.
 	pickedUp   int
 	pickedUpAt time.Time
-	// lapsed is how many grants the node has let lapse, as it last reported; counted tells that it did.
+	// lapsed is the node's last reported number of expired grants. counted reports whether it
+	// has reported one.
 	lapsed  int
 	counted bool
 }
 
-// NewDealer returns a Dealer that draws nodes by numbers from 0 to below 1.
+// NewDealer returns a Dealer that chooses nodes by draw, which returns random numbers in [0, 1).
 func NewDealer(policy Policy, draw func() float64) *Dealer {
 	return &Dealer{policy: policy, draw: draw, stocks: map[state.InstanceID]*stock{}}
 }
 
-// Deal deals what has become free of each instance's rate since the last round.
+// Deal issues grants for the part of each instance's rate that became available since the last round.
 func (d *Dealer) Deal(r Round, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,8 +91,9 @@
 	}
 }
 
-// usage adds up what nodes report of each instance's rate: what they sent within the window,
-// and what they may still send. What lapsed at a node may be dealt again. d.mu is held.
+// usage sums the usage that nodes report for each instance: the calls sent within the window
+// and the unused grants. Tokens of grants that expired at a node are returned to the bucket.
+// d.mu is held.
 func (d *Dealer) usage(nodes []Node) (sent, open map[state.InstanceID]int) {
 	sent, open = map[state.InstanceID]int{}, map[state.InstanceID]int{}
 	for i := range nodes {
@@ -104,7 +108,7 @@
 	return sent, open
 }
 
-// takeBack adds what a node has let lapse since its last report to the level.
+// takeBack returns the tokens of grants that expired at a node since its last report.
 func (s *stock) takeBack(h *hand, lapsed int) {
 	if h.counted && lapsed > h.lapsed {
 		s.level += float64(lapsed - h.lapsed)
@@ -112,8 +116,8 @@
 	h.lapsed, h.counted = lapsed, true
 }
 
-// inHand returns how many requests were dealt that no report of a node shows yet, and takes
-// back those that were not picked up in time.
+// inHand returns the number of issued grants that no status report includes yet. It takes
+// back the grants that were not collected within Policy.PickUpWithin.
 func (s *stock) inHand(now time.Time, p *Policy) int {
 	n := 0
 	for _, h := range s.hands {
@@ -129,16 +133,16 @@
 	return n
 }
 
-// rate returns the part of a limit that may be dealt, in requests a second.
+// rate returns the rate at which grants may be issued for a limit, in requests a second.
 func (p *Policy) rate(perSecond, part float64) float64 { return min(perSecond, p.MaxRate) * part }
 
-// refill brings the level up to date. It begins empty, also after a pause: another node may
-// have dealt meanwhile.
+// refill adds the tokens for the time since the last refill. The bucket starts empty, and
+// again after a pause, since another node may have issued grants in the meantime.
 func (s *stock) refill(perSecond, part float64, now time.Time, p *Policy) {
 	rate := p.rate(perSecond, part)
 	past := now.Sub(s.at)
 	if perSecond < s.perSecond || past > p.GrantFor {
-		clear(s.hands) // dealt by a rate that no longer holds, or not to be used any more
+		clear(s.hands) // issued for a rate that no longer applies, or expired
 	}
 	s.at, s.perSecond = now, perSecond
 	if past > p.GrantFor {
@@ -148,7 +152,7 @@
 	s.level = min(s.level+rate*past.Seconds(), max(rate*p.Burst.Seconds(), 1))
 }
 
-// hand returns what a node was dealt.
+// hand returns the grants issued to a node.
 func (s *stock) hand(node string) *hand {
 	h := s.hands[node]
 	if h == nil {
@@ -158,9 +162,10 @@
 	return h
 }
 
-// deal deals the whole requests of a stock. No more are open than the instance takes while a
-// grant holds, and two, since all nodes may use theirs in one moment; no more are open and sent
-// than it takes in that time and the window, and two.
+// deal issues one grant per whole token. It bounds the outstanding grants to the requests that
+// the instance accepts in Policy.GrantFor, plus two, since all nodes may use theirs at the same
+// moment. It bounds outstanding grants and calls sent within the window together to the
+// requests accepted in GrantFor plus the window, plus two.
 func (d *Dealer) deal(s *stock, l *Limit, r *Round, sent, open int, now time.Time) {
 	rate := d.policy.rate(l.PerSecond, r.Part)
 	mostOpen := rate*d.policy.GrantFor.Seconds() + 1
@@ -172,7 +177,7 @@
 	}
 }
 
-// drawNode draws one of the nodes by their weights.
+// drawNode returns a random node, with probability proportional to its weight.
 func (d *Dealer) drawNode(r *Round, l *Limit) string {
 	total := 0.0
 	for i := range r.Nodes {
@@ -187,7 +192,7 @@
 	return r.Nodes[len(r.Nodes)-1].Name
 }
 
-// PickUp returns the grants that wait for a node whose status report has come just now.
+// PickUp returns and clears the uncollected grants of a node whose status report has just arrived.
 func (d *Dealer) PickUp(node string, now time.Time) []Grant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/coordination/ratelimit/dealer_test.go
+++ b/coordination/ratelimit/dealer_test.go
@@ -13,27 +13,28 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// side is a dealer with the nodes that report to it: all of them, or those on one side of a cut.
+// side is a Dealer with the nodes that report to it: all nodes, or those on one side of a
+// network partition.
 type side struct {
 	dealer *Dealer
 	nodes  []*dealtNode
 	part   float64
 }
 
-// dealtNode is a node that sends by grants.
+// dealtNode is a simulated node that sends by grants.
 type dealtNode struct {
 	name string
 	book *Book
-	// report is when it reports next, usage what it reported last.
+	// report is the time of its next status report, usage the content of the last one.
 	report time.Time
 	usage  map[state.InstanceID]Usage
-	// asked is how many requests a second callers send to it.
+	// asked is the rate of requests from its callers, per second.
 	asked float64
-	// frozen is until when it does nothing.
+	// frozen is the time until which it is suspended.
 	frozen time.Time
 }
 
-// newSide returns a dealer for so many of all nodes.
+// newSide returns a side with the given number of all nodes.
 func newSide(name string, nodes, all int, perSecond float64, rng *rand.Rand) *side {
 	s := &side{dealer: NewDealer(DefaultPolicy(), rng.Float64), part: float64(nodes) / float64(all)}
 	for i := range nodes {
@@ -44,14 +45,15 @@
 	return s
 }
 
-// Times of the histories.
+// Parameters of the simulations.
 const (
 	statusEvery = 250 * time.Millisecond
 	dealEvery   = 50 * time.Millisecond
 	tick        = 5 * time.Millisecond
 )
 
-// step deals, lets nodes report that are due, and returns how many requests were sent.
+// step advances the simulation to now: it issues grants, processes due status reports, and
+// returns the number of requests sent.
 func (s *side) step(now time.Time, rng *rand.Rand) int {
 	if now.Sub(start)%dealEvery == 0 {
 		r := Round{Limits: s.nodes[0].book.InForce(), Part: s.part, Weight: s.weight}
@@ -79,7 +81,7 @@
 	return sent
 }
 
-// weight returns how many requests callers send to a node.
+// weight returns the request rate of a node's callers, with a small minimum.
 func (s *side) weight(node string, _ *Limit) float64 {
 	for _, n := range s.nodes {
 		if n.name == node {
@@ -89,7 +91,8 @@
 	return 0
 }
 
-// play plays sides for a time and returns the most requests in any window, and how many there were in all.
+// play simulates sides for a duration. It returns the largest number of requests in any window
+// and the total number of requests.
 func play(sides []*side, length time.Duration, rng *rand.Rand, change func(now time.Time)) (worst, total int) {
 	var list []time.Time
 	for now := start; now.Sub(start) < length; now = now.Add(tick) {
@@ -108,9 +111,9 @@
 	return worst, total
 }
 
-// Whatever callers ask for, nodes that use their grants late, at once or never, that freeze
-// with them, and the two sides of a cut, together stay within the rate for the window and for
-// the time that a grant holds.
+// For any load, all nodes together send at most the requests that the rate allows in the window
+// plus the lifetime of a grant, and two more per side. Nodes use grants late, at once or never,
+// are suspended while they hold grants, and may be split by a network partition.
 func TestDrawnNodesTogetherStayWithinTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -141,13 +144,13 @@
 	})
 }
 
-// What an instance takes is used, however callers are spread over nodes.
+// The nodes use most of an instance's rate, however its callers are distributed over them.
 func TestTheRateIsUsedWhereCallersAskForIt(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		nodes     int
 		perSecond float64
-		// asked is what callers ask of all nodes in a second, at one node alone or at all.
+		// asked is the total request rate of callers, per second. one sends all of it to one node.
 		asked float64
 		one   bool
 		least float64
@@ -171,7 +174,7 @@
 			const length = 60 * time.Second
 			worst, total := play([]*side{s}, length, rng, func(time.Time) {})
 			used := float64(total) / (c.perSecond * length.Seconds())
-			t.Logf("%.2f of the rate used, %d in the worst window", used, worst)
+			t.Logf("%.2f of the rate used, at most %d requests in a window", used, worst)
 			g.Expect(used).To(And(BeNumerically(">=", c.least), BeNumerically("<=", 1.02)))
 		})
 	}
@@ -190,7 +193,7 @@
 	g.Expect(d.stocks["i"].hands["n"].waiting).To(HaveLen(2))
 	deal(1, 250)
 	g.Expect(d.PickUp("n", at(260))).To(BeEmpty())
-	// Ten were sent by the higher limit: the lower one takes them off.
+	// The ten requests sent under the higher limit count against the lower one.
 	r.Nodes[0].Usage = map[state.InstanceID]Usage{"i": {Sent: 10}}
 	for ms := 300; ms < 5000; ms += 50 {
 		deal(1, ms)
@@ -201,7 +204,8 @@
 	g.Expect(d.PickUp("n", at(5060))).To(Equal([]Grant{{Instance: "i", Requests: 1}}))
 }
 
-// After a pause another node may have dealt, so that nothing is left over from before it.
+// After a pause, tokens and grants from before it are dropped: another node may have issued
+// grants in the meantime.
 func TestADealerBeginsAnewAfterAPause(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDealer(DefaultPolicy(), func() float64 { return 0 })
--- a/coordination/ratelimit/grant.go
+++ b/coordination/ratelimit/grant.go
@@ -8,14 +8,14 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Grant allows one node to send some requests to a limited instance.
+// Grant allows one node to send a number of requests to a limited instance.
 type Grant struct {
 	Instance state.InstanceID `json:"i"`
 	Requests int              `json:"n"`
 }
 
-// Granted records grants that may be used until a time. Those for instances that are not
-// known to be limited are dropped.
+// Granted records grants that expire at until. Grants for instances without a known limit are
+// dropped.
 func (b *Book) Granted(grants []Grant, until time.Time) {
 	if len(grants) == 0 {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// expire drops the grants that can no longer be used.
+// expire removes the grants that have expired.
 func (e *entry) expire(now time.Time) {
 	for len(e.grants) > 0 && !now.Before(e.grants[0]) {
 		e.lapsedAt = e.grants[0]
@@ -42,13 +42,13 @@
 	}
 }
 
-// Open reports whether a request may be sent to an instance, as far as its limit goes.
+// Open reports whether the rate limit of an instance allows a request now.
 func (b *Book) Open(in fleet.Incarnation, now time.Time) bool {
 	return b.allows(in, now, func(e *entry) bool { return len(e.grants) > 0 })
 }
 
-// allows reports whether a life of an instance has no limit in force, or a function says that
-// its limit allows what is asked; the grants that the function sees can still be used.
+// allows reports whether an incarnation of an instance has no limit in force or satisfies
+// allowed. Expired grants are removed before allowed is called.
 func (b *Book) allows(in fleet.Incarnation, now time.Time, allowed func(*entry) bool) bool {
 	if !b.Any() {
 		return true
@@ -63,9 +63,9 @@
 	return allowed(e)
 }
 
-// Send counts a request that is about to leave for an instance. It reports false, and counts
-// nothing, if the instance is limited and this node has no grant left: the request must not
-// leave then.
+// Send records a request that is about to be sent to an instance. It reports false and records
+// nothing if the instance is limited and this node has no grant left. The request must not be
+// sent then.
 func (b *Book) Send(in fleet.Incarnation, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -76,7 +76,7 @@
 	return true
 }
 
-// take uses up one grant, or reports that none is left.
+// take consumes one grant. It reports false if none is left.
 func (e *entry) take(now time.Time) bool {
 	e.expire(now)
 	if len(e.grants) == 0 {
@@ -86,15 +86,15 @@
 	return true
 }
 
-// Order counts an order that is about to leave for an instance. Orders are few and do not
-// wait: what a group is changed for does not wait either.
+// Order records an order that is about to be sent to an instance. Orders are never delayed: they
+// are few, and the group changes that need them cannot wait.
 func (b *Book) Order(in fleet.Incarnation, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.count(in.ID, now)
 }
 
-// count counts a call to an instance. b.mu is held.
+// count records a call to an instance. b.mu is held.
 func (b *Book) count(id state.InstanceID, now time.Time) {
 	c := b.sends[id]
 	if c == nil {
@@ -104,20 +104,21 @@
 	c.Add(now, b.policy.Window)
 }
 
-// Asker is who puts a question to an instance, and why.
+// Asker describes the node that probes an instance, and why.
 type Asker struct {
-	// Leading tells that the node asks for all others; another one needs a grant.
+	// Leading reports whether the node probes for all nodes. Other nodes need a grant.
 	Leading bool
-	// Failing tells that the instance did not answer the last question.
+	// Failing reports whether the instance did not answer the last probe.
 	Failing bool
 }
 
-// MayQuestion reports whether a question may be put to an instance now, as far as its limit goes.
+// MayQuestion reports whether the rate limit of an instance allows a probe now.
 func (b *Book) MayQuestion(in fleet.Incarnation, by Asker, now time.Time) bool {
 	return b.allows(in, now, func(e *entry) bool { return e.mayQuestion(by, now, &b.policy) })
 }
 
-// mayQuestion reports whether a question may be put to a limited instance; its grants are not expired.
+// mayQuestion reports whether a limited instance may be probed now. Expired grants must have
+// been removed.
 func (e *entry) mayQuestion(by Asker, now time.Time, p *Policy) bool {
 	if !by.Leading {
 		return len(e.grants) > 0
@@ -125,7 +126,7 @@
 	return now.Sub(e.questioned) >= p.questionInterval(e.PerSecond, by.Failing)
 }
 
-// questionInterval returns the least time between two questions to an instance with a limit.
+// questionInterval returns the minimum time between two probes of an instance with a limit.
 func (p *Policy) questionInterval(perSecond float64, failing bool) time.Duration {
 	if failing {
 		return p.QuestionRetry
@@ -137,9 +138,9 @@
 	return max(time.Duration(seconds*float64(time.Second)), p.QuestionMin)
 }
 
-// Question counts a question that is about to leave for an instance, and reports whether its
-// limit allows it. Questions take up the limit as requests do; without a bound of their own
-// the leader's would take half of 2 requests a second.
+// Question reports whether the rate limit of an instance allows a probe, and records the probe
+// if so. Probes count against the limit as requests do. Without a bound of their own, the
+// leader's probes would use half of a limit of 2 requests a second.
 func (b *Book) Question(in fleet.Incarnation, by Asker, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,17 +158,17 @@
 	return true
 }
 
-// Usage is what a node made of a limited instance's rate.
+// Usage is a node's use of a limited instance's rate.
 type Usage struct {
-	// Sent is how many calls it sent within the window, Waiting how many requests it may still send.
+	// Sent is the number of calls sent within the window, Waiting the number of unused grants.
 	Sent    int `json:"s,omitempty"`
 	Waiting int `json:"w,omitempty"`
-	// Lapsed counts the grants that it did not use in time since it knows of the limit.
+	// Lapsed is the number of grants that expired unused since the node knows the limit.
 	Lapsed int `json:"l,omitempty"`
 }
 
-// Usage returns what this node made of the rate of each limited instance within the window,
-// those left out that it had nothing to do with.
+// Usage returns this node's use of the rate of each limited instance within the window. It
+// omits instances that have no calls, no unused grants and no recently expired grants.
 func (b *Book) Usage(now time.Time) map[state.InstanceID]Usage {
 	if !b.Any() {
 		return nil
--- a/coordination/ratelimit/ratelimit.go
+++ b/coordination/ratelimit/ratelimit.go
@@ -1,11 +1,11 @@
-// Package ratelimit keeps how many requests a second target instances take from all nodes
-// together, and divides that rate over the nodes.
+// Package ratelimit tracks the rate limits that target instances announce, in requests a
+// second from all nodes together, and divides each limit among the nodes.
 //
-// A Book holds what one node knows of limits, and the grants by which it may send to a
-// limited instance. A Dealer makes these grants out of the rate: that of the leader for all
-// nodes that report to it, that of a node without a leader for itself. Each deals no more
-// than the part of the rate that its nodes are of all nodes there may be, so that nodes which
-// cannot hear each other together stay within the rate.
+// A Book holds the limits known to one node, and the grants that allow it to send to limited
+// instances. A Dealer issues the grants. The leader's Dealer issues them to all nodes that
+// report to it; a node without a leader issues them to itself. A Dealer issues at most the
+// fraction of the rate that its nodes make up of all nodes that may exist, so that nodes on
+// both sides of a network partition together stay within the limit.
 package ratelimit
 
 import (
@@ -14,30 +14,32 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Limit is what one life of an instance said of the requests that it takes from all nodes together.
+// Limit is the latest statement of an incarnation of an instance on its rate limit, which
+// applies to the requests of all nodes together.
 type Limit struct {
 	Instance fleet.Incarnation
-	// Ended tells that the instance no longer names a limit, PerSecond its requests a second.
+	// Ended reports whether the instance no longer announces a limit. PerSecond is the limit
+	// in requests a second.
 	Ended     bool
 	PerSecond float64
-	// Asked and Answered are when the request was sent and the answer came that said so: the
-	// instance wrote it in between.
+	// Asked and Answered are when the request was sent and its answer arrived. The instance
+	// made the statement at some time in between.
 	Asked    time.Time
 	Answered time.Time
 	// Since is when this node learned that the instance is limited.
 	Since time.Time
 }
 
-// same reports whether two limits say the same.
+// same reports whether l and o state the same limit.
 func (l *Limit) same(o *Limit) bool { return l.Ended == o.Ended && l.PerSecond == o.PerSecond }
 
-// stricter reports whether a limit allows fewer requests than another.
+// stricter reports whether l allows fewer requests than o.
 func (l *Limit) stricter(o *Limit) bool {
 	return !l.Ended && (o.Ended || l.PerSecond < o.PerSecond)
 }
 
-// replaces reports whether a limit is in force instead of one known. Answers overtake each
-// other: where either may be the later one, the stricter holds.
+// replaces reports whether l takes effect in place of o, the limit known so far. Answers can
+// arrive out of order: if either statement may be the later one, the stricter limit applies.
 func (l *Limit) replaces(o *Limit) bool {
 	if l.stricter(o) {
 		return l.Answered.After(o.Asked)
@@ -45,7 +47,7 @@
 	return l.Asked.After(o.Answered)
 }
 
-// confirm records that the same was said once more.
+// confirm records that o repeats the statement of l.
 func (l *Limit) confirm(o *Limit) {
 	l.Instance = o.Instance
 	if o.Answered.After(l.Answered) {
@@ -53,10 +55,10 @@
 	}
 }
 
-// Change is how what is known of an instance's limit has changed.
+// Change describes how an update changed the known limit of an instance.
 type Change string
 
-// The changes.
+// The kinds of Change.
 const (
 	Unchanged Change = ""
 	Began     Change = "began"
@@ -64,7 +66,7 @@
 	Stopped   Change = "ended"
 )
 
-// change returns how a limit differs from the one before it.
+// change returns the Change from before to l.
 func (l *Limit) change(before *Limit) Change {
 	switch {
 	case l.Ended:
--- a/coordination/ratelimit/size_bench_test.go
+++ b/coordination/ratelimit/size_bench_test.go
@@ -11,9 +11,10 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// BenchmarkAtSize plays 10 s of nodes before many instances of which some are limited, with ten
-// requests a second asked of each node. It reports what status reports and their answers carry
-// for limits, in bytes a second and node, and the leader's time for dealing, in milliseconds a second.
+// BenchmarkAtSize simulates 10 s of many nodes and limited instances, with ten requests a second
+// at each node. It reports the bytes that status reports and their answers carry for rate
+// limits, per second and node, and the time that the leader spends on issuing grants, in
+// milliseconds per second.
 func BenchmarkAtSize(b *testing.B) {
 	const length, asked, perSecond = 10 * time.Second, 10.0, 2.2
 	for _, nodes := range []int{85, 570} {
@@ -33,7 +34,8 @@
 	}
 }
 
-// playAtSize returns the bytes of all reports and answers, and the time that dealing took.
+// playAtSize runs one simulation. It returns the total size of reports and answers, and the
+// time spent on issuing grants.
 func playAtSize(nodes, limited int, length time.Duration, asked, perSecond float64, seed uint64) (bytes int, dealing time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := newSide("n", nodes, nodes, perSecond, rng)
@@ -71,7 +73,7 @@
 	return bytes, dealing
 }
 
-// size returns the size of a value as nodes tell it, 0 if there is nothing to tell.
+// size returns the encoded size of v in bytes, or 0 if v is empty.
 func size[T map[state.InstanceID]Usage | []Grant](v T) int {
 	if len(v) == 0 {
 		return 0
--- a/coordination/ratelimit/ways_test.go
+++ b/coordination/ratelimit/ways_test.go
@@ -7,25 +7,24 @@
 	"time"
 )
 
-// Ways to divide a rate over nodes, compared in histories: 60 s in which callers ask nodes for
-// requests to one limited instance.
+// Simulations of 60 s that compare ways to divide the rate of one limited instance among nodes.
 
-// perSecond is what the instance takes from all nodes together.
+// perSecond is the instance's limit for all nodes together.
 const perSecond = 2.2
 
-// divider allows or refuses a request at a node.
+// divider decides whether a node may send a request.
 type divider interface {
 	allow(node int, now time.Time) bool
 }
 
-// shares gives each node a token bucket at a fixed share of the rate, which begins empty.
+// shares gives each node a token bucket, initially empty, with a fixed share of the rate.
 type shares struct {
 	rates  []float64
 	levels []float64
 	at     []time.Time
 }
 
-// newShares returns buckets with shares by weights.
+// newShares returns shares in proportion to weights.
 func newShares(weights []float64) *shares {
 	total := 0.0
 	for _, w := range weights {
@@ -49,7 +48,7 @@
 	return true
 }
 
-// demandOf returns what is asked of each of some nodes, in requests a second.
+// demandOf returns the demand at each of a number of nodes, in requests a second.
 type demandOf func(nodes int) []float64
 
 func atAll(asked float64) demandOf {
@@ -62,7 +61,7 @@
 	}
 }
 
-// atThird has callers ask a third of the nodes, as those of one data hall.
+// atThird distributes the demand over a third of the nodes, such as those of one data hall.
 func atThird(asked float64) demandOf {
 	return func(nodes int) []float64 {
 		list := make([]float64, nodes)
@@ -132,7 +131,8 @@
 	}
 }
 
-// playDivider plays a way for a time.
+// playDivider simulates a divider for a duration. It returns the largest number of requests in
+// any window and the total number of requests.
 func playDivider(d divider, demand []float64, length time.Duration, seed uint64) (worst, total int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var list []time.Time
@@ -153,7 +153,8 @@
 	return worst, total
 }
 
-// report reports the part of the rate that was used, and the most requests in a window.
+// report reports the fraction of the rate that was used, and the largest number of requests in
+// a window.
 func report(b *testing.B, worst, total int, length time.Duration) {
 	b.ReportMetric(float64(total)/float64(b.N)/(perSecond*length.Seconds()), "used")
 	b.ReportMetric(float64(worst), "worst-window")
