--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -37,30 +37,30 @@
 	return fmt.Sprintf("admission: request refused (%s), retry after %s", r.Code, r.RetryAfter.Round(time.Millisecond))
 }
 
-// classes is the number of priority classes.
-const classes = int(state.PriorityBatch) + 1
+// numClasses is the number of priority classes.
+const numClasses = int(state.PriorityBatch) + 1
 
 // Config bounds a Pool.
 type Config struct {
 	// QueueFactor is the maximum queue length as a multiple of the capacity.
 	QueueFactor float64
-	// MinQueue is a lower limit for the maximum queue length, for pools of small capacity.
-	MinQueue int
-	// MinRetry and MaxRetry bound RetryAfter of a Refusal, before jitter.
-	MinRetry time.Duration
-	MaxRetry time.Duration
+	// MinQueueLen is a lower limit for the maximum queue length, for pools of small capacity.
+	MinQueueLen int
+	// MinRetryAfter and MaxRetryAfter bound RetryAfter of a Refusal, before jitter.
+	MinRetryAfter time.Duration
+	MaxRetryAfter time.Duration
 }
 
 // DefaultConfig returns the configuration that a node uses.
 func DefaultConfig() Config {
-	return Config{QueueFactor: 1, MinQueue: 8, MinRetry: time.Second, MaxRetry: 30 * time.Second}
+	return Config{QueueFactor: 1, MinQueueLen: 8, MinRetryAfter: time.Second, MaxRetryAfter: 30 * time.Second}
 }
 
 // waiter is one queued request. granted receives nil when the request gets a slot, else its refusal.
 type waiter struct {
 	priority state.Priority
 	deadline time.Time
-	granted  chan *Refusal
+	decision chan *Refusal
 }
 
 // Pool manages the slots of one model or service at one node. It is safe for concurrent use.
@@ -71,8 +71,8 @@
 	mu       sync.Mutex
 	capacity int
 	held     int
-	queues   [classes][]*waiter
-	rate     meter
+	queues   [numClasses][]*waiter
+	releases rateMeter
 }
 
 // NewPool returns a Pool without capacity.
@@ -86,12 +86,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.capacity = n
-	p.grant()
+	p.admitQueued()
 	if n > 0 {
 		return
 	}
-	for w := p.pop(); w != nil; w = p.pop() {
-		w.granted <- p.refuse(CodeNoGroup)
+	for w := p.dequeue(); w != nil; w = p.dequeue() {
+		w.decision <- p.newRefusalLocked(CodeNoGroup)
 	}
 }
 
@@ -106,14 +106,14 @@
 func (p *Pool) Held() (held, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.held, p.waiting(classes)
+	return p.held, p.queuedBefore(numClasses)
 }
 
 // Acquire takes a slot and waits in the queue of the priority class if none is free.
 // The caller must return the slot with Release. A request that is not expected to
 // start before its deadline is refused at once.
 func (p *Pool) Acquire(ctx context.Context, priority state.Priority, deadline time.Time) error {
-	w, refusal := p.enter(priority, deadline)
+	w, refusal := p.admit(priority, deadline)
 	if refusal != nil {
 		return refusal
 	}
@@ -123,12 +123,12 @@
 	timer := p.clock.NewTimer(p.clock.Until(deadline))
 	defer timer.Stop()
 	select {
-	case refusal := <-w.granted:
+	case refusal := <-w.decision:
 		return asError(refusal)
 	case <-ctx.Done():
-		return p.leave(w, ctx.Err())
+		return p.abandon(w, ctx.Err())
 	case <-timer.Chan():
-		return p.leave(w, p.refusal(CodeTooLate))
+		return p.abandon(w, p.newRefusal(CodeTooLate))
 	}
 }
 
@@ -140,40 +140,40 @@
 	return r
 }
 
-// enter takes a free slot and returns nil, nil, or queues the request, or refuses it.
-func (p *Pool) enter(priority state.Priority, deadline time.Time) (*waiter, *Refusal) {
+// admit takes a free slot and returns nil, nil, or queues the request, or refuses it.
+func (p *Pool) admit(priority state.Priority, deadline time.Time) (*waiter, *Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.held < p.capacity && p.waiting(int(priority)+1) == 0 {
+	if p.held < p.capacity && p.queuedBefore(int(priority)+1) == 0 {
 		p.held++
 		return nil, nil
 	}
 	if p.capacity == 0 {
-		return nil, p.refuse(CodeNoGroup)
+		return nil, p.newRefusalLocked(CodeNoGroup)
 	}
 	if !p.makeRoom(priority) {
-		return nil, p.refuse(CodeQueueFull)
+		return nil, p.newRefusalLocked(CodeQueueFull)
 	}
-	ahead := p.waiting(int(priority) + 1)
-	if p.clock.Now().Add(p.wait(ahead + 1)).After(deadline) {
-		return nil, p.refuse(CodeTooLate)
+	ahead := p.queuedBefore(int(priority) + 1)
+	if p.clock.Now().Add(p.expectedWait(ahead + 1)).After(deadline) {
+		return nil, p.newRefusalLocked(CodeTooLate)
 	}
-	w := &waiter{priority: priority, deadline: deadline, granted: make(chan *Refusal, 1)}
+	w := &waiter{priority: priority, deadline: deadline, decision: make(chan *Refusal, 1)}
 	p.queues[priority] = append(p.queues[priority], w)
-	p.dropHopeless(int(priority) + 1)
+	p.refuseLate(int(priority) + 1)
 	return w, nil
 }
 
 // makeRoom reports whether a request of a priority can be queued. If the queue is full, it
 // evicts the last queued request of the lowest class below that priority. p.mu is held.
 func (p *Pool) makeRoom(priority state.Priority) bool {
-	bound := max(p.cfg.MinQueue, int(p.cfg.QueueFactor*float64(p.capacity)))
-	if p.waiting(classes) < bound {
+	bound := max(p.cfg.MinQueueLen, int(p.cfg.QueueFactor*float64(p.capacity)))
+	if p.queuedBefore(numClasses) < bound {
 		return true
 	}
-	for class := classes - 1; class > int(priority); class-- {
+	for class := numClasses - 1; class > int(priority); class-- {
 		if q := p.queues[class]; len(q) > 0 {
-			q[len(q)-1].granted <- p.refuse(CodeEvicted)
+			q[len(q)-1].decision <- p.newRefusalLocked(CodeEvicted)
 			p.queues[class] = q[:len(q)-1]
 			return true
 		}
@@ -181,16 +181,16 @@
 	return false
 }
 
-// dropHopeless refuses the queued requests of class first and below that, with the
+// refuseLate refuses the queued requests of class first and below that, with the
 // requests now ahead of them, are expected to miss their deadline. p.mu is held.
-func (p *Pool) dropHopeless(first int) {
-	ahead := p.waiting(first)
-	for class := first; class < classes; class++ {
+func (p *Pool) refuseLate(first int) {
+	ahead := p.queuedBefore(first)
+	for class := first; class < numClasses; class++ {
 		kept := p.queues[class][:0]
 		for _, w := range p.queues[class] {
 			ahead++
-			if p.clock.Now().Add(p.wait(ahead)).After(w.deadline) {
-				w.granted <- p.refuse(CodeTooLate)
+			if p.clock.Now().Add(p.expectedWait(ahead)).After(w.deadline) {
+				w.decision <- p.newRefusalLocked(CodeTooLate)
 				ahead--
 				continue
 			}
@@ -200,8 +200,8 @@
 	}
 }
 
-// waiting returns the number of queued requests in the classes before end. p.mu is held.
-func (p *Pool) waiting(end int) int {
+// queuedBefore returns the number of queued requests in the classes before end. p.mu is held.
+func (p *Pool) queuedBefore(end int) int {
 	n := 0
 	for _, q := range p.queues[:end] {
 		n += len(q)
@@ -209,26 +209,27 @@
 	return n
 }
 
-// wait returns the expected time until n slots have been released, or 0 while the
+// expectedWait returns the expected time until n slots have been released, or 0 while the
 // release rate is unknown. p.mu is held.
-func (p *Pool) wait(n int) time.Duration {
-	perSecond := p.rate.perSecond(p.clock.Now())
+func (p *Pool) expectedWait(n int) time.Duration {
+	perSecond := p.releases.perSecond(p.clock.Now())
 	if perSecond <= 0 {
 		return 0
 	}
 	return time.Duration(float64(n) / perSecond * float64(time.Second))
 }
 
-// refusal is refuse for callers that do not hold p.mu.
-func (p *Pool) refusal(code Code) *Refusal {
+// newRefusal is newRefusalLocked for callers that do not hold p.mu.
+func (p *Pool) newRefusal(code Code) *Refusal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.refuse(code)
+	return p.newRefusalLocked(code)
 }
 
-// refuse returns a Refusal whose RetryAfter is the expected time to drain the queue, with jitter. p.mu is held.
-func (p *Pool) refuse(code Code) *Refusal {
-	d := min(max(p.wait(p.waiting(classes)+1), p.cfg.MinRetry), p.cfg.MaxRetry)
+// newRefusalLocked returns a Refusal whose RetryAfter is the expected time to drain the
+// queue, with jitter. p.mu is held.
+func (p *Pool) newRefusalLocked(code Code) *Refusal {
+	d := min(max(p.expectedWait(p.queuedBefore(numClasses)+1), p.cfg.MinRetryAfter), p.cfg.MaxRetryAfter)
 	return &Refusal{Code: code, RetryAfter: Jitter(d)}
 }
 
@@ -237,9 +238,9 @@
 	return d + rand.N(d/2+1)
 }
 
-// leave removes a request from the queue and returns err. If the request was granted a
+// abandon removes a request from the queue and returns err. If the request was granted a
 // slot in the meantime, the slot is released.
-func (p *Pool) leave(w *waiter, err error) error {
+func (p *Pool) abandon(w *waiter, err error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, other := range p.queues[w.priority] {
@@ -248,9 +249,9 @@
 			return err
 		}
 	}
-	if refusal := <-w.granted; refusal == nil {
+	if refusal := <-w.decision; refusal == nil {
 		p.held--
-		p.grant()
+		p.admitQueued()
 	}
 	return err
 }
@@ -260,24 +261,24 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.held--
-	p.rate.add(p.clock.Now())
-	p.grant()
+	p.releases.add(p.clock.Now())
+	p.admitQueued()
 }
 
-// grant admits queued requests, highest class first, while slots are free. p.mu is held.
-func (p *Pool) grant() {
+// admitQueued admits queued requests, highest class first, while slots are free. p.mu is held.
+func (p *Pool) admitQueued() {
 	for p.held < p.capacity {
-		w := p.pop()
+		w := p.dequeue()
 		if w == nil {
 			return
 		}
 		p.held++
-		w.granted <- nil
+		w.decision <- nil
 	}
 }
 
-// pop removes and returns the next queued request, or nil if there is none. p.mu is held.
-func (p *Pool) pop() *waiter {
+// dequeue removes and returns the next queued request, or nil if there is none. p.mu is held.
+func (p *Pool) dequeue() *waiter {
 	for class := range p.queues {
 		if q := p.queues[class]; len(q) > 0 {
 			p.queues[class] = q[1:]
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -19,8 +19,8 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// code returns the code of err if it is a Refusal, else "".
-func code(err error) admission.Code {
+// refusalCode returns the code of err if it is a Refusal, else "".
+func refusalCode(err error) admission.Code {
 	var r *admission.Refusal
 	if errors.As(err, &r) {
 		return r.Code
@@ -28,11 +28,11 @@
 	return ""
 }
 
-// pool returns a Pool with the given number of slots and its fake clock.
-func pool(places int) (*admission.Pool, *clockwork.FakeClock) {
+// newPool returns a Pool with the given number of slots and its fake clock.
+func newPool(slots int) (*admission.Pool, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	p := admission.NewPool(admission.DefaultConfig(), clock)
-	p.SetCapacity(places)
+	p.SetCapacity(slots)
 	return p, clock
 }
 
@@ -50,15 +50,15 @@
 	return result
 }
 
-// TestPlacesAreNeverExceeded guards against slots that leak or are counted twice when acquisitions,
-// cancellations, releases and capacity changes interleave.
-func TestPlacesAreNeverExceeded(t *testing.T) {
+// TestPoolAccountsForEveryGrantedSlot guards against slots that leak or are counted twice when
+// acquisitions, cancellations, releases and capacity changes interleave.
+func TestPoolAccountsForEveryGrantedSlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		p := admission.NewPool(admission.DefaultConfig(), clock)
 		capacity, granted := 0, 0
 		var mu sync.Mutex
-		var waiting sync.WaitGroup
+		var wg sync.WaitGroup
 		ctx, cancel := context.WithCancel(context.Background())
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "act") {
@@ -67,7 +67,7 @@
 				p.SetCapacity(capacity)
 			case 1, 2:
 				priority := state.Priority(rapid.IntRange(0, 2).Draw(t, "priority"))
-				waiting.Go(func() {
+				wg.Go(func() {
 					if p.Acquire(ctx, priority, clock.Now().Add(time.Hour)) == nil {
 						mu.Lock()
 						granted++
@@ -88,17 +88,17 @@
 			clock.Advance(10 * time.Millisecond)
 		}
 		cancel()
-		waiting.Wait()
-		held, left := p.Held()
-		if held != granted || left != 0 {
-			t.Fatalf("Held() = %d held, %d waiting; want %d held, 0 waiting", held, left, granted)
+		wg.Wait()
+		held, queued := p.Held()
+		if held != granted || queued != 0 {
+			t.Fatalf("Held() = %d held, %d waiting; want %d held, 0 waiting", held, queued, granted)
 		}
 	})
 }
 
-func TestHigherClassesGoFirst(t *testing.T) {
+func TestHigherPriorityClassesAreAdmittedFirst(t *testing.T) {
 	g := NewWithT(t)
-	p, clock := pool(1)
+	p, clock := newPool(1)
 	far := clock.Now().Add(time.Hour)
 	g.Expect(p.Acquire(context.Background(), state.PriorityNormal, far)).To(Succeed())
 	batch := acquire(p, state.PriorityBatch, far)
@@ -110,28 +110,28 @@
 	}
 }
 
-func TestFullQueueGivesWayToAlertsOnly(t *testing.T) {
+func TestFullQueueEvictsForHigherPriorityOnly(t *testing.T) {
 	g := NewWithT(t)
-	p, clock := pool(1)
+	p, clock := newPool(1)
 	far := clock.Now().Add(time.Hour)
 	g.Expect(p.Acquire(context.Background(), state.PriorityNormal, far)).To(Succeed())
 	var queued []<-chan error
-	for range admission.DefaultConfig().MinQueue {
+	for range admission.DefaultConfig().MinQueueLen {
 		queued = append(queued, acquire(p, state.PriorityNormal, far))
 	}
 	err := p.Acquire(context.Background(), state.PriorityNormal, far)
-	g.Expect(code(err)).To(Equal(admission.CodeQueueFull))
+	g.Expect(refusalCode(err)).To(Equal(admission.CodeQueueFull))
 	alert := acquire(p, state.PriorityAlert, far)
-	g.Expect(code(<-queued[len(queued)-1])).To(Equal(admission.CodeEvicted))
+	g.Expect(refusalCode(<-queued[len(queued)-1])).To(Equal(admission.CodeEvicted))
 	p.Release()
 	g.Expect(<-alert).To(Succeed())
 }
 
-// TestTooLateIsRefusedAtOnce covers a new request that would miss its deadline, and a queued one
-// that would miss it once an alert is queued ahead of it.
-func TestTooLateIsRefusedAtOnce(t *testing.T) {
+// TestRequestsThatWouldMissTheirDeadlineAreRefusedAtOnce covers a new request that would miss
+// its deadline, and a queued one that would miss it once an alert is queued ahead of it.
+func TestRequestsThatWouldMissTheirDeadlineAreRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
-	p, clock := pool(1)
+	p, clock := newPool(1)
 	far := clock.Now().Add(time.Hour)
 	for range 20 {
 		g.Expect(p.Acquire(context.Background(), state.PriorityNormal, far)).To(Succeed())
@@ -139,18 +139,18 @@
 		p.Release()
 	}
 	g.Expect(p.Acquire(context.Background(), state.PriorityNormal, far)).To(Succeed())
-	g.Expect(code(p.Acquire(context.Background(), state.PriorityNormal, clock.Now().Add(500*time.Millisecond)))).To(Equal(admission.CodeTooLate))
-	waits := acquire(p, state.PriorityNormal, clock.Now().Add(1500*time.Millisecond))
-	g.Expect(waits).To(BeEmpty())
+	g.Expect(refusalCode(p.Acquire(context.Background(), state.PriorityNormal, clock.Now().Add(500*time.Millisecond)))).To(Equal(admission.CodeTooLate))
+	queued := acquire(p, state.PriorityNormal, clock.Now().Add(1500*time.Millisecond))
+	g.Expect(queued).To(BeEmpty())
 	acquire(p, state.PriorityAlert, far)
-	g.Expect(code(<-waits)).To(Equal(admission.CodeTooLate))
+	g.Expect(refusalCode(<-queued)).To(Equal(admission.CodeTooLate))
 }
 
 // TestRetryAfterGrowsWithTheQueue checks that RetryAfter follows from the queue length and the
 // release rate: 11 requests at 2 releases a second, plus up to half as much jitter.
 func TestRetryAfterGrowsWithTheQueue(t *testing.T) {
 	g := NewWithT(t)
-	p, clock := pool(10)
+	p, clock := newPool(10)
 	far := clock.Now().Add(time.Hour)
 	for range 100 {
 		g.Expect(p.Acquire(context.Background(), state.PriorityNormal, far)).To(Succeed())
@@ -168,20 +168,20 @@
 	g.Expect(r.RetryAfter).To(And(BeNumerically(">=", 4*time.Second), BeNumerically("<=", 10*time.Second)))
 }
 
-func TestWaitersAreRefusedAtOnceWhenNoPlaceIsLeft(t *testing.T) {
+func TestQueuedRequestsAreRefusedWhenCapacityDropsToZero(t *testing.T) {
 	g := NewWithT(t)
-	p, clock := pool(1)
+	p, clock := newPool(1)
 	far := clock.Now().Add(time.Hour)
 	g.Expect(p.Acquire(context.Background(), state.PriorityNormal, far)).To(Succeed())
 	first, second := acquire(p, state.PriorityAlert, far), acquire(p, state.PriorityBatch, far)
 	p.SetCapacity(0)
-	g.Eventually(first).Should(Receive(WithTransform(code, Equal(admission.CodeNoGroup))))
-	g.Eventually(second).Should(Receive(WithTransform(code, Equal(admission.CodeNoGroup))))
+	g.Eventually(first).Should(Receive(WithTransform(refusalCode, Equal(admission.CodeNoGroup))))
+	g.Eventually(second).Should(Receive(WithTransform(refusalCode, Equal(admission.CodeNoGroup))))
 }
 
-func TestCancelledWaiterGivesItsPlaceBack(t *testing.T) {
+func TestCancelledRequestReleasesItsSlot(t *testing.T) {
 	g := NewWithT(t)
-	p, clock := pool(1)
+	p, clock := newPool(1)
 	far := clock.Now().Add(time.Hour)
 	for range 200 {
 		g.Expect(p.Acquire(context.Background(), state.PriorityNormal, far)).To(Succeed())
@@ -203,18 +203,18 @@
 	var teams admission.Teams
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	got := 0
+	granted := 0
 	for range 50 {
 		wg.Go(func() {
 			if teams.Acquire("t", 7) {
 				mu.Lock()
-				got++
+				granted++
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	g.Expect(got).To(Equal(7))
+	g.Expect(granted).To(Equal(7))
 	teams.Release("t")
 	g.Expect(teams.Acquire("t", 7)).To(BeTrue())
 	g.Expect(teams.Held("t")).To(Equal(7))
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -20,22 +20,22 @@
 // Budget is a retry budget: it bounds retries to a fraction of first attempts, so that
 // retries do not overload a failing target. It is safe for concurrent use.
 type Budget struct {
-	mu     sync.Mutex
-	ratio  float64
-	most   float64
-	credit float64
+	mu        sync.Mutex
+	ratio     float64
+	maxCredit float64
+	credit    float64
 }
 
 // NewBudget returns a full Budget that earns ratio retries per first attempt and holds at most most.
-func NewBudget(ratio, most float64) *Budget {
-	return &Budget{ratio: ratio, most: most, credit: most}
+func NewBudget(ratio, maxCredit float64) *Budget {
+	return &Budget{ratio: ratio, maxCredit: maxCredit, credit: maxCredit}
 }
 
 // Attempt records a first attempt.
 func (b *Budget) Attempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.credit = min(b.most, b.credit+b.ratio)
+	b.credit = min(b.maxCredit, b.credit+b.ratio)
 }
 
 // Take consumes one retry. It reports false if the budget is exhausted.
--- a/coordination/retry/shared.go
+++ b/coordination/retry/shared.go
@@ -15,9 +15,9 @@
 	Window time.Duration
 }
 
-// sharedPart is the fraction of a shared budget that nodes use. The rest is a margin
+// usableFraction is the fraction of a shared budget that nodes use. The rest is a margin
 // for the error of nodes that count independently of each other.
-const sharedPart = 0.85
+const usableFraction = 0.85
 
 // SharedBudget is one node's share of a retry budget of all nodes. It is safe for concurrent use.
 type SharedBudget struct {
@@ -25,7 +25,7 @@
 	bounds   Bounds
 	nodes    int
 	attempts window.Counter
-	repeats  window.Counter
+	retries  window.Counter
 }
 
 // NewSharedBudget returns the SharedBudget of one of the given number of nodes.
@@ -56,9 +56,9 @@
 	if s.nodes > 0 {
 		allowed += s.bounds.Slack / float64(s.nodes)
 	}
-	if float64(s.repeats.Within(now, s.bounds.Window)+1) > sharedPart*allowed {
+	if float64(s.retries.Within(now, s.bounds.Window)+1) > usableFraction*allowed {
 		return false
 	}
-	s.repeats.Add(now, s.bounds.Window)
+	s.retries.Add(now, s.bounds.Window)
 	return true
 }
--- a/coordination/retry/shared_test.go
+++ b/coordination/retry/shared_test.go
@@ -12,15 +12,15 @@
 	"github.com/troutmast/troutmast/coordination/retry"
 )
 
-// moment is a first attempt or a retry that was counted.
-type moment struct {
-	at     time.Time
-	repeat bool
+// event is a first attempt or a retry that was counted.
+type event struct {
+	at      time.Time
+	isRetry bool
 }
 
 // For any schedule, the retries of all nodes in any window stay within the bounds for the
 // first attempts in that window and just before it.
-func TestNoWindowHoldsMoreRepeatsThanAllowed(t *testing.T) {
+func TestRetriesOfAllNodesStayWithinTheBoundsInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := retry.Bounds{
 			Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), Slack: rapid.Float64Range(0, 60).Draw(t, "slack"), Window: 10 * time.Second,
@@ -30,46 +30,46 @@
 		for i := range nodes {
 			nodes[i] = retry.NewSharedBudget(b, len(nodes))
 		}
-		var log []moment
+		var events []event
 		now := start
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "attempt") {
 				n.Attempt(now)
-				log = append(log, moment{at: now})
+				events = append(events, event{at: now})
 				continue
 			}
 			if n.Take(now) {
-				log = append(log, moment{now, true})
+				events = append(events, event{now, true})
 			}
 		}
-		for _, end := range log {
-			checkWindow(t, b, log, end.at)
+		for _, end := range events {
+			checkWindow(t, b, events, end.at)
 		}
 	})
 }
 
 // checkWindow checks the window that ends at end. Attempts count from a 20th of the window
 // earlier, the resolution of window.Counter.
-func checkWindow(t *rapid.T, b retry.Bounds, log []moment, end time.Time) {
-	repeats, attempts := 0, 0
-	for _, m := range log {
-		age := end.Sub(m.at)
+func checkWindow(t *rapid.T, b retry.Bounds, events []event, end time.Time) {
+	retries, attempts := 0, 0
+	for _, e := range events {
+		age := end.Sub(e.at)
 		switch {
 		case age < 0:
-		case m.repeat && age < b.Window:
-			repeats++
-		case !m.repeat && age < b.Window+b.Window/20:
+		case e.isRetry && age < b.Window:
+			retries++
+		case !e.isRetry && age < b.Window+b.Window/20:
 			attempts++
 		}
 	}
-	if float64(repeats) > b.Ratio*float64(attempts)+b.Slack {
-		t.Fatalf("%d retries in a window with %d attempts, more than the bounds allow", repeats, attempts)
+	if float64(retries) > b.Ratio*float64(attempts)+b.Slack {
+		t.Fatalf("%d retries in a window with %d attempts, more than the bounds allow", retries, attempts)
 	}
 }
 
-func TestABurstMaySpendWhatTheWindowHolds(t *testing.T) {
+func TestBurstMayUseTheBudgetOfTheWholeWindow(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := retry.NewSharedBudget(retry.Bounds{Ratio: 0.2, Slack: 90, Window: 10 * time.Second}, 9)
