--- a/coordination/cooldown/cooldown.go
+++ b/coordination/cooldown/cooldown.go
@@ -33,31 +33,31 @@
 type Book struct {
 	policy Policy
 	// active is the number of cooldowns held. Methods skip the lock while it is 0.
-	active atomic.Int64
-	mu     sync.RWMutex
-	lives  map[state.InstanceID][]*Cooldown
+	active    atomic.Int64
+	mu        sync.RWMutex
+	cooldowns map[state.InstanceID][]*Cooldown
 }
 
 // NewBook returns an empty Book.
 func NewBook(policy Policy) *Book {
-	return &Book{policy: policy, lives: map[state.InstanceID][]*Cooldown{}}
+	return &Book{policy: policy, cooldowns: map[state.InstanceID][]*Cooldown{}}
 }
 
-// same reports whether a and b may be the same incarnation. An unknown start matches any:
+// mayBeSame reports whether a and b may be the same incarnation. An unknown start matches any:
 // an instance that reports no start, or has not done so yet, counts as not restarted.
-func same(a, b fleet.Incarnation) bool {
+func mayBeSame(a, b fleet.Incarnation) bool {
 	return a.ID == b.ID && (a.Life == b.Life || a.Life == "" || b.Life == "")
 }
 
 // Ask records that an instance asked for a cooldown of d from now. It returns the end of the
 // cooldown and whether it is new. A further request extends a cooldown and never shortens
 // it: answers can arrive out of order, and each reflects the load that the instance saw.
-func (b *Book) Ask(in fleet.Incarnation, d time.Duration, now time.Time) (until time.Time, began bool) {
-	until = now.Add(min(d, b.policy.Max))
+func (b *Book) Ask(in fleet.Incarnation, d time.Duration, now time.Time) (until time.Time, isNew bool) {
+	until = now.Add(min(d, b.policy.MaxDuration))
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, c := range b.lives[in.ID] {
-		if !same(c.Instance, in) {
+	for _, c := range b.cooldowns[in.ID] {
+		if !mayBeSame(c.Instance, in) {
 			continue
 		}
 		if !now.Before(c.Until) {
@@ -69,7 +69,7 @@
 		}
 		return c.Until, false
 	}
-	b.lives[in.ID] = append(b.lives[in.ID], &Cooldown{Instance: in, Since: now, Until: until})
+	b.cooldowns[in.ID] = append(b.cooldowns[in.ID], &Cooldown{Instance: in, Since: now, Until: until})
 	b.active.Add(1)
 	return until, true
 }
@@ -90,8 +90,8 @@
 
 // find returns the cooldown in effect for an instance, or nil. b.mu is held.
 func (b *Book) find(in fleet.Incarnation, now time.Time) *Cooldown {
-	for _, c := range b.lives[in.ID] {
-		if same(c.Instance, in) && now.Before(c.Until) {
+	for _, c := range b.cooldowns[in.ID] {
+		if mayBeSame(c.Instance, in) && now.Before(c.Until) {
 			return c
 		}
 	}
@@ -103,11 +103,12 @@
 func (b *Book) Order(in fleet.Incarnation, now time.Time) { b.call(in, now, true) }
 
 // Question reports whether a probe may be sent to an instance, and records it if so. Within
-// a cooldown, probes are held back after Policy.Calls orders and probes.
+// a cooldown, probes are held back after Policy.MaxCalls orders and probes.
 func (b *Book) Question(in fleet.Incarnation, now time.Time) bool { return b.call(in, now, false) }
 
-// call records an order or a probe and reports whether it may be sent. If always is set, it may.
-func (b *Book) call(in fleet.Incarnation, now time.Time, always bool) bool {
+// call records an order or a probe and reports whether it may be sent. If unconditional is
+// set, it always may.
+func (b *Book) call(in fleet.Incarnation, now time.Time, unconditional bool) bool {
 	if b.active.Load() == 0 {
 		return true
 	}
@@ -117,7 +118,7 @@
 	if c == nil {
 		return true
 	}
-	if !always && c.calls >= b.policy.Calls {
+	if !unconditional && c.calls >= b.policy.MaxCalls {
 		return false
 	}
 	c.calls++
@@ -134,30 +135,30 @@
 	return b.collect(func(c *Cooldown) bool { return now.Before(c.Until) }, false)
 }
 
-// collect returns the cooldowns for which wanted holds, sorted by instance ID, and removes
-// them if forget is set.
-func (b *Book) collect(wanted func(*Cooldown) bool, forget bool) []Cooldown {
+// collect returns the cooldowns for which match holds, sorted by instance ID, and removes
+// them if remove is set.
+func (b *Book) collect(match func(*Cooldown) bool, remove bool) []Cooldown {
 	if b.active.Load() == 0 {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []Cooldown
-	for id, lives := range b.lives {
-		kept := lives[:0:0]
-		for _, c := range lives {
-			if wanted(c) {
+	for id, ofInstance := range b.cooldowns {
+		kept := ofInstance[:0:0]
+		for _, c := range ofInstance {
+			if match(c) {
 				list = append(list, *c)
 			}
-			if !wanted(c) || !forget {
+			if !match(c) || !remove {
 				kept = append(kept, c)
 			}
 		}
-		if b.lives[id] = kept; len(kept) == 0 {
-			delete(b.lives, id)
+		if b.cooldowns[id] = kept; len(kept) == 0 {
+			delete(b.cooldowns, id)
 		}
 	}
-	if forget {
+	if remove {
 		b.active.Add(-int64(len(list)))
 	}
 	slices.SortFunc(list, func(a, c Cooldown) int { return strings.Compare(string(a.Instance.ID), string(c.Instance.ID)) })
--- a/coordination/cooldown/history_test.go
+++ b/coordination/cooldown/history_test.go
@@ -19,61 +19,61 @@
 // of applying cooldowns. Some instances shed load for a while, or all are overloaded. Each
 // node picks instances with its own dispatch.Table and Book. Time is simulated.
 
-// heeding is a way of applying cooldowns.
-type heeding struct {
+// cooldownMode is a way of applying cooldowns.
+type cooldownMode struct {
 	name string
-	// off ignores cooldowns. shared applies a cooldown requested from one node at all nodes.
-	off, shared bool
+	// ignored disables cooldowns. shared applies a cooldown requested from one node at all nodes.
+	ignored, shared bool
 	// jitter lengthens each cooldown by up to this fraction.
 	jitter float64
 	// probing sends one request at a time after a cooldown until one is answered.
 	probing bool
 }
 
-// shape is a deployment, its load and its faults.
-type shape struct {
-	name                 string
-	nodeCount, instances int
-	slots, queue         int
-	work                 time.Duration
-	asked                time.Duration
-	perSecond, burst     float64
-	shedding             int
-	shedFrom, shedUntil  time.Duration
-	burstFrom, burstLast time.Duration
-	length               time.Duration
+// scenario is a deployment, its load and its faults.
+type scenario struct {
+	name                  string
+	nodeCount, instances  int
+	slots, queue          int
+	serviceTime           time.Duration
+	cooldown              time.Duration
+	baseRate, burstRate   float64
+	sheddingCount         int
+	shedFrom, shedUntil   time.Duration
+	burstFrom, burstUntil time.Duration
+	duration              time.Duration
 }
 
-// history is the state of one simulation.
-type history struct {
-	shape
-	heeding
-	rng    *rand.Rand
-	now    time.Time
-	events events
-	nodes  []*historyNode
-	ins    []*historyInstance
-	// sent counts the requests that reached an instance and turned those that it rejected.
+// sim is the state of one simulation.
+type sim struct {
+	scenario
+	cooldownMode
+	rng     *rand.Rand
+	now     time.Time
+	events  events
+	nodes   []*simNode
+	targets []*simInstance
+	// sent counts the requests that reached an instance, rejected those that it turned away.
 	// served and refused count the outcomes for callers.
-	sent, turned, served, refused int
-	// waited is the total latency of served requests.
-	waited time.Duration
+	sent, rejected, served, refused int
+	// latency is the total latency of served requests.
+	latency time.Duration
 }
 
-// historyNode is a simulated node.
-type historyNode struct {
+// simNode is a simulated node.
+type simNode struct {
 	table *dispatch.Table
 	book  *cooldown.Book
-	// probe has an entry for each instance that has answered nothing since it asked for a
+	// probeInFlight has an entry for each instance that has answered nothing since it asked for a
 	// cooldown: whether a request after the cooldown is in flight.
-	probe map[state.InstanceID]bool
-	holds map[state.InstanceID]int
+	probeInFlight map[state.InstanceID]bool
+	inFlight      map[state.InstanceID]int
 }
 
-// historyInstance is a simulated instance.
-type historyInstance struct {
+// simInstance is a simulated instance.
+type simInstance struct {
 	fleet.Instance
-	sheds            bool
+	isShedding       bool
 	running, waiting int
 	queue            []func()
 }
@@ -98,37 +98,37 @@
 	return x
 }
 
-// in schedules do to run after d.
-func (h *history) in(d time.Duration, do func()) { heap.Push(&h.events, event{h.now.Add(d), do}) }
+// schedule runs do after d of simulated time.
+func (h *sim) schedule(d time.Duration, do func()) { heap.Push(&h.events, event{h.now.Add(d), do}) }
 
 // Parameters of the simulations.
 const (
-	hop          = 2 * time.Millisecond
-	reportsEvery = 250 * time.Millisecond
-	mostSends    = 4
+	networkDelay   = 2 * time.Millisecond
+	reportInterval = 250 * time.Millisecond
+	maxSends       = 4
 )
 
-// runHistory runs a simulation.
-func runHistory(s shape, w heeding, seed uint64) *history {
-	h := &history{shape: s, heeding: w, rng: rand.New(rand.NewPCG(seed, 1)), now: start}
+// simulate runs a simulation.
+func simulate(s scenario, mode cooldownMode, seed uint64) *sim {
+	h := &sim{scenario: s, cooldownMode: mode, rng: rand.New(rand.NewPCG(seed, 1)), now: start}
 	var views []roster.View
 	for i := range s.instances {
-		in := &historyInstance{Instance: fleet.Instance{ID: state.InstanceID(fmt.Sprint("i", i)), Service: "plain", Slots: s.slots}, sheds: i < s.shedding}
-		h.ins = append(h.ins, in)
+		in := &simInstance{Instance: fleet.Instance{ID: state.InstanceID(fmt.Sprint("i", i)), Service: "plain", Slots: s.slots}, isShedding: i < s.sheddingCount}
+		h.targets = append(h.targets, in)
 		views = append(views, roster.View{Instance: in.Instance})
 	}
 	c := catalog.New(1, nil, []catalog.Service{{Name: "plain"}}, nil, catalog.Limits{})
 	for range s.nodeCount {
-		n := &historyNode{
+		n := &simNode{
 			table: dispatch.NewTable("", dispatch.DefaultPolicy()), book: cooldown.NewBook(cooldown.DefaultPolicy()),
-			probe: map[state.InstanceID]bool{}, holds: map[state.InstanceID]int{},
+			probeInFlight: map[state.InstanceID]bool{}, inFlight: map[state.InstanceID]int{},
 		}
 		n.table.Update(c, views, func(fleet.GroupKey) bool { return false })
 		h.nodes = append(h.nodes, n)
 	}
-	h.in(0, h.arrive)
-	h.in(0, h.report)
-	end := start.Add(s.length)
+	h.schedule(0, h.arrive)
+	h.schedule(0, h.report)
+	end := start.Add(s.duration)
 	for len(h.events) > 0 {
 		e := heap.Pop(&h.events).(event)
 		if e.at.After(end) {
@@ -141,81 +141,81 @@
 }
 
 // arrive sends one request to a node and schedules the next.
-func (h *history) arrive() {
+func (h *sim) arrive() {
 	at := h.now.Sub(start)
-	rate := h.perSecond
-	if at >= h.burstFrom && at < h.burstLast {
-		rate = h.burst
+	rate := h.baseRate
+	if at >= h.burstFrom && at < h.burstUntil {
+		rate = h.burstRate
 	}
-	h.in(time.Duration(h.rng.ExpFloat64()/rate*float64(time.Second)), h.arrive)
+	h.schedule(time.Duration(h.rng.ExpFloat64()/rate*float64(time.Second)), h.arrive)
 	h.send(h.nodes[h.rng.IntN(len(h.nodes))], nil, h.now, 0)
 }
 
 // report updates every node with the requests that the other nodes have in flight.
-func (h *history) report() {
-	h.in(reportsEvery, h.report)
+func (h *sim) report() {
+	h.schedule(reportInterval, h.report)
 	all := map[state.InstanceID]int{}
 	for _, n := range h.nodes {
-		for id, held := range n.holds {
+		for id, held := range n.inFlight {
 			all[id] += held
 		}
 	}
 	for _, n := range h.nodes {
 		others := map[state.InstanceID]int{}
 		for id, held := range all {
-			others[id] = held - n.holds[id]
+			others[id] = held - n.inFlight[id]
 		}
 		n.table.SetOthers(others, nil, nil)
 	}
 }
 
-// closed reports whether a node currently sends no requests to an instance.
-func (h *history) closed(n *historyNode, id state.InstanceID) bool {
+// isBlocked reports whether a node currently sends no requests to an instance.
+func (h *sim) isBlocked(n *simNode, id state.InstanceID) bool {
 	_, cooling := n.book.Until(fleet.Incarnation{ID: id}, h.now)
-	return cooling || h.probing && n.probe[id]
+	return cooling || h.probing && n.probeInFlight[id]
 }
 
 // send sends a request from a node to the next instance, or refuses it.
-func (h *history) send(n *historyNode, tried []state.InstanceID, arrived time.Time, sends int) {
+func (h *sim) send(n *simNode, tried []state.InstanceID, arrived time.Time, sends int) {
 	c := n.table.Pick("plain", "", h.now, func(c *dispatch.Candidate) bool {
 		for _, id := range tried {
 			if id == c.ID {
 				return true
 			}
 		}
-		return h.closed(n, c.ID)
+		return h.isBlocked(n, c.ID)
 	})
-	if c == nil || sends >= mostSends || sends == 0 && c.Full(h.now) {
+	if c == nil || sends >= maxSends || sends == 0 && c.Full(h.now) {
 		h.refused++
 		return
 	}
-	if _, probing := n.probe[c.ID]; probing {
-		n.probe[c.ID] = true
+	if _, probing := n.probeInFlight[c.ID]; probing {
+		n.probeInFlight[c.ID] = true
 	}
 	hold := c.Hold(0, h.now)
-	n.holds[c.ID]++
-	done := func() { hold.End(); n.holds[c.ID]-- }
-	for _, in := range h.ins {
+	n.inFlight[c.ID]++
+	done := func() { hold.End(); n.inFlight[c.ID]-- }
+	for _, in := range h.targets {
 		if in.ID == c.ID {
-			h.in(hop, func() { h.reach(n, in, append(tried, c.ID), arrived, sends+1, done) })
+			h.schedule(networkDelay, func() { h.deliver(n, in, append(tried, c.ID), arrived, sends+1, done) })
 		}
 	}
 }
 
-// reach handles the arrival of a request at an instance.
-func (h *history) reach(n *historyNode, in *historyInstance, tried []state.InstanceID, arrived time.Time, sends int, done func()) {
+// deliver handles the arrival of a request at an instance.
+func (h *sim) deliver(n *simNode, in *simInstance, tried []state.InstanceID, arrived time.Time, sends int, done func()) {
 	h.sent++
 	at := h.now.Sub(start)
-	if in.sheds && at >= h.shedFrom && at < h.shedUntil || in.running >= h.slots && in.waiting >= h.queue {
-		h.turned++
-		h.in(hop, func() {
+	if in.isShedding && at >= h.shedFrom && at < h.shedUntil || in.running >= h.slots && in.waiting >= h.queue {
+		h.rejected++
+		h.schedule(networkDelay, func() {
 			done()
-			h.ask(n, in)
+			h.requestCooldown(n, in)
 			h.send(n, tried, arrived, sends)
 		})
 		return
 	}
-	run := func() { h.run(n, in, arrived, done) }
+	run := func() { h.serve(n, in, arrived, done) }
 	if in.running >= h.slots {
 		in.waiting++
 		in.queue = append(in.queue, run)
@@ -224,10 +224,10 @@
 	run()
 }
 
-// run serves a request and then starts the next queued one.
-func (h *history) run(n *historyNode, in *historyInstance, arrived time.Time, done func()) {
+// serve serves a request and then starts the next queued one.
+func (h *sim) serve(n *simNode, in *simInstance, arrived time.Time, done func()) {
 	in.running++
-	h.in(time.Duration((0.5+h.rng.Float64())*float64(h.work)), func() {
+	h.schedule(time.Duration((0.5+h.rng.Float64())*float64(h.serviceTime)), func() {
 		in.running--
 		if len(in.queue) > 0 {
 			next := in.queue[0]
@@ -235,89 +235,90 @@
 			in.waiting--
 			next()
 		}
-		h.in(hop, func() {
+		h.schedule(networkDelay, func() {
 			done()
-			delete(n.probe, in.ID)
+			delete(n.probeInFlight, in.ID)
 			h.served++
-			h.waited += h.now.Sub(arrived)
+			h.latency += h.now.Sub(arrived)
 		})
 	})
 }
 
-// ask requests a cooldown for an instance at a node, and at all nodes if cooldowns are shared.
-func (h *history) ask(n *historyNode, in *historyInstance) {
-	if h.off {
+// requestCooldown requests a cooldown for an instance at a node, and at all nodes if cooldowns
+// are shared.
+func (h *sim) requestCooldown(n *simNode, in *simInstance) {
+	if h.ignored {
 		return
 	}
-	d := time.Duration(float64(h.asked) * (1 + h.jitter*h.rng.Float64()))
-	ask := func(n *historyNode) {
+	d := time.Duration(float64(h.cooldown) * (1 + h.jitter*h.rng.Float64()))
+	request := func(n *simNode) {
 		n.book.Ask(fleet.Incarnation{ID: in.ID}, d, h.now)
-		n.probe[in.ID] = false
+		n.probeInFlight[in.ID] = false
 	}
-	ask(n)
+	request(n)
 	if !h.shared {
 		return
 	}
-	h.in(reportsEvery/2, func() {
+	h.schedule(reportInterval/2, func() {
 		for _, other := range h.nodes {
-			ask(other)
+			request(other)
 		}
 	})
 }
 
-// ways are the ways of applying cooldowns that are compared. Cooldowns shared by all nodes lose
+// modes are the ways of applying cooldowns that are compared. Cooldowns shared by all nodes lose
 // most requests under overload. Of about 6,000 requests that arrive at 1.5 times the capacity
 // for 5 s, the mean number served over 8 runs each is 5,250 with cooldowns ignored, 4,314 with
 // cooldowns at the node that was asked, 4,386 with jitter, 4,276 with one request first, and
 // 772 with cooldowns at all nodes.
-var ways = []heeding{
-	{name: "ignored", off: true},
+var modes = []cooldownMode{
+	{name: "ignored", ignored: true},
 	{name: "own node", jitter: 0},
 	{name: "own node, jitter of a third", jitter: 0.33},
 	{name: "own node, one request first", probing: true},
 	{name: "all nodes", shared: true},
 }
 
-// shapes are the simulated deployments. Unless the name says otherwise, 9 nodes send to
+// scenarios are the simulated deployments. Unless the name says otherwise, 9 nodes send to
 // instances that have 6 slots and a queue of 4 and ask for cooldowns of 3 s.
-var shapes = []shape{
+var scenarios = []scenario{
 	{
-		name: "one of three sheds for 8 s", nodeCount: 9, instances: 3, slots: 6, queue: 4, work: 60 * time.Millisecond, asked: 3 * time.Second,
-		perSecond: 60, shedding: 1, shedFrom: 5 * time.Second, shedUntil: 13 * time.Second, length: 30 * time.Second,
+		name: "one of three sheds for 8 s", nodeCount: 9, instances: 3, slots: 6, queue: 4, serviceTime: 60 * time.Millisecond, cooldown: 3 * time.Second,
+		baseRate: 60, sheddingCount: 1, shedFrom: 5 * time.Second, shedUntil: 13 * time.Second, duration: 30 * time.Second,
 	},
 	{
-		name: "two of three shed for 8 s", nodeCount: 9, instances: 3, slots: 6, queue: 4, work: 60 * time.Millisecond, asked: 3 * time.Second,
-		perSecond: 60, shedding: 2, shedFrom: 5 * time.Second, shedUntil: 13 * time.Second, length: 30 * time.Second,
+		name: "two of three shed for 8 s", nodeCount: 9, instances: 3, slots: 6, queue: 4, serviceTime: 60 * time.Millisecond, cooldown: 3 * time.Second,
+		baseRate: 60, sheddingCount: 2, shedFrom: 5 * time.Second, shedUntil: 13 * time.Second, duration: 30 * time.Second,
 	},
 	{
-		name: "one and a half times the capacity for 5 s", nodeCount: 9, instances: 3, slots: 6, queue: 4, work: 60 * time.Millisecond, asked: 3 * time.Second,
-		perSecond: 150, burst: 450, burstFrom: 5 * time.Second, burstLast: 10 * time.Second, length: 30 * time.Second,
+		name: "one and a half times the capacity for 5 s", nodeCount: 9, instances: 3, slots: 6, queue: 4, serviceTime: 60 * time.Millisecond, cooldown: 3 * time.Second,
+		baseRate: 150, burstRate: 450, burstFrom: 5 * time.Second, burstUntil: 10 * time.Second, duration: 30 * time.Second,
 	},
 	{
-		name: "the same, asking for 0.5 s", nodeCount: 9, instances: 3, slots: 6, queue: 4, work: 60 * time.Millisecond, asked: 500 * time.Millisecond,
-		perSecond: 150, burst: 450, burstFrom: 5 * time.Second, burstLast: 10 * time.Second, length: 30 * time.Second,
+		name: "the same, asking for 0.5 s", nodeCount: 9, instances: 3, slots: 6, queue: 4, serviceTime: 60 * time.Millisecond, cooldown: 500 * time.Millisecond,
+		baseRate: 150, burstRate: 450, burstFrom: 5 * time.Second, burstUntil: 10 * time.Second, duration: 30 * time.Second,
 	},
 	{
-		name: "85 nodes, 6 of 30 shed for 8 s", nodeCount: 85, instances: 30, slots: 6, queue: 4, work: 60 * time.Millisecond, asked: 3 * time.Second,
-		perSecond: 2000, shedding: 6, shedFrom: 5 * time.Second, shedUntil: 13 * time.Second, length: 20 * time.Second,
+		name: "85 nodes, 6 of 30 shed for 8 s", nodeCount: 85, instances: 30, slots: 6, queue: 4, serviceTime: 60 * time.Millisecond, cooldown: 3 * time.Second,
+		baseRate: 2000, sheddingCount: 6, shedFrom: 5 * time.Second, shedUntil: 13 * time.Second, duration: 20 * time.Second,
 	},
 }
 
 func BenchmarkWaysOfHeedingCooldowns(b *testing.B) {
-	for _, s := range shapes {
-		for _, w := range ways {
-			b.Run(s.name+"/"+w.name, func(b *testing.B) {
-				var sent, turned, served, refused int
-				var waited time.Duration
+	for _, s := range scenarios {
+		for _, mode := range modes {
+			b.Run(s.name+"/"+mode.name, func(b *testing.B) {
+				var sent, rejected, served, refused int
+				var latency time.Duration
 				for n := 0; b.Loop(); n++ {
-					h := runHistory(s, w, uint64(n))
-					sent, turned, served, refused, waited = sent+h.sent, turned+h.turned, served+h.served, refused+h.refused, waited+h.waited
+					h := simulate(s, mode, uint64(n))
+					sent, rejected, served, refused, latency = sent+h.sent, rejected+h.rejected, served+h.served, refused+h.refused, latency+h.latency
 				}
 				runs := float64(b.N)
-				b.ReportMetric(float64(turned)/runs, "turned-away")
+				b.ReportMetric(float64(rejected)/runs, "turned-away")
 				b.ReportMetric(float64(refused)/runs, "refused")
 				b.ReportMetric(float64(served)/runs, "served")
-				b.ReportMetric(float64(waited.Milliseconds())/float64(max(served, 1)), "ms/served")
+				b.ReportMetric(float64(latency.Milliseconds())/float64(max(served, 1)), "ms/served")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/coordination/cooldown/policy.go
+++ b/coordination/cooldown/policy.go
@@ -4,15 +4,15 @@
 
 // Policy bounds the cooldowns that instances may request.
 type Policy struct {
-	// Max bounds the length of a cooldown, so that a wrong value does not take an instance out
-	// of service for days. It is far above the seconds that instances ask for.
-	Max time.Duration `flag:"max" help:"maximum length of a cooldown" min:"1s" max:"24h"`
-	// Calls is the number of orders and probes in one cooldown after which probes wait for its
+	// MaxDuration bounds the length of a cooldown, so that a wrong value does not take an
+	// instance out of service for days. It is far above the seconds that instances ask for.
+	MaxDuration time.Duration `flag:"max" help:"maximum length of a cooldown" min:"1s" max:"24h"`
+	// MaxCalls is the number of orders and probes in one cooldown after which probes wait for its
 	// end. That many calls suffice to detect that an instance no longer answers.
-	Calls int `flag:"calls" help:"number of orders and probes in a cooldown after which probes wait for its end" min:"0" max:"100"`
+	MaxCalls int `flag:"calls" help:"number of orders and probes in a cooldown after which probes wait for its end" min:"0" max:"100"`
 }
 
 // DefaultPolicy returns the default policy of a node.
 func DefaultPolicy() Policy {
-	return Policy{Max: 10 * time.Minute, Calls: 2}
+	return Policy{MaxDuration: 10 * time.Minute, MaxCalls: 2}
 }
