--- a/coordination/ratelimit/book.go
+++ b/coordination/ratelimit/book.go
@@ -25,47 +25,47 @@
 	mu      sync.Mutex
 	version uint64
 	entries map[state.InstanceID]*entry
-	sends   map[state.InstanceID]*window.Counter
-	// swept is when empty counters were last removed from sends.
-	swept time.Time
+	calls   map[state.InstanceID]*window.Counter
+	// sweptAt is when empty counters were last removed from calls.
+	sweptAt time.Time
 }
 
 // entry is the state of one instance's limit.
 type entry struct {
 	Limit
-	// stamp is the version of the Book at the last change.
-	stamp uint64
-	// toldAt is when the instance announced the last change to this node. It is zero if the
+	// version is the version of the Book at the last change.
+	version uint64
+	// observedAt is when the instance announced the last change to this node. It is zero if the
 	// change came from another node.
-	toldAt time.Time
+	observedAt time.Time
 	// grants holds the expiry time of each unused grant, earliest first. A request must be sent before it.
 	grants []time.Time
-	// lapsed is the number of grants that expired unused, the last of them at lapsedAt.
-	lapsed   int
-	lapsedAt time.Time
-	// questioned is when the last probe was sent to the instance.
-	questioned time.Time
+	// expired is the number of grants that expired unused, the last of them at expiredAt.
+	expired   int
+	expiredAt time.Time
+	// probedAt is when the last probe was sent to the instance.
+	probedAt time.Time
 }
 
 // NewBook returns an empty Book.
 func NewBook(policy Policy) *Book {
-	return &Book{policy: policy, entries: map[state.InstanceID]*entry{}, sends: map[state.InstanceID]*window.Counter{}}
+	return &Book{policy: policy, entries: map[state.InstanceID]*entry{}, calls: map[state.InstanceID]*window.Counter{}}
 }
 
-// Observe records the limit stated in an answer to this node. asked is when the request was
-// sent, answered when its answer arrived.
-func (b *Book) Observe(in fleet.Incarnation, said fleet.RateLimit, asked, answered time.Time) Change {
-	if !said.Said || !said.Limited && b.known.Load() == 0 {
+// Observe records the limit stated in an answer to this node. sentAt is when the request was
+// sent, answeredAt when its answer arrived.
+func (b *Book) Observe(in fleet.Incarnation, stated fleet.RateLimit, sentAt, answeredAt time.Time) Change {
+	if !stated.Said || !stated.Limited && b.known.Load() == 0 {
 		return Unchanged
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !said.Limited && b.find(in) == nil {
+	if !stated.Limited && b.find(in) == nil {
 		return Unchanged
 	}
-	change := b.record(Limit{Instance: in, Ended: !said.Limited, PerSecond: said.PerSecond, Asked: asked, Answered: answered}, answered)
+	change := b.update(Limit{Instance: in, Ended: !stated.Limited, PerSecond: stated.PerSecond, Asked: sentAt, Answered: answeredAt}, answeredAt)
 	if change != Unchanged {
-		b.entries[in.ID].toldAt = answered
+		b.entries[in.ID].observedAt = answeredAt
 	}
 	return change
 }
@@ -74,51 +74,51 @@
 func (b *Book) Merge(l Limit, now time.Time) Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.record(l, now)
+	return b.update(l, now)
 }
 
-// record updates the entry of an instance unless the known limit takes precedence over l. b.mu is held.
-func (b *Book) record(l Limit, now time.Time) Change {
+// update updates the entry of an instance unless the known limit takes precedence over l. b.mu is held.
+func (b *Book) update(l Limit, now time.Time) Change {
 	e := b.entries[l.Instance.ID]
 	switch {
 	case e == nil || l.Instance.LaterThan(e.Instance):
-		return b.begin(l, now)
+		return b.insert(l, now)
 	case e.Instance.LaterThan(l.Instance):
 		return Unchanged
-	case l.same(&e.Limit):
+	case l.equal(&e.Limit):
 		e.confirm(&l)
 		return Unchanged
 	case !l.replaces(&e.Limit):
 		return Unchanged
 	}
 	before := e.Limit
-	change := l.change(&before)
+	change := l.changeFrom(&before)
 	l.Since = e.Since
 	if change == Began {
 		l.Since = now
 	}
-	b.active.Add(inForce(&l) - inForce(&before))
-	e.Limit, e.toldAt = l, time.Time{}
+	b.active.Add(inForceCount(&l) - inForceCount(&before))
+	e.Limit, e.observedAt = l, time.Time{}
 	if change != Changed || l.stricter(&before) {
 		e.grants = nil // issued for a rate that no longer applies
 	}
-	b.stamp(e)
+	b.markChanged(e)
 	return change
 }
 
-// begin records the first known limit of an incarnation of an instance. b.mu is held.
-func (b *Book) begin(l Limit, now time.Time) Change {
+// insert records the first known limit of an incarnation of an instance. b.mu is held.
+func (b *Book) insert(l Limit, now time.Time) Change {
 	before := b.entries[l.Instance.ID]
 	if before != nil {
-		b.active.Add(-inForce(&before.Limit))
+		b.active.Add(-inForceCount(&before.Limit))
 		b.known.Add(-1)
 	}
 	l.Since = now
 	e := &entry{Limit: l}
 	b.entries[l.Instance.ID] = e
 	b.known.Add(1)
-	b.active.Add(inForce(&l))
-	b.stamp(e)
+	b.active.Add(inForceCount(&l))
+	b.markChanged(e)
 	switch {
 	case !l.Ended:
 		return Began
@@ -128,14 +128,14 @@
 	return Unchanged
 }
 
-// stamp marks an entry as changed. b.mu is held.
-func (b *Book) stamp(e *entry) {
+// markChanged marks an entry as changed. b.mu is held.
+func (b *Book) markChanged(e *entry) {
 	b.version++
-	e.stamp = b.version
+	e.version = b.version
 }
 
-// inForce returns 1 if l is in force, else 0.
-func inForce(l *Limit) int64 {
+// inForceCount returns 1 if l is in force, else 0.
+func inForceCount(l *Limit) int64 {
 	if l.Ended {
 		return 0
 	}
@@ -151,8 +151,8 @@
 	return e
 }
 
-// limited returns the entry of an incarnation if its limit is in force, else nil. b.mu is held.
-func (b *Book) limited(in fleet.Incarnation) *entry {
+// findInForce returns the entry of an incarnation if its limit is in force, else nil. b.mu is held.
+func (b *Book) findInForce(in fleet.Incarnation) *entry {
 	if e := b.find(in); e != nil && !e.Ended {
 		return e
 	}
@@ -167,7 +167,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.limited(in)
+	e := b.findInForce(in)
 	if e == nil {
 		return 0, false
 	}
@@ -182,7 +182,7 @@
 	if !b.Any() {
 		return nil
 	}
-	return b.list(func(e *entry) bool { return !e.Ended })
+	return b.collect(func(e *entry) bool { return !e.Ended })
 }
 
 // ToldLately returns the limits, in force or ended, whose last change an instance announced to
@@ -191,32 +191,32 @@
 	if b.known.Load() == 0 {
 		return nil
 	}
-	return b.list(func(e *entry) bool { return !e.toldAt.IsZero() && now.Sub(e.toldAt) < b.policy.ReportFor })
+	return b.collect(func(e *entry) bool { return !e.observedAt.IsZero() && now.Sub(e.observedAt) < b.policy.ReportFor })
 }
 
 // Since returns the limits that changed after a version, sorted by instance ID, and the current version.
 func (b *Book) Since(after uint64) ([]Limit, uint64) {
-	version := b.now() // read before the list, so that a concurrent change is returned again rather than lost
+	version := b.currentVersion() // read before the list, so that a concurrent change is returned again rather than lost
 	if b.known.Load() == 0 {
 		return nil, version
 	}
-	return b.list(func(e *entry) bool { return e.stamp > after }), version
+	return b.collect(func(e *entry) bool { return e.version > after }), version
 }
 
-// now returns the current version of the Book.
-func (b *Book) now() uint64 {
+// currentVersion returns the current version of the Book.
+func (b *Book) currentVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.version
 }
 
-// list returns the limits whose entries satisfy wanted, sorted by instance ID.
-func (b *Book) list(wanted func(*entry) bool) []Limit {
+// collect returns the limits whose entries satisfy match, sorted by instance ID.
+func (b *Book) collect(match func(*entry) bool) []Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []Limit
 	for _, e := range b.entries {
-		if wanted(e) {
+		if match(e) {
 			list = append(list, e.Limit)
 		}
 	}
@@ -224,26 +224,26 @@
 	return list
 }
 
-// Sweep removes the limits that ended more than Policy.EndedFor ago, those of incarnations for
+// Sweep removes the limits that ended more than Policy.EndedTTL ago, those of incarnations for
 // which known reports false, and the counters without a call within the window.
 func (b *Book) Sweep(now time.Time, known func(fleet.Incarnation) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, e := range b.entries {
-		if known(e.Instance) && (!e.Ended || now.Sub(e.Answered) < b.policy.EndedFor) {
+		if known(e.Instance) && (!e.Ended || now.Sub(e.Answered) < b.policy.EndedTTL) {
 			continue
 		}
-		b.active.Add(-inForce(&e.Limit))
+		b.active.Add(-inForceCount(&e.Limit))
 		b.known.Add(-1)
 		delete(b.entries, id)
 	}
-	if now.Sub(b.swept) < b.policy.Window {
+	if now.Sub(b.sweptAt) < b.policy.Window {
 		return // there may be thousands of counters: check them once per window
 	}
-	b.swept = now
-	for id, c := range b.sends {
+	b.sweptAt = now
+	for id, c := range b.calls {
 		if c.Within(now, b.policy.Window) == 0 {
-			delete(b.sends, id)
+			delete(b.calls, id)
 		}
 	}
 }
--- a/coordination/ratelimit/book_test.go
+++ b/coordination/ratelimit/book_test.go
@@ -13,8 +13,8 @@
 
 var (
 	// start is aligned to the parts of a window.Counter, so that counts are the same in each run.
-	start = aligned(time.Unix(1000, 0))
-	one   = fleet.Incarnation{ID: "i", Life: "5000"}
+	start    = aligned(time.Unix(1000, 0))
+	instance = fleet.Incarnation{ID: "i", Life: "5000"}
 )
 
 // aligned returns t rounded down to a multiple of the window on the steady clock.
@@ -28,16 +28,16 @@
 // limitedBook returns a Book with one limit, announced at start.
 func limitedBook(perSecond float64) *Book {
 	b := NewBook(DefaultPolicy())
-	b.Observe(one, fleet.LimitedTo(perSecond), start, start)
+	b.Observe(instance, fleet.LimitedTo(perSecond), start, start)
 	return b
 }
 
 // Answers can arrive out of order: the head of a stream may be written before another answer
 // and arrive after it. If either may be the newer one, the lower limit applies.
-func TestAnswersThatOvertakeEachOther(t *testing.T) {
+func TestStricterLimitAppliesWhenAnswersArriveOutOfOrder(t *testing.T) {
 	type answer struct {
-		said            fleet.RateLimit
-		asked, answered int
+		stated             fleet.RateLimit
+		sentAt, answeredAt int
 	}
 	none := fleet.Unlimited()
 	for _, c := range []struct {
@@ -64,14 +64,14 @@
 			g := NewWithT(t)
 			b, other := NewBook(DefaultPolicy()), NewBook(DefaultPolicy())
 			for _, a := range c.answers {
-				b.Observe(one, a.said, at(a.asked), at(a.answered))
+				b.Observe(instance, a.stated, at(a.sentAt), at(a.answeredAt))
 				list, _ := b.Since(0)
 				for _, l := range list {
-					other.Merge(l, at(a.answered))
+					other.Merge(l, at(a.answeredAt))
 				}
 			}
 			for _, b := range []*Book{b, other} {
-				perSecond, limited := b.Limited(one)
+				perSecond, limited := b.Limited(instance)
 				g.Expect(limited).To(Equal(c.want >= 0))
 				if limited {
 					g.Expect(perSecond).To(Equal(c.want))
@@ -82,10 +82,10 @@
 	}
 }
 
-func TestALimitBelongsToALife(t *testing.T) {
+func TestLimitAppliesToOneIncarnation(t *testing.T) {
 	for _, c := range []struct {
-		name, known, asked string
-		limited            bool
+		name, known, queried string
+		limited              bool
 	}{
 		{"the same incarnation", "5000", "5000", true},
 		{"a later incarnation", "5000", "6000", false},
@@ -98,7 +98,7 @@
 			g := NewWithT(t)
 			b := NewBook(DefaultPolicy())
 			b.Observe(fleet.Incarnation{ID: "i", Life: c.known}, fleet.LimitedTo(2), start, start)
-			in := fleet.Incarnation{ID: "i", Life: c.asked}
+			in := fleet.Incarnation{ID: "i", Life: c.queried}
 			_, limited := b.Limited(in)
 			g.Expect(limited).To(Equal(c.limited))
 			g.Expect(b.Open(in, at(1))).To(Equal(!c.limited))
@@ -107,31 +107,31 @@
 	}
 }
 
-func TestALaterLifeBeginsWithoutTheLimit(t *testing.T) {
+func TestLaterIncarnationStartsWithoutLimit(t *testing.T) {
 	g := NewWithT(t)
 	b, later := limitedBook(2), fleet.Incarnation{ID: "i", Life: "6000"}
 	b.Granted([]Grant{{"i", 3}}, at(1000))
 	g.Expect(b.Observe(later, fleet.Unlimited(), at(5), at(6))).To(Equal(Unchanged))
 	g.Expect(b.Observe(later, fleet.LimitedTo(1), at(10), at(20))).To(Equal(Began))
 	g.Expect(b.Open(later, at(21))).To(BeFalse(), "the grants were for the earlier incarnation")
-	g.Expect(b.Observe(one, fleet.LimitedTo(9), at(30), at(40))).To(Equal(Unchanged), "a late answer of the earlier incarnation")
+	g.Expect(b.Observe(instance, fleet.LimitedTo(9), at(30), at(40))).To(Equal(Unchanged), "a late answer of the earlier incarnation")
 	perSecond, _ := b.Limited(later)
 	g.Expect(perSecond).To(Equal(1.0))
 }
 
-func TestGrantsAreUsedOnceWithinTheirTimeAndUnderTheLimitTheyWereMadeBy(t *testing.T) {
+func TestGrantIsUsedOnceBeforeItExpiresAndUnderItsLimit(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		then func(b *Book)
 		want int
 	}{
 		{"used", func(*Book) {}, 2},
-		{"expired", func(b *Book) { b.Open(one, at(500)) }, 0},
-		{"lower limit", func(b *Book) { b.Observe(one, fleet.LimitedTo(1), at(10), at(20)) }, 0},
-		{"higher limit", func(b *Book) { b.Observe(one, fleet.LimitedTo(3), at(10), at(20)) }, 2},
+		{"expired", func(b *Book) { b.Open(instance, at(500)) }, 0},
+		{"lower limit", func(b *Book) { b.Observe(instance, fleet.LimitedTo(1), at(10), at(20)) }, 0},
+		{"higher limit", func(b *Book) { b.Observe(instance, fleet.LimitedTo(3), at(10), at(20)) }, 2},
 		{"limit ended and began again", func(b *Book) {
-			b.Observe(one, fleet.Unlimited(), at(10), at(20))
-			b.Observe(one, fleet.LimitedTo(2), at(30), at(40))
+			b.Observe(instance, fleet.Unlimited(), at(10), at(20))
+			b.Observe(instance, fleet.LimitedTo(2), at(30), at(40))
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -141,12 +141,12 @@
 			c.then(b)
 			sent := 0
 			for range 5 {
-				if b.Send(one, at(100)) {
+				if b.Send(instance, at(100)) {
 					sent++
 				}
 			}
 			g.Expect(sent).To(Equal(c.want))
-			g.Expect(b.Open(one, at(100))).To(BeFalse())
+			g.Expect(b.Open(instance, at(100))).To(BeFalse())
 		})
 	}
 }
@@ -157,20 +157,20 @@
 	b := NewBook(DefaultPolicy())
 	g.Expect(b.Usage(start)).To(BeNil())
 	for range 3 {
-		g.Expect(b.Send(one, start)).To(BeTrue())
+		g.Expect(b.Send(instance, start)).To(BeTrue())
 	}
-	b.Observe(one, fleet.LimitedTo(2), at(10), at(20))
-	b.Order(one, at(30))
-	g.Expect(b.Question(one, Asker{Leading: true}, at(40))).To(BeTrue())
-	g.Expect(b.Send(one, at(50))).To(BeFalse())
+	b.Observe(instance, fleet.LimitedTo(2), at(10), at(20))
+	b.Order(instance, at(30))
+	g.Expect(b.Question(instance, Asker{Leading: true}, at(40))).To(BeTrue())
+	g.Expect(b.Send(instance, at(50))).To(BeFalse())
 	b.Granted([]Grant{{"i", 2}}, at(1000))
-	g.Expect(b.Send(one, at(60))).To(BeTrue())
-	g.Expect(b.Usage(at(100))).To(Equal(map[state.InstanceID]Usage{"i": {Sent: 6, Waiting: 1}}))
-	g.Expect(b.Usage(at(1500))).To(Equal(map[state.InstanceID]Usage{"i": {Sent: 6, Lapsed: 1}}))
+	g.Expect(b.Send(instance, at(60))).To(BeTrue())
+	g.Expect(b.Usage(at(100))).To(Equal(map[state.InstanceID]Usage{"i": {Sent: 6, Unused: 1}}))
+	g.Expect(b.Usage(at(1500))).To(Equal(map[state.InstanceID]Usage{"i": {Sent: 6, Expired: 1}}))
 	g.Expect(b.Usage(at(10000))).To(BeEmpty(), "no calls or grants within the window")
 }
 
-func TestQuestionsTakeAPartOfTheLimit(t *testing.T) {
+func TestProbesUseAFractionOfTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		perSecond float64
@@ -188,48 +188,48 @@
 			g := NewWithT(t)
 			b := limitedBook(c.perSecond)
 			if c.want == 0 {
-				g.Expect(b.Question(one, c.by, at(1))).To(BeFalse())
+				g.Expect(b.Question(instance, c.by, at(1))).To(BeFalse())
 				b.Granted([]Grant{{"i", 1}}, at(1000))
-				g.Expect(b.MayQuestion(one, c.by, at(2))).To(BeTrue())
-				g.Expect(b.Question(one, c.by, at(2))).To(BeTrue(), "the grant allows one probe")
-				g.Expect(b.Question(one, c.by, at(3))).To(BeFalse())
+				g.Expect(b.MayQuestion(instance, c.by, at(2))).To(BeTrue())
+				g.Expect(b.Question(instance, c.by, at(2))).To(BeTrue(), "the grant allows one probe")
+				g.Expect(b.Question(instance, c.by, at(3))).To(BeFalse())
 				return
 			}
-			g.Expect(b.Question(one, c.by, at(1))).To(BeTrue())
+			g.Expect(b.Question(instance, c.by, at(1))).To(BeTrue())
 			for _, now := range []time.Time{at(2), at(1).Add(c.want - time.Millisecond)} {
-				g.Expect(b.MayQuestion(one, c.by, now)).To(BeFalse())
-				g.Expect(b.Question(one, c.by, now)).To(BeFalse())
+				g.Expect(b.MayQuestion(instance, c.by, now)).To(BeFalse())
+				g.Expect(b.Question(instance, c.by, now)).To(BeFalse())
 			}
-			g.Expect(b.MayQuestion(one, c.by, at(1).Add(c.want))).To(BeTrue())
+			g.Expect(b.MayQuestion(instance, c.by, at(1).Add(c.want))).To(BeTrue())
 		})
 	}
 }
 
-func TestOthersAreToldOfChangesAndEndsAlone(t *testing.T) {
+func TestOnlyChangesAreReportedToOtherNodes(t *testing.T) {
 	g := NewWithT(t)
 	b, other := limitedBook(2), NewBook(DefaultPolicy())
-	tell := func(after uint64, now time.Time) (int, uint64) {
+	mergeChanges := func(after uint64, now time.Time) (int, uint64) {
 		list, version := b.Since(after)
 		for _, l := range list {
 			other.Merge(l, now)
 		}
 		return len(list), version
 	}
-	n, version := tell(0, at(1))
+	n, version := mergeChanges(0, at(1))
 	g.Expect(n).To(Equal(1))
-	b.Observe(one, fleet.LimitedTo(2), at(10), at(20))
-	n, version = tell(version, at(21))
+	b.Observe(instance, fleet.LimitedTo(2), at(10), at(20))
+	n, version = mergeChanges(version, at(21))
 	g.Expect(n).To(BeZero(), "the limit is unchanged")
 	g.Expect(b.ToldLately(at(30))).To(HaveLen(1))
 	g.Expect(other.ToldLately(at(30))).To(BeEmpty(), "the change came from another node")
-	b.Observe(one, fleet.Unlimited(), at(40), at(50))
-	n, _ = tell(version, at(60))
+	b.Observe(instance, fleet.Unlimited(), at(40), at(50))
+	n, _ = mergeChanges(version, at(60))
 	g.Expect(n).To(Equal(1))
 	g.Expect(other.Any()).To(BeFalse())
 	g.Expect(b.ToldLately(at(10000))).To(BeEmpty())
 }
 
-func TestLimitsOfInstancesThatAreGoneAreForgotten(t *testing.T) {
+func TestSweepRemovesLimitsOfUnknownIncarnationsAndOldEnds(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		ended bool
@@ -245,15 +245,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			b := limitedBook(2)
-			b.Order(one, start)
+			b.Order(instance, start)
 			if c.ended {
-				b.Observe(one, fleet.Unlimited(), at(10), at(20))
+				b.Observe(instance, fleet.Unlimited(), at(10), at(20))
 			}
 			b.Sweep(start.Add(c.after), func(fleet.Incarnation) bool { return c.known })
 			list, _ := b.Since(0)
 			g.Expect(list).To(HaveLen(c.want))
 			g.Expect(b.Any()).To(Equal(c.want == 1 && !c.ended))
-			g.Expect(b.sends).To(HaveLen(map[bool]int{true: 1}[c.after == time.Second]))
+			g.Expect(b.calls).To(HaveLen(map[bool]int{true: 1}[c.after == time.Second]))
 		})
 	}
 }
--- a/coordination/ratelimit/dealer.go
+++ b/coordination/ratelimit/dealer.go
@@ -33,159 +33,159 @@
 // concurrent use.
 type Dealer struct {
 	policy Policy
-	draw   func() float64
+	random func() float64
 
-	mu     sync.Mutex
-	stocks map[state.InstanceID]*stock
+	mu      sync.Mutex
+	buckets map[state.InstanceID]*bucket
 }
 
-// stock is a token bucket for the rate of one instance, and the grants issued from it.
-type stock struct {
-	// level is the number of tokens as of at. Each grant takes one.
-	level float64
-	at    time.Time
+// bucket is a token bucket for the rate of one instance, and the grants issued from it.
+type bucket struct {
+	// tokens is the number of tokens as of refilledAt. Each grant takes one.
+	tokens     float64
+	refilledAt time.Time
 	// perSecond is the limit at the last refill.
-	perSecond float64
-	hands     map[string]*hand
+	perSecond  float64
+	allotments map[string]*allotment
 }
 
-// hand holds the grants issued to one node from an instance's rate.
-type hand struct {
-	// waiting holds the issue time of each grant that the node has not collected yet.
-	waiting []time.Time
-	// pickedUp is the number of grants collected at pickedUpAt, which the node's status reports
-	// do not include yet.
-	pickedUp   int
-	pickedUpAt time.Time
-	// lapsed is the node's last reported number of expired grants. counted reports whether it
-	// has reported one.
-	lapsed  int
-	counted bool
+// allotment holds the grants issued to one node from an instance's rate.
+type allotment struct {
+	// uncollected holds the issue time of each grant that the node has not collected yet.
+	uncollected []time.Time
+	// collected is the number of grants collected at collectedAt, which the node's status
+	// reports do not include yet.
+	collected   int
+	collectedAt time.Time
+	// expired is the node's last reported number of expired grants. hasReported reports whether
+	// it has reported one.
+	expired     int
+	hasReported bool
 }
 
-// NewDealer returns a Dealer that chooses nodes by draw, which returns random numbers in [0, 1).
-func NewDealer(policy Policy, draw func() float64) *Dealer {
-	return &Dealer{policy: policy, draw: draw, stocks: map[state.InstanceID]*stock{}}
+// NewDealer returns a Dealer that chooses nodes by random, which returns random numbers in [0, 1).
+func NewDealer(policy Policy, random func() float64) *Dealer {
+	return &Dealer{policy: policy, random: random, buckets: map[state.InstanceID]*bucket{}}
 }
 
 // Deal issues grants for the part of each instance's rate that became available since the last round.
 func (d *Dealer) Deal(r Round, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	stocks := make(map[state.InstanceID]*stock, len(r.Limits))
+	buckets := make(map[state.InstanceID]*bucket, len(r.Limits))
 	for i := range r.Limits {
 		l := &r.Limits[i]
-		s := d.stocks[l.Instance.ID]
-		if s == nil {
-			s = &stock{at: now, hands: map[string]*hand{}, perSecond: l.PerSecond}
+		b := d.buckets[l.Instance.ID]
+		if b == nil {
+			b = &bucket{refilledAt: now, allotments: map[string]*allotment{}, perSecond: l.PerSecond}
 		}
-		s.refill(l.PerSecond, r.Part, now, &d.policy)
-		stocks[l.Instance.ID] = s
+		b.refill(l.PerSecond, r.Part, now, &d.policy)
+		buckets[l.Instance.ID] = b
 	}
-	d.stocks = stocks
-	sent, open := d.usage(r.Nodes)
+	d.buckets = buckets
+	sent, outstanding := d.usage(r.Nodes)
 	for i := range r.Limits {
 		l := &r.Limits[i]
-		s := stocks[l.Instance.ID]
-		d.deal(s, l, &r, sent[l.Instance.ID], open[l.Instance.ID]+s.inHand(now, &d.policy), now)
+		b := buckets[l.Instance.ID]
+		d.issue(b, l, &r, sent[l.Instance.ID], outstanding[l.Instance.ID]+b.unreported(now, &d.policy), now)
 	}
 }
 
 // usage sums the usage that nodes report for each instance: the calls sent within the window
 // and the unused grants. Tokens of grants that expired at a node are returned to the bucket.
 // d.mu is held.
-func (d *Dealer) usage(nodes []Node) (sent, open map[state.InstanceID]int) {
-	sent, open = map[state.InstanceID]int{}, map[state.InstanceID]int{}
+func (d *Dealer) usage(nodes []Node) (sent, outstanding map[state.InstanceID]int) {
+	sent, outstanding = map[state.InstanceID]int{}, map[state.InstanceID]int{}
 	for i := range nodes {
 		for id, u := range nodes[i].Usage {
 			sent[id] += u.Sent
-			open[id] += u.Waiting
-			if s := d.stocks[id]; s != nil {
-				s.takeBack(s.hand(nodes[i].Name), u.Lapsed)
+			outstanding[id] += u.Unused
+			if b := d.buckets[id]; b != nil {
+				b.reclaim(b.allotment(nodes[i].Name), u.Expired)
 			}
 		}
 	}
-	return sent, open
+	return sent, outstanding
 }
 
-// takeBack returns the tokens of grants that expired at a node since its last report.
-func (s *stock) takeBack(h *hand, lapsed int) {
-	if h.counted && lapsed > h.lapsed {
-		s.level += float64(lapsed - h.lapsed)
+// reclaim returns the tokens of grants that expired at a node since its last report.
+func (b *bucket) reclaim(a *allotment, expired int) {
+	if a.hasReported && expired > a.expired {
+		b.tokens += float64(expired - a.expired)
 	}
-	h.lapsed, h.counted = lapsed, true
+	a.expired, a.hasReported = expired, true
 }
 
-// inHand returns the number of issued grants that no status report includes yet. It takes
-// back the grants that were not collected within Policy.PickUpWithin.
-func (s *stock) inHand(now time.Time, p *Policy) int {
+// unreported returns the number of issued grants that no status report includes yet. It takes
+// back the grants that were not collected within Policy.CollectTimeout.
+func (b *bucket) unreported(now time.Time, p *Policy) int {
 	n := 0
-	for _, h := range s.hands {
-		for len(h.waiting) > 0 && now.Sub(h.waiting[0]) > p.PickUpWithin {
-			h.waiting = h.waiting[1:]
-			s.level++
+	for _, a := range b.allotments {
+		for len(a.uncollected) > 0 && now.Sub(a.uncollected[0]) > p.CollectTimeout {
+			a.uncollected = a.uncollected[1:]
+			b.tokens++
 		}
-		n += len(h.waiting)
-		if now.Sub(h.pickedUpAt) < p.GrantFor {
-			n += h.pickedUp
+		n += len(a.uncollected)
+		if now.Sub(a.collectedAt) < p.GrantFor {
+			n += a.collected
 		}
 	}
 	return n
 }
 
 // rate returns the rate at which grants may be issued for a limit, in requests a second.
-func (p *Policy) rate(perSecond, part float64) float64 { return min(perSecond, p.MaxRate) * part }
+func (p *Policy) rate(perSecond, share float64) float64 { return min(perSecond, p.MaxRate) * share }
 
 // refill adds the tokens for the time since the last refill. The bucket starts empty, and
 // again after a pause, since another node may have issued grants in the meantime.
-func (s *stock) refill(perSecond, part float64, now time.Time, p *Policy) {
-	rate := p.rate(perSecond, part)
-	past := now.Sub(s.at)
-	if perSecond < s.perSecond || past > p.GrantFor {
-		clear(s.hands) // issued for a rate that no longer applies, or expired
+func (b *bucket) refill(perSecond, share float64, now time.Time, p *Policy) {
+	rate := p.rate(perSecond, share)
+	elapsed := now.Sub(b.refilledAt)
+	if perSecond < b.perSecond || elapsed > p.GrantFor {
+		clear(b.allotments) // issued for a rate that no longer applies, or expired
 	}
-	s.at, s.perSecond = now, perSecond
-	if past > p.GrantFor {
-		s.level = 0
+	b.refilledAt, b.perSecond = now, perSecond
+	if elapsed > p.GrantFor {
+		b.tokens = 0
 		return
 	}
-	s.level = min(s.level+rate*past.Seconds(), max(rate*p.Burst.Seconds(), 1))
+	b.tokens = min(b.tokens+rate*elapsed.Seconds(), max(rate*p.Burst.Seconds(), 1))
 }
 
-// hand returns the grants issued to a node.
-func (s *stock) hand(node string) *hand {
-	h := s.hands[node]
-	if h == nil {
-		h = &hand{}
-		s.hands[node] = h
+// allotment returns the grants issued to a node.
+func (b *bucket) allotment(node string) *allotment {
+	a := b.allotments[node]
+	if a == nil {
+		a = &allotment{}
+		b.allotments[node] = a
 	}
-	return h
+	return a
 }
 
-// deal issues one grant per whole token. It bounds the outstanding grants to the requests that
+// issue issues one grant per whole token. It bounds the outstanding grants to the requests that
 // the instance accepts in Policy.GrantFor, plus two, since all nodes may use theirs at the same
 // moment. It bounds outstanding grants and calls sent within the window together to the
 // requests accepted in GrantFor plus the window, plus two.
-func (d *Dealer) deal(s *stock, l *Limit, r *Round, sent, open int, now time.Time) {
+func (d *Dealer) issue(b *bucket, l *Limit, r *Round, sent, outstanding int, now time.Time) {
 	rate := d.policy.rate(l.PerSecond, r.Part)
-	mostOpen := rate*d.policy.GrantFor.Seconds() + 1
-	most := mostOpen + rate*d.policy.Window.Seconds()
-	for ; s.level >= 1 && float64(open) <= mostOpen && float64(open+sent) <= most && len(r.Nodes) > 0; open++ {
-		h := s.hand(d.drawNode(r, l))
-		h.waiting = append(h.waiting, now)
-		s.level--
+	maxOutstanding := rate*d.policy.GrantFor.Seconds() + 1
+	maxTotal := maxOutstanding + rate*d.policy.Window.Seconds()
+	for ; b.tokens >= 1 && float64(outstanding) <= maxOutstanding && float64(outstanding+sent) <= maxTotal && len(r.Nodes) > 0; outstanding++ {
+		a := b.allotment(d.chooseNode(r, l))
+		a.uncollected = append(a.uncollected, now)
+		b.tokens--
 	}
 }
 
-// drawNode returns a random node, with probability proportional to its weight.
-func (d *Dealer) drawNode(r *Round, l *Limit) string {
+// chooseNode returns a random node, with probability proportional to its weight.
+func (d *Dealer) chooseNode(r *Round, l *Limit) string {
 	total := 0.0
 	for i := range r.Nodes {
 		total += r.Weight(r.Nodes[i].Name, l)
 	}
-	at := d.draw() * total
+	remaining := d.random() * total
 	for i := range r.Nodes {
-		if at -= r.Weight(r.Nodes[i].Name, l); at < 0 {
+		if remaining -= r.Weight(r.Nodes[i].Name, l); remaining < 0 {
 			return r.Nodes[i].Name
 		}
 	}
@@ -197,16 +197,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []Grant
-	for id, s := range d.stocks {
-		h := s.hands[node]
-		if h == nil {
+	for id, b := range d.buckets {
+		a := b.allotments[node]
+		if a == nil {
 			continue
 		}
-		h.pickedUp, h.pickedUpAt = len(h.waiting), now
-		if h.pickedUp > 0 {
-			list = append(list, Grant{Instance: id, Requests: h.pickedUp})
+		a.collected, a.collectedAt = len(a.uncollected), now
+		if a.collected > 0 {
+			list = append(list, Grant{Instance: id, Requests: a.collected})
 		}
-		h.waiting = nil
+		a.uncollected = nil
 	}
 	return list
 }
--- a/coordination/ratelimit/dealer_test.go
+++ b/coordination/ratelimit/dealer_test.go
@@ -17,29 +17,29 @@
 // network partition.
 type side struct {
 	dealer *Dealer
-	nodes  []*dealtNode
+	nodes  []*simNode
 	part   float64
 }
 
-// dealtNode is a simulated node that sends by grants.
-type dealtNode struct {
+// simNode is a simulated node that sends by grants.
+type simNode struct {
 	name string
 	book *Book
-	// report is the time of its next status report, usage the content of the last one.
-	report time.Time
-	usage  map[state.InstanceID]Usage
-	// asked is the rate of requests from its callers, per second.
-	asked float64
-	// frozen is the time until which it is suspended.
-	frozen time.Time
+	// nextReport is the time of its next status report, usage the content of the last one.
+	nextReport time.Time
+	usage      map[state.InstanceID]Usage
+	// demand is the rate of requests from its callers, per second.
+	demand float64
+	// suspendedUntil is the time until which it is suspended.
+	suspendedUntil time.Time
 }
 
 // newSide returns a side with the given number of all nodes.
 func newSide(name string, nodes, all int, perSecond float64, rng *rand.Rand) *side {
 	s := &side{dealer: NewDealer(DefaultPolicy(), rng.Float64), part: float64(nodes) / float64(all)}
 	for i := range nodes {
-		n := &dealtNode{name: fmt.Sprint(name, i), book: limitedBook(perSecond)}
-		n.report = start.Add(time.Duration(rng.Float64() * float64(statusEvery)))
+		n := &simNode{name: fmt.Sprint(name, i), book: limitedBook(perSecond)}
+		n.nextReport = start.Add(time.Duration(rng.Float64() * float64(statusInterval)))
 		s.nodes = append(s.nodes, n)
 	}
 	return s
@@ -47,15 +47,15 @@
 
 // Parameters of the simulations.
 const (
-	statusEvery = 250 * time.Millisecond
-	dealEvery   = 50 * time.Millisecond
-	tick        = 5 * time.Millisecond
+	statusInterval = 250 * time.Millisecond
+	issueInterval  = 50 * time.Millisecond
+	tick           = 5 * time.Millisecond
 )
 
 // step advances the simulation to now: it issues grants, processes due status reports, and
 // returns the number of requests sent.
 func (s *side) step(now time.Time, rng *rand.Rand) int {
-	if now.Sub(start)%dealEvery == 0 {
+	if now.Sub(start)%issueInterval == 0 {
 		r := Round{Limits: s.nodes[0].book.InForce(), Part: s.part, Weight: s.weight}
 		for _, n := range s.nodes {
 			r.Nodes = append(r.Nodes, Node{Name: n.name, Usage: n.usage})
@@ -64,16 +64,16 @@
 	}
 	sent := 0
 	for _, n := range s.nodes {
-		if now.Before(n.frozen) {
+		if now.Before(n.suspendedUntil) {
 			continue
 		}
-		if !now.Before(n.report) {
+		if !now.Before(n.nextReport) {
 			n.usage = n.book.Usage(now)
 			n.book.Granted(s.dealer.PickUp(n.name, now), now.Add(DefaultPolicy().GrantFor))
-			n.report = now.Add(statusEvery)
+			n.nextReport = now.Add(statusInterval)
 		}
-		for at := rng.ExpFloat64() / n.asked; at < tick.Seconds(); at += rng.ExpFloat64() / n.asked {
-			if n.book.Send(one, now) {
+		for at := rng.ExpFloat64() / n.demand; at < tick.Seconds(); at += rng.ExpFloat64() / n.demand {
+			if n.book.Send(instance, now) {
 				sent++
 			}
 		}
@@ -85,75 +85,75 @@
 func (s *side) weight(node string, _ *Limit) float64 {
 	for _, n := range s.nodes {
 		if n.name == node {
-			return n.asked + 0.01
+			return n.demand + 0.01
 		}
 	}
 	return 0
 }
 
-// play simulates sides for a duration. It returns the largest number of requests in any window
+// simulate runs sides for a duration. It returns the largest number of requests in any window
 // and the total number of requests.
-func play(sides []*side, length time.Duration, rng *rand.Rand, change func(now time.Time)) (worst, total int) {
-	var list []time.Time
-	for now := start; now.Sub(start) < length; now = now.Add(tick) {
-		change(now)
+func simulate(sides []*side, duration time.Duration, rng *rand.Rand, update func(now time.Time)) (maxInWindow, total int) {
+	var sent []time.Time
+	for now := start; now.Sub(start) < duration; now = now.Add(tick) {
+		update(now)
 		for _, s := range sides {
 			for range s.step(now, rng) {
-				list = append(list, now)
+				sent = append(sent, now)
 				total++
 			}
 		}
-		for len(list) > 0 && now.Sub(list[0]) >= DefaultPolicy().Window {
-			list = list[1:]
+		for len(sent) > 0 && now.Sub(sent[0]) >= DefaultPolicy().Window {
+			sent = sent[1:]
 		}
-		worst = max(worst, len(list))
+		maxInWindow = max(maxInWindow, len(sent))
 	}
-	return worst, total
+	return maxInWindow, total
 }
 
 // For any load, all nodes together send at most the requests that the rate allows in the window
 // plus the lifetime of a grant, and two more per side. Nodes use grants late, at once or never,
 // are suspended while they hold grants, and may be split by a network partition.
-func TestDrawnNodesTogetherStayWithinTheRate(t *testing.T) {
+func TestNodesTogetherStayWithinTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		perSecond := rapid.SampledFrom([]float64{0, 0.1, 0.5, 1.5, 2.2, 7, 30}).Draw(t, "rate")
 		all := rapid.SampledFrom([]int{1, 3, 9, 85}).Draw(t, "nodes")
-		cut := rapid.IntRange(0, all-1).Draw(t, "cut off")
-		sides := []*side{newSide("a", all-cut, all, perSecond, rng)}
-		if cut > 0 {
-			sides = append(sides, newSide("b", cut, all, perSecond, rng))
+		partitioned := rapid.IntRange(0, all-1).Draw(t, "cut off")
+		sides := []*side{newSide("a", all-partitioned, all, perSecond, rng)}
+		if partitioned > 0 {
+			sides = append(sides, newSide("b", partitioned, all, perSecond, rng))
 		}
-		asked := rapid.SampledFrom([]float64{0.1, 1, 20}).Draw(t, "asked")
-		worst, _ := play(sides, 12*time.Second, rng, func(now time.Time) {
+		demand := rapid.SampledFrom([]float64{0.1, 1, 20}).Draw(t, "asked")
+		maxInWindow, _ := simulate(sides, 12*time.Second, rng, func(now time.Time) {
 			for _, s := range sides {
 				for _, n := range s.nodes {
-					if n.asked == 0 || rng.IntN(400) == 0 {
-						n.asked = asked * rng.ExpFloat64() * float64(rng.IntN(2)+1)
+					if n.demand == 0 || rng.IntN(400) == 0 {
+						n.demand = demand * rng.ExpFloat64() * float64(rng.IntN(2)+1)
 					}
 					if rng.IntN(2000) == 0 {
-						n.frozen = now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)
+						n.suspendedUntil = now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)
 					}
 				}
 			}
 		})
 		p := DefaultPolicy()
 		bound := perSecond*(p.Window+p.GrantFor).Seconds() + 2*float64(len(sides))
-		g.Expect(float64(worst)).To(BeNumerically("<=", bound))
+		g.Expect(float64(maxInWindow)).To(BeNumerically("<=", bound))
 	})
 }
 
 // The nodes use most of an instance's rate, however its callers are distributed over them.
-func TestTheRateIsUsedWhereCallersAskForIt(t *testing.T) {
+func TestRateIsUsedWhereverTheDemandIs(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		nodes     int
 		perSecond float64
-		// asked is the total request rate of callers, per second. one sends all of it to one node.
-		asked float64
-		one   bool
-		least float64
+		// demand is the total request rate of callers, per second. oneNode sends all of it to one node.
+		demand  float64
+		oneNode bool
+		minUsed float64
 	}{
 		{"at all of a few nodes", 9, 2.2, 20, false, 0.9},
 		{"at one of a few nodes", 9, 2.2, 20, true, 0.9},
@@ -166,31 +166,31 @@
 			rng := rand.New(rand.NewPCG(1, 1))
 			s := newSide("n", c.nodes, c.nodes, c.perSecond, rng)
 			for i, n := range s.nodes {
-				n.asked = c.asked / float64(c.nodes)
-				if c.one {
-					n.asked = map[bool]float64{true: c.asked, false: 0.001}[i == 0]
+				n.demand = c.demand / float64(c.nodes)
+				if c.oneNode {
+					n.demand = map[bool]float64{true: c.demand, false: 0.001}[i == 0]
 				}
 			}
-			const length = 60 * time.Second
-			worst, total := play([]*side{s}, length, rng, func(time.Time) {})
-			used := float64(total) / (c.perSecond * length.Seconds())
-			t.Logf("%.2f of the rate used, at most %d requests in a window", used, worst)
-			g.Expect(used).To(And(BeNumerically(">=", c.least), BeNumerically("<=", 1.02)))
+			const duration = 60 * time.Second
+			maxInWindow, total := simulate([]*side{s}, duration, rng, func(time.Time) {})
+			used := float64(total) / (c.perSecond * duration.Seconds())
+			t.Logf("%.2f of the rate used, at most %d requests in a window", used, maxInWindow)
+			g.Expect(used).To(And(BeNumerically(">=", c.minUsed), BeNumerically("<=", 1.02)))
 		})
 	}
 }
 
-func TestALowerLimitHoldsForWhatWasDealtBefore(t *testing.T) {
+func TestLowerLimitRevokesGrantsOfTheHigherOne(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDealer(DefaultPolicy(), func() float64 { return 0 })
 	r := Round{Part: 1, Nodes: []Node{{Name: "n"}}, Weight: func(string, *Limit) float64 { return 1 }}
 	deal := func(perSecond float64, ms int) {
-		r.Limits = []Limit{{Instance: one, PerSecond: perSecond}}
+		r.Limits = []Limit{{Instance: instance, PerSecond: perSecond}}
 		d.Deal(r, at(ms))
 	}
 	deal(10, 0)
 	deal(10, 200)
-	g.Expect(d.stocks["i"].hands["n"].waiting).To(HaveLen(2))
+	g.Expect(d.buckets["i"].allotments["n"].uncollected).To(HaveLen(2))
 	deal(1, 250)
 	g.Expect(d.PickUp("n", at(260))).To(BeEmpty())
 	// The ten requests sent under the higher limit count against the lower one.
@@ -206,10 +206,10 @@
 
 // After a pause, tokens and grants from before it are dropped: another node may have issued
 // grants in the meantime.
-func TestADealerBeginsAnewAfterAPause(t *testing.T) {
+func TestDealerStartsEmptyAfterAPause(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDealer(DefaultPolicy(), func() float64 { return 0 })
-	r := Round{Part: 1, Nodes: []Node{{Name: "n"}}, Limits: []Limit{{Instance: one, PerSecond: 8}}, Weight: func(string, *Limit) float64 { return 1 }}
+	r := Round{Part: 1, Nodes: []Node{{Name: "n"}}, Limits: []Limit{{Instance: instance, PerSecond: 8}}, Weight: func(string, *Limit) float64 { return 1 }}
 	d.Deal(r, at(0))
 	d.Deal(r, at(200))
 	d.Deal(r, at(2000))
--- a/coordination/ratelimit/grant.go
+++ b/coordination/ratelimit/grant.go
@@ -36,9 +36,9 @@
 // expire removes the grants that have expired.
 func (e *entry) expire(now time.Time) {
 	for len(e.grants) > 0 && !now.Before(e.grants[0]) {
-		e.lapsedAt = e.grants[0]
+		e.expiredAt = e.grants[0]
 		e.grants = e.grants[1:]
-		e.lapsed++
+		e.expired++
 	}
 }
 
@@ -55,7 +55,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.limited(in)
+	e := b.findInForce(in)
 	if e == nil {
 		return true
 	}
@@ -69,15 +69,15 @@
 func (b *Book) Send(in fleet.Incarnation, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e := b.limited(in); e != nil && !e.take(now) {
+	if e := b.findInForce(in); e != nil && !e.consumeGrant(now) {
 		return false
 	}
-	b.count(in.ID, now)
+	b.recordCall(in.ID, now)
 	return true
 }
 
-// take consumes one grant. It reports false if none is left.
-func (e *entry) take(now time.Time) bool {
+// consumeGrant consumes one grant. It reports false if none is left.
+func (e *entry) consumeGrant(now time.Time) bool {
 	e.expire(now)
 	if len(e.grants) == 0 {
 		return false
@@ -91,15 +91,15 @@
 func (b *Book) Order(in fleet.Incarnation, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.count(in.ID, now)
+	b.recordCall(in.ID, now)
 }
 
-// count records a call to an instance. b.mu is held.
-func (b *Book) count(id state.InstanceID, now time.Time) {
-	c := b.sends[id]
+// recordCall records a call to an instance. b.mu is held.
+func (b *Book) recordCall(id state.InstanceID, now time.Time) {
+	c := b.calls[id]
 	if c == nil {
 		c = &window.Counter{}
-		b.sends[id] = c
+		b.calls[id] = c
 	}
 	c.Add(now, b.policy.Window)
 }
@@ -114,28 +114,28 @@
 
 // MayQuestion reports whether the rate limit of an instance allows a probe now.
 func (b *Book) MayQuestion(in fleet.Incarnation, by Asker, now time.Time) bool {
-	return b.allows(in, now, func(e *entry) bool { return e.mayQuestion(by, now, &b.policy) })
+	return b.allows(in, now, func(e *entry) bool { return e.canProbe(by, now, &b.policy) })
 }
 
-// mayQuestion reports whether a limited instance may be probed now. Expired grants must have
+// canProbe reports whether a limited instance may be probed now. Expired grants must have
 // been removed.
-func (e *entry) mayQuestion(by Asker, now time.Time, p *Policy) bool {
+func (e *entry) canProbe(by Asker, now time.Time, p *Policy) bool {
 	if !by.Leading {
 		return len(e.grants) > 0
 	}
-	return now.Sub(e.questioned) >= p.questionInterval(e.PerSecond, by.Failing)
+	return now.Sub(e.probedAt) >= p.probeInterval(e.PerSecond, by.Failing)
 }
 
-// questionInterval returns the minimum time between two probes of an instance with a limit.
-func (p *Policy) questionInterval(perSecond float64, failing bool) time.Duration {
+// probeInterval returns the minimum time between two probes of an instance with a limit.
+func (p *Policy) probeInterval(perSecond float64, failing bool) time.Duration {
 	if failing {
-		return p.QuestionRetry
+		return p.ProbeRetryInterval
 	}
 	if perSecond <= 0 {
-		return p.QuestionMax
+		return p.MaxProbeInterval
 	}
-	seconds := min(1/(perSecond*p.QuestionPart), p.QuestionMax.Seconds())
-	return max(time.Duration(seconds*float64(time.Second)), p.QuestionMin)
+	seconds := min(1/(perSecond*p.ProbeShare), p.MaxProbeInterval.Seconds())
+	return max(time.Duration(seconds*float64(time.Second)), p.MinProbeInterval)
 }
 
 // Question reports whether the rate limit of an instance allows a probe, and records the probe
@@ -144,27 +144,27 @@
 func (b *Book) Question(in fleet.Incarnation, by Asker, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e := b.limited(in); e != nil {
+	if e := b.findInForce(in); e != nil {
 		e.expire(now)
-		if !e.mayQuestion(by, now, &b.policy) {
+		if !e.canProbe(by, now, &b.policy) {
 			return false
 		}
 		if !by.Leading {
-			e.take(now)
+			e.consumeGrant(now)
 		}
-		e.questioned = now
+		e.probedAt = now
 	}
-	b.count(in.ID, now)
+	b.recordCall(in.ID, now)
 	return true
 }
 
 // Usage is a node's use of a limited instance's rate.
 type Usage struct {
-	// Sent is the number of calls sent within the window, Waiting the number of unused grants.
-	Sent    int `json:"s,omitempty"`
-	Waiting int `json:"w,omitempty"`
-	// Lapsed is the number of grants that expired unused since the node knows the limit.
-	Lapsed int `json:"l,omitempty"`
+	// Sent is the number of calls sent within the window, Unused the number of unused grants.
+	Sent   int `json:"s,omitempty"`
+	Unused int `json:"w,omitempty"`
+	// Expired is the number of grants that expired unused since the node knows the limit.
+	Expired int `json:"l,omitempty"`
 }
 
 // Usage returns this node's use of the rate of each limited instance within the window. It
@@ -181,11 +181,11 @@
 			continue
 		}
 		e.expire(now)
-		u := Usage{Waiting: len(e.grants), Lapsed: e.lapsed}
-		if c := b.sends[id]; c != nil {
+		u := Usage{Unused: len(e.grants), Expired: e.expired}
+		if c := b.calls[id]; c != nil {
 			u.Sent = c.Within(now, b.policy.Window)
 		}
-		if u.Sent > 0 || u.Waiting > 0 || now.Sub(e.lapsedAt) < b.policy.Window {
+		if u.Sent > 0 || u.Unused > 0 || now.Sub(e.expiredAt) < b.policy.Window {
 			usage[id] = u
 		}
 	}
--- a/coordination/ratelimit/policy.go
+++ b/coordination/ratelimit/policy.go
@@ -9,41 +9,41 @@
 	Window time.Duration `flag:"window" help:"period over which requests to an instance with a rate limit are counted" min:"1s" max:"1m"`
 	// Burst is the size of the token bucket, as the time in which the rate fills it.
 	Burst time.Duration `flag:"burst" help:"largest burst to an instance with a rate limit, as a period of its rate" min:"0s" max:"10s"`
-	// GrantFor is the lifetime of a grant at its node. PickUpWithin is how long an issued grant
+	// GrantFor is the lifetime of a grant at its node. CollectTimeout is how long an issued grant
 	// waits for the node's next status report. Both bound the requests that are sent under a
 	// rate that no longer applies.
-	GrantFor     time.Duration `flag:"grant-for" help:"lifetime of a grant to send to an instance with a rate limit" min:"50ms" max:"10s"`
-	PickUpWithin time.Duration `flag:"pick-up-within" help:"how long a grant waits for the next status report of its node" min:"50ms" max:"10s"`
+	GrantFor       time.Duration `flag:"grant-for" help:"lifetime of a grant to send to an instance with a rate limit" min:"50ms" max:"10s"`
+	CollectTimeout time.Duration `flag:"pick-up-within" help:"how long a grant waits for the next status report of its node" min:"50ms" max:"10s"`
 	// MaxRate bounds the rate at which grants are issued for an instance, in requests a second.
 	MaxRate float64 `flag:"max-rate" help:"highest rate at which requests are sent to an instance with a rate limit, in requests a second" min:"1" max:"100000"`
-	// QuestionPart is the fraction of the rate that the leader's probes use. QuestionMin and
-	// QuestionMax bound the resulting interval between two probes. An instance that did not
-	// answer is probed again after QuestionRetry.
-	QuestionPart  float64       `flag:"question-part" help:"fraction of an instance's rate limit that probes use" min:"0.001" max:"1"`
-	QuestionMin   time.Duration `flag:"question-min" help:"minimum time between two probes of an instance with a rate limit" min:"100ms" max:"1m"`
-	QuestionMax   time.Duration `flag:"question-max" help:"maximum time between two probes of an instance with a rate limit" min:"100ms" max:"10m"`
-	QuestionRetry time.Duration `flag:"question-retry" help:"time after which an instance with a rate limit that did not answer is probed again" min:"100ms" max:"1m"`
+	// ProbeShare is the fraction of the rate that the leader's probes use. MinProbeInterval
+	// and MaxProbeInterval bound the resulting interval between two probes. An instance that
+	// did not answer is probed again after ProbeRetryInterval.
+	ProbeShare         float64       `flag:"question-part" help:"fraction of an instance's rate limit that probes use" min:"0.001" max:"1"`
+	MinProbeInterval   time.Duration `flag:"question-min" help:"minimum time between two probes of an instance with a rate limit" min:"100ms" max:"1m"`
+	MaxProbeInterval   time.Duration `flag:"question-max" help:"maximum time between two probes of an instance with a rate limit" min:"100ms" max:"10m"`
+	ProbeRetryInterval time.Duration `flag:"question-retry" help:"time after which an instance with a rate limit that did not answer is probed again" min:"100ms" max:"1m"`
 	// ReportFor is how long a node's status reports include a change that an instance announced
 	// to that node.
 	ReportFor time.Duration `flag:"report-for" help:"how long status reports to the leader include a changed rate limit" min:"0s" max:"1m"`
-	// EndedFor is how long the end of a limit is kept, so that delayed reports of the limit do
+	// EndedTTL is how long the end of a limit is kept, so that delayed reports of the limit do
 	// not restore it.
-	EndedFor time.Duration `flag:"ended-for" help:"how long the end of a rate limit is kept" min:"1s" max:"1h"`
+	EndedTTL time.Duration `flag:"ended-for" help:"how long the end of a rate limit is kept" min:"1s" max:"1h"`
 }
 
 // DefaultPolicy returns the default policy of a node.
 func DefaultPolicy() Policy {
 	return Policy{
-		Window:        4 * time.Second,
-		Burst:         time.Second,
-		GrantFor:      time.Second,
-		PickUpWithin:  500 * time.Millisecond,
-		MaxRate:       1000,
-		QuestionPart:  0.125,
-		QuestionMin:   2 * time.Second,
-		QuestionMax:   4 * time.Second,
-		QuestionRetry: time.Second,
-		ReportFor:     2 * time.Second,
-		EndedFor:      time.Minute,
+		Window:             4 * time.Second,
+		Burst:              time.Second,
+		GrantFor:           time.Second,
+		CollectTimeout:     500 * time.Millisecond,
+		MaxRate:            1000,
+		ProbeShare:         0.125,
+		MinProbeInterval:   2 * time.Second,
+		MaxProbeInterval:   4 * time.Second,
+		ProbeRetryInterval: time.Second,
+		ReportFor:          2 * time.Second,
+		EndedTTL:           time.Minute,
 	}
 }
--- a/coordination/ratelimit/ratelimit.go
+++ b/coordination/ratelimit/ratelimit.go
@@ -30,8 +30,8 @@
 	Since time.Time
 }
 
-// same reports whether l and o state the same limit.
-func (l *Limit) same(o *Limit) bool { return l.Ended == o.Ended && l.PerSecond == o.PerSecond }
+// equal reports whether l and o state the same limit.
+func (l *Limit) equal(o *Limit) bool { return l.Ended == o.Ended && l.PerSecond == o.PerSecond }
 
 // stricter reports whether l allows fewer requests than o.
 func (l *Limit) stricter(o *Limit) bool {
@@ -66,8 +66,8 @@
 	Stopped   Change = "ended"
 )
 
-// change returns the Change from before to l.
-func (l *Limit) change(before *Limit) Change {
+// changeFrom returns the Change from before to l.
+func (l *Limit) changeFrom(before *Limit) Change {
 	switch {
 	case l.Ended:
 		return Stopped
--- a/coordination/ratelimit/size_bench_test.go
+++ b/coordination/ratelimit/size_bench_test.go
@@ -16,27 +16,27 @@
 // limits, per second and node, and the time that the leader spends on issuing grants, in
 // milliseconds per second.
 func BenchmarkAtSize(b *testing.B) {
-	const length, asked, perSecond = 10 * time.Second, 10.0, 2.2
+	const duration, demand, perSecond = 10 * time.Second, 10.0, 2.2
 	for _, nodes := range []int{85, 570} {
 		for _, limited := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("nodes=%d/limited=%d", nodes, limited), func(b *testing.B) {
-				bytes, dealing := 0, time.Duration(0)
+				bytes, dealTime := 0, time.Duration(0)
 				for i := range b.N {
-					got, took := playAtSize(nodes, limited, length, asked, perSecond, uint64(i))
-					bytes, dealing = bytes+got, dealing+took
+					got, took := simulateAtSize(nodes, limited, duration, demand, perSecond, uint64(i))
+					bytes, dealTime = bytes+got, dealTime+took
 				}
-				seconds := length.Seconds() * float64(b.N)
+				seconds := duration.Seconds() * float64(b.N)
 				b.ReportMetric(float64(bytes)/seconds/float64(nodes), "B/s/node")
-				b.ReportMetric(float64(dealing.Microseconds())/1000/seconds, "ms/s")
+				b.ReportMetric(float64(dealTime.Microseconds())/1000/seconds, "ms/s")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
 	}
 }
 
-// playAtSize runs one simulation. It returns the total size of reports and answers, and the
+// simulateAtSize runs one simulation. It returns the total size of reports and answers, and the
 // time spent on issuing grants.
-func playAtSize(nodes, limited int, length time.Duration, asked, perSecond float64, seed uint64) (bytes int, dealing time.Duration) {
+func simulateAtSize(nodes, limited int, duration time.Duration, demand, perSecond float64, seed uint64) (bytes int, dealTime time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := newSide("n", nodes, nodes, perSecond, rng)
 	for _, n := range s.nodes {
@@ -46,35 +46,35 @@
 			n.book.Observe(in, fleet.LimitedTo(perSecond), start, start)
 		}
 	}
-	for now := start; now.Sub(start) < length; now = now.Add(dealEvery) {
-		r := Round{Limits: s.nodes[0].book.InForce(), Part: 1, Weight: func(string, *Limit) float64 { return asked }}
+	for now := start; now.Sub(start) < duration; now = now.Add(issueInterval) {
+		r := Round{Limits: s.nodes[0].book.InForce(), Part: 1, Weight: func(string, *Limit) float64 { return demand }}
 		for _, n := range s.nodes {
 			r.Nodes = append(r.Nodes, Node{Name: n.name, Usage: n.usage})
 		}
 		began := time.Now()
 		s.dealer.Deal(r, now)
-		dealing += time.Since(began)
+		dealTime += time.Since(began)
 		for _, n := range s.nodes {
-			for range rng.IntN(int(2*asked*dealEvery.Seconds()) + 1) {
+			for range rng.IntN(int(2*demand*issueInterval.Seconds()) + 1) {
 				n.book.Send(fleet.Incarnation{ID: r.Limits[rng.IntN(limited)].Instance.ID}, now)
 			}
-			if now.Before(n.report) {
+			if now.Before(n.nextReport) {
 				continue
 			}
 			n.usage = n.book.Usage(now)
 			began := time.Now()
 			grants := s.dealer.PickUp(n.name, now)
-			dealing += time.Since(began)
+			dealTime += time.Since(began)
 			n.book.Granted(grants, now.Add(DefaultPolicy().GrantFor))
-			n.report = now.Add(statusEvery)
-			bytes += size(n.usage) + size(grants)
+			n.nextReport = now.Add(statusInterval)
+			bytes += encodedSize(n.usage) + encodedSize(grants)
 		}
 	}
-	return bytes, dealing
+	return bytes, dealTime
 }
 
-// size returns the encoded size of v in bytes, or 0 if v is empty.
-func size[T map[state.InstanceID]Usage | []Grant](v T) int {
+// encodedSize returns the encoded size of v in bytes, or 0 if v is empty.
+func encodedSize[T map[state.InstanceID]Usage | []Grant](v T) int {
 	if len(v) == 0 {
 		return 0
 	}
