--- a/coordination/placement/domain.go
+++ b/coordination/placement/domain.go
@@ -10,8 +10,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// form forms new groups from free instances.
-func (s *step) form() {
+// formGroups forms new groups from free instances.
+func (s *step) formGroups() {
 	domains := map[string]*domain{}
 	alive := 0
 	for _, id := range s.ids {
@@ -26,147 +26,147 @@
 			domains[m.Domain] = d
 		}
 		switch {
-		case m.Membership.Group != "" || s.named[id]:
+		case m.Membership.Group != "" || s.assigned[id]:
 		case !m.Known:
 			s.plan.Ask = append(s.plan.Ask, id)
 		default:
 			d.free = append(d.free, m)
 		}
 	}
-	stock := s.stock(alive)
-	s.supply, s.domains = stock, domains
-	s.slopes = stock.slopes()
-	for _, key := range s.keys() {
-		f := s.formations[key]
-		if f == nil {
+	alloc := s.allocation(alive)
+	s.alloc, s.domains = alloc, domains
+	s.marginalUtilities = alloc.marginalUtilities()
+	for _, key := range s.groupKeys() {
+		g := s.groups[key]
+		if g == nil {
 			continue
 		}
-		if head := s.headOf(f); head != nil && domains[head.Domain] != nil {
-			domains[head.Domain].add(f)
+		if head := s.headOf(g); head != nil && domains[head.Domain] != nil {
+			domains[head.Domain].add(g)
 		}
 	}
-	s.formDomains(domains, stock)
+	s.formInDomains(domains, alloc)
 }
 
-// formDomains forms groups from the free instances of all domains. Domains without free
+// formInDomains forms groups from the free instances of all domains. Domains without free
 // instances close groups for reallocation only if no group is formed in this step: otherwise
 // two domains could change alternately to cover the same shortage.
-func (s *step) formDomains(domains map[string]*domain, stock *supply) {
-	changing := 0
+func (s *step) formInDomains(domains map[string]*domain, alloc *allocation) {
+	reallocating := 0
 	var idle []*domain
 	var ready []*domain
-	var choices [][]option
+	var choices [][]layout
 	for _, d := range domains {
-		if d.donors {
-			changing++
+		if d.hasDonor {
+			reallocating++
 		}
 	}
-	for _, name := range sortedKeys(domains) {
+	for _, name := range sortedDomainNames(domains) {
 		d := domains[name]
 		switch {
-		case d.donors:
-			s.keep(KeptClosing)
-		case s.settling(d.free):
-			s.keep(KeptSettling)
+		case d.hasDonor:
+			s.countSkipped(SkipClosing)
+		case s.isSettling(d.free):
+			s.countSkipped(SkipSettling)
 		case len(d.free) == 0:
 			idle = append(idle, d)
-		case s.change(d, stock, &changing, len(domains)):
+		case s.reallocate(d, alloc, &reallocating, len(domains)):
 		default:
 			ready = append(ready, d)
-			choices = append(choices, options(len(d.free), s.able(d.free), s.engine.Models))
+			choices = append(choices, maximalLayouts(len(d.free), s.eligibleCounts(d.free), s.engine.Models))
 		}
 	}
 	formed := false
-	for i, o := range stock.pack(choices, s.engine.Models) {
-		formed = formed || slices.Max(o.counts) > 0
-		s.formDomain(ready[i].free, o)
+	for i, l := range alloc.chooseLayouts(choices, s.engine.Models) {
+		formed = formed || slices.Max(l.counts) > 0
+		s.formLayout(ready[i].free, l)
 	}
 	for _, d := range idle {
 		if !formed {
-			s.change(d, stock, &changing, len(domains))
+			s.reallocate(d, alloc, &reallocating, len(domains))
 		}
 	}
 }
 
-// KeptReason is the reason why no group of a domain is closed for reallocation.
-type KeptReason string
+// SkipReason is the reason why no group of a domain is closed for reallocation.
+type SkipReason string
 
 // Reasons not to close a group for reallocation.
 const (
-	// KeptClosing means that another group of the domain is already being closed for reallocation.
-	KeptClosing KeptReason = "closing"
-	// KeptSettling means that an instance of the domain was first seen too recently.
-	KeptSettling KeptReason = "settling"
-	// KeptLimit means that the maximum number of domains is being changed already.
-	KeptLimit KeptReason = "limit"
-	// KeptNoGain means that no other layout of the domain has a sufficiently higher utility.
-	KeptNoGain KeptReason = "no gain"
+	// SkipClosing means that another group of the domain is already being closed for reallocation.
+	SkipClosing SkipReason = "closing"
+	// SkipSettling means that an instance of the domain was first seen too recently.
+	SkipSettling SkipReason = "settling"
+	// SkipLimit means that the maximum number of domains is being changed already.
+	SkipLimit SkipReason = "limit"
+	// SkipNoGain means that no other layout of the domain has a sufficiently higher utility.
+	SkipNoGain SkipReason = "no gain"
 )
 
-// keep counts a domain in which no group is closed for reallocation.
-func (s *step) keep(reason KeptReason) { s.plan.Kept[reason]++ }
+// countSkipped counts a domain in which no group is closed for reallocation.
+func (s *step) countSkipped(reason SkipReason) { s.plan.Kept[reason]++ }
 
-// change closes groups of a domain for reallocation if that gains enough utility and not too
+// reallocate closes groups of a domain for reallocation if that gains enough utility and not too
 // many domains are being changed already. It reports whether it closed any.
-func (s *step) change(d *domain, stock *supply, changing *int, domains int) bool {
-	if *changing > domains/s.policy.ChangingPart {
-		s.keep(KeptLimit)
+func (s *step) reallocate(d *domain, alloc *allocation, reallocating *int, domainCount int) bool {
+	if *reallocating > domainCount/s.policy.ChangingPart {
+		s.countSkipped(SkipLimit)
 		return false
 	}
-	donors := s.donors(d, stock, options(len(d.free), s.able(d.free), s.engine.Models))
+	donors := s.selectDonors(d, alloc, maximalLayouts(len(d.free), s.eligibleCounts(d.free), s.engine.Models))
 	if donors == nil {
-		s.keep(KeptNoGain)
+		s.countSkipped(SkipNoGain)
 		return false
 	}
-	s.giveUp(donors, d.free, stock)
-	*changing++
+	s.closeDonors(donors, d.free, alloc)
+	*reallocating++
 	return true
 }
 
-// giveUp marks groups to be closed for reallocation, and adds to the supply the groups that
-// will be formed from their members and the free instances.
-func (s *step) giveUp(donors []*formation, free []*Member, stock *supply) {
-	for _, f := range donors {
-		f.donor = s.now
-		free, _ = s.withMembers(free, f)
-		if i := s.modelIndex(f.model); i >= 0 {
-			stock.have[i] -= float64(len(f.members))
+// closeDonors marks groups to be closed for reallocation, and adds to the allocation the groups
+// that will be formed from their members and the free instances.
+func (s *step) closeDonors(donors []*group, free []*Member, alloc *allocation) {
+	for _, g := range donors {
+		g.donorSince = s.now
+		free, _ = s.withMembers(free, g)
+		if i := s.modelIndex(g.model); i >= 0 {
+			alloc.current[i] -= float64(len(g.members))
 		}
 	}
 	models := s.engine.Models
-	stock.add(stock.best(options(len(free), s.able(free), models), models), models, 1)
+	alloc.add(alloc.best(maximalLayouts(len(free), s.eligibleCounts(free), models), models), models, 1)
 }
 
 // domain is a fabric domain.
 type domain struct {
 	free []*Member
-	// groups are the serving groups; donors reports whether a group is being closed for reallocation.
-	groups []*formation
-	donors bool
+	// groups are the serving groups; hasDonor reports whether a group is being closed for reallocation.
+	groups   []*group
+	hasDonor bool
 }
 
 // add records a group as serving or as a donor of the domain.
-func (d *domain) add(f *formation) {
+func (d *domain) add(g *group) {
 	switch {
-	case !f.donor.IsZero():
-		d.donors = true
-	case f.opened && f.failed == "":
-		d.groups = append(d.groups, f)
+	case !g.donorSince.IsZero():
+		d.hasDonor = true
+	case g.opened && g.failure == "":
+		d.groups = append(d.groups, g)
 	}
 }
 
-// stock returns the current and desired numbers of instances in groups of each model.
-func (s *step) stock(alive int) *supply {
-	stock := newSupply(s.engine.Models, alive, &s.policy)
+// allocation returns the current and desired numbers of instances in groups of each model.
+func (s *step) allocation(alive int) *allocation {
+	alloc := newShareAllocation(s.engine.Models, alive, &s.policy)
 	if len(s.Work) == len(s.engine.Models) {
-		stock = newNeededSupply(s.engine, s.Work, &s.policy)
+		alloc = newDemandAllocation(s.engine, s.Work, &s.policy)
 	}
-	for _, f := range s.formations {
-		if i := s.modelIndex(f.model); i >= 0 && f.failed == "" && f.donor.IsZero() && !s.draining(f) {
-			stock.have[i] += float64(len(f.members))
+	for _, g := range s.groups {
+		if i := s.modelIndex(g.model); i >= 0 && g.failure == "" && g.donorSince.IsZero() && !s.isDraining(g) {
+			alloc.current[i] += float64(len(g.members))
 		}
 	}
-	return stock
+	return alloc
 }
 
 // modelIndex returns the index of a model in the configuration, or -1.
@@ -174,48 +174,48 @@
 	return slices.IndexFunc(s.engine.Models, func(m catalog.Model) bool { return m.Name == name })
 }
 
-// namedMembers returns the instances that are assigned to a group, including those that have
+// assignedMembers returns the instances that are assigned to a group, including those that have
 // not joined it yet.
-func (s *step) namedMembers() map[state.InstanceID]bool {
-	named := make(map[state.InstanceID]bool, len(s.byID))
-	for _, f := range s.formations {
-		for _, id := range f.members {
-			named[id] = true
+func (s *step) assignedMembers() map[state.InstanceID]bool {
+	assigned := make(map[state.InstanceID]bool, len(s.byID))
+	for _, g := range s.groups {
+		for _, id := range g.members {
+			assigned[id] = true
 		}
 	}
-	return named
+	return assigned
 }
 
-// formDomain forms the groups of an option from the free instances of a domain.
-func (s *step) formDomain(free []*Member, o option) {
-	for i, n := range o.counts {
+// formLayout forms the groups of a layout from the free instances of a domain.
+func (s *step) formLayout(free []*Member, l layout) {
+	for i, n := range l.counts {
 		model := &s.engine.Models[i]
 		for range n {
-			members := s.choose(free, model)
+			members := s.selectMembers(free, model)
 			if members == nil {
 				break
 			}
 			free = slices.DeleteFunc(slices.Clone(free), func(m *Member) bool { return slices.Contains(members, m) })
-			s.start(model, members)
+			s.startGroup(model, members)
 		}
 	}
 }
 
-// settling reports whether an instance was first seen so recently that more instances may
+// isSettling reports whether an instance was first seen so recently that more instances may
 // follow, which would allow larger groups. Once loads are costly, an instance without a model
 // is ignored: it cannot join a group until a load has completed.
-func (s *step) settling(free []*Member) bool {
+func (s *step) isSettling(free []*Member) bool {
 	return slices.ContainsFunc(free, func(m *Member) bool {
-		return s.now.Sub(m.Seen) < s.policy.SettleDelay && (s.Quiet || !m.empty())
+		return s.now.Sub(m.Seen) < s.policy.SettleDelay && (s.Quiet || !m.hasNoModel())
 	})
 }
 
-// able returns, for each model, the number of instances that are eligible for its groups.
-func (s *step) able(free []*Member) []int {
+// eligibleCounts returns, for each model, the number of instances that are eligible for its groups.
+func (s *step) eligibleCounts(free []*Member) []int {
 	counts := make([]int, len(s.engine.Models))
 	for i := range s.engine.Models {
 		for _, m := range free {
-			if s.fit(m, &s.engine.Models[i]) {
+			if s.isEligible(m, &s.engine.Models[i]) {
 				counts[i]++
 			}
 		}
@@ -223,24 +223,24 @@
 	return counts
 }
 
-// fit reports whether an instance can join a group of a model without a load from the weight
-// store. Before the first request loads are nearly free, so every instance is eligible. An
+// isEligible reports whether an instance can join a group of a model without a load from the
+// weight store. Before the first request loads are nearly free, so every instance is eligible. An
 // instance whose last model is scarcer is reserved for that model, which it can serve soonest.
-func (s *step) fit(m *Member, model *catalog.Model) bool {
+func (s *step) isEligible(m *Member, model *catalog.Model) bool {
 	if s.Quiet || model.Load <= 0 {
 		return true
 	}
-	kept := m.Model != model.Name && s.slope(m.Model) > s.policy.ScarcityRatio*s.slope(model.Name)
-	return !kept && joinTime(m, model) < model.Load
+	isReserved := m.Model != model.Name && s.marginalUtility(m.Model) > s.policy.ScarcityRatio*s.marginalUtility(model.Name)
+	return !isReserved && joinTime(m, model) < model.Load
 }
 
-// donors returns the groups of a domain to close for reallocation, or nil.
-func (s *step) donors(d *domain, stock *supply, list []option) []*formation {
-	var best []*formation
-	least := stock.worth(s.engine.Models, stock.best(list, s.engine.Models))
+// selectDonors returns the groups of a domain to close for reallocation, or nil.
+func (s *step) selectDonors(d *domain, alloc *allocation, list []layout) []*group {
+	var best []*group
+	bestGain := alloc.utilityGain(s.engine.Models, alloc.best(list, s.engine.Models))
 	for _, chosen := range s.donorSets(d) {
-		if gain := s.donorWorth(d.free, stock, chosen); gain > least {
-			best, least = chosen, gain
+		if gain := s.reallocationGain(d.free, alloc, chosen); gain > bestGain {
+			best, bestGain = chosen, gain
 		}
 	}
 	return best
@@ -251,28 +251,28 @@
 // another model without a load, and at most as many members as two groups of the largest size.
 // The limit counts members because no fixed number of groups is enough: a group of 16 needs
 // the members of four groups of 4.
-func (s *step) donorSets(d *domain) [][]*formation {
-	sets := [][]*formation{nil}
-	most := 2 * s.largestSize()
+func (s *step) donorSets(d *domain) [][]*group {
+	sets := [][]*group{nil}
+	maxMembers := 2 * s.largestGroupSize()
 	for _, m := range s.engine.Models {
-		var old []*formation
-		for _, f := range d.groups {
-			if f.model == m.Name && s.now.Sub(f.formed) >= s.policy.DonorAge {
-				old = append(old, f)
+		var candidates []*group
+		for _, g := range d.groups {
+			if g.model == m.Name && s.now.Sub(g.formedAt) >= s.policy.DonorAge {
+				candidates = append(candidates, g)
 			}
 		}
-		slices.SortStableFunc(old, func(a, b *formation) int { return cmp.Compare(s.transferable(b), s.transferable(a)) })
-		for _, before := range sets {
-			for n := 1; n <= len(old) && memberCount(before)+memberCount(old[:n]) <= most; n++ {
-				sets = append(sets, slices.Concat(before, old[:n]))
+		slices.SortStableFunc(candidates, func(a, b *group) int { return cmp.Compare(s.transferableMembers(b), s.transferableMembers(a)) })
+		for _, base := range sets {
+			for n := 1; n <= len(candidates) && memberCount(base)+memberCount(candidates[:n]) <= maxMembers; n++ {
+				sets = append(sets, slices.Concat(base, candidates[:n]))
 			}
 		}
 	}
 	return sets[1:]
 }
 
-// largestSize returns the size of the largest group of any model.
-func (s *step) largestSize() int {
+// largestGroupSize returns the size of the largest group of any model.
+func (s *step) largestGroupSize() int {
 	largest := 0
 	for _, m := range s.engine.Models {
 		largest = max(largest, m.Size)
@@ -281,101 +281,102 @@
 }
 
 // memberCount returns the total number of members of groups.
-func memberCount(groups []*formation) int {
+func memberCount(groups []*group) int {
 	n := 0
-	for _, f := range groups {
-		n += len(f.members)
+	for _, g := range groups {
+		n += len(g.members)
 	}
 	return n
 }
 
-// transferable returns the number of members of a group that can join a group of another model without a load.
-func (s *step) transferable(f *formation) int {
+// transferableMembers returns the number of members of a group that can join a group of another
+// model without a load.
+func (s *step) transferableMembers(g *group) int {
 	n := 0
-	for _, id := range f.members {
+	for _, id := range g.members {
 		m := s.byID[id]
-		if m != nil && slices.ContainsFunc(s.engine.Models, func(o catalog.Model) bool { return o.Name != f.model && s.fit(m, &o) }) {
+		if m != nil && slices.ContainsFunc(s.engine.Models, func(o catalog.Model) bool { return o.Name != g.model && s.isEligible(m, &o) }) {
 			n++
 		}
 	}
 	return n
 }
 
-// donorWorth returns the utility of the best groups that can be formed from free instances and
-// the members of the chosen groups, less the utility of the chosen groups and the required gain.
+// reallocationGain returns the utility of the best groups that can be formed from free instances
+// and the members of the chosen groups, less the utility of the chosen groups and the required gain.
 // It returns 0 if a model or a member of the chosen groups is unknown.
-func (s *step) donorWorth(free []*Member, stock *supply, chosen []*formation) float64 {
+func (s *step) reallocationGain(free []*Member, alloc *allocation, chosen []*group) float64 {
 	models := s.engine.Models
-	before, slopes := slices.Clone(stock.have), s.slopes
-	defer func() { stock.have, s.slopes = before, slopes }()
-	stock.have = slices.Clone(before)
-	lost := 0.0
-	for _, f := range chosen {
-		joined, whole := s.withMembers(free, f)
-		i := s.modelIndex(f.model)
-		if i < 0 || !whole {
+	before, utilities := slices.Clone(alloc.current), s.marginalUtilities
+	defer func() { alloc.current, s.marginalUtilities = before, utilities }()
+	alloc.current = slices.Clone(before)
+	cost := 0.0
+	for _, g := range chosen {
+		combined, ok := s.withMembers(free, g)
+		i := s.modelIndex(g.model)
+		if i < 0 || !ok {
 			return 0
 		}
-		size := float64(len(f.members))
-		lost += stock.value(i, stock.have[i]) - stock.value(i, stock.have[i]-size) + s.policy.DonorGain*size
-		stock.have[i] -= size
-		free = joined
+		size := float64(len(g.members))
+		cost += alloc.utility(i, alloc.current[i]) - alloc.utility(i, alloc.current[i]-size) + s.policy.DonorGain*size
+		alloc.current[i] -= size
+		free = combined
 	}
-	// Once the groups are closed, reservations for scarcer models depend on the new slopes.
-	s.slopes = stock.slopes()
-	return stock.worth(models, stock.best(options(len(free), s.able(free), models), models)) - lost
+	// Once the groups are closed, reservations for scarcer models depend on the new marginal utilities.
+	s.marginalUtilities = alloc.marginalUtilities()
+	return alloc.utilityGain(models, alloc.best(maximalLayouts(len(free), s.eligibleCounts(free), models), models)) - cost
 }
 
 // withMembers returns the free instances and the members of a group. The second result is
 // false if a member is unknown.
-func (s *step) withMembers(free []*Member, f *formation) ([]*Member, bool) {
-	joined := slices.Clone(free)
-	for _, id := range f.members {
+func (s *step) withMembers(free []*Member, g *group) ([]*Member, bool) {
+	combined := slices.Clone(free)
+	for _, id := range g.members {
 		m := s.byID[id]
 		if m == nil {
 			return nil, false
 		}
-		joined = append(joined, m)
+		combined = append(combined, m)
 	}
-	return joined, true
+	return combined, true
 }
 
-// choose selects the members of a new group: the instances that become ready soonest. It
+// selectMembers selects the members of a new group: the instances that become ready soonest. It
 // returns nil if there are too few.
-func (s *step) choose(free []*Member, model *catalog.Model) []*Member {
-	var sorted []*Member
+func (s *step) selectMembers(free []*Member, model *catalog.Model) []*Member {
+	var candidates []*Member
 	for _, m := range free {
-		if s.fit(m, model) {
-			sorted = append(sorted, m)
+		if s.isEligible(m, model) {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(sorted) < model.Size {
+	if len(candidates) < model.Size {
 		return nil
 	}
-	slices.SortStableFunc(sorted, func(a, b *Member) int {
+	slices.SortStableFunc(candidates, func(a, b *Member) int {
 		return cmp.Compare(joinTime(a, model), joinTime(b, model))
 	})
-	return sorted[:model.Size]
+	return candidates[:model.Size]
 }
 
-// start creates a new group and orders its members to join.
-func (s *step) start(model *catalog.Model, members []*Member) {
-	epoch := s.next(s.newest)
-	s.newest = epoch
+// startGroup creates a new group and orders its members to join.
+func (s *step) startGroup(model *catalog.Model, members []*Member) {
+	epoch := s.nextEpoch(s.highestEpoch)
+	s.highestEpoch = epoch
 	key := fleet.GroupKey{Group: state.GroupName(fmt.Sprintf("g%d", epoch)), Epoch: epoch}
-	f := &formation{model: model.Name, since: s.now, formed: s.now, joined: map[state.InstanceID]bool{}}
+	g := &group{model: model.Name, trackedSince: s.now, formedAt: s.now, joined: map[state.InstanceID]bool{}}
 	for _, m := range members {
-		f.members = append(f.members, m.ID)
-		s.named[m.ID] = true
+		g.members = append(g.members, m.ID)
+		s.assigned[m.ID] = true
 	}
-	s.formations[key] = f
+	s.groups[key] = g
 	for _, m := range members {
-		s.join(key, f, m)
+		s.orderJoin(key, g, m)
 	}
 }
 
-// sortedKeys returns the names of the domains in ascending order.
-func sortedKeys(m map[string]*domain) []string {
+// sortedDomainNames returns the names of the domains in ascending order.
+func sortedDomainNames(m map[string]*domain) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
--- a/coordination/placement/drawn_test.go
+++ b/coordination/placement/drawn_test.go
@@ -15,64 +15,64 @@
 // drawEngine draws an engine service with groups that fit into a domain.
 func drawEngine(t *rapid.T, domain int) *catalog.Engine {
 	e := &catalog.Engine{
-		Slots: rapid.IntRange(4, 40).Draw(t, "slots"), LoadsPerSecond: 10, LoadsAtOnce: 10, ReportLag: reportLag, Form: form,
+		Slots: rapid.IntRange(4, 40).Draw(t, "slots"), LoadsPerSecond: 10, LoadsAtOnce: 10, ReportLag: reportLag, Form: openTime,
 	}
 	sizes := rapid.SliceOfNDistinct(rapid.SampledFrom([]int{2, 3, 4, 8, 16, 32}), 1, 3, rapid.ID[int]).Draw(t, "sizes")
 	for _, size := range sizes {
 		e.Models = append(e.Models, catalog.Model{
 			Name: fmt.Sprintf("m%d", size), Size: min(size, domain), Pace: rapid.Float64Range(0.4, 1.5).Draw(t, "pace"),
-			Share: rapid.Float64Range(0.2, 1).Draw(t, "share"), Load: 16 * time.Second, Warm: warm,
+			Share: rapid.Float64Range(0.2, 1).Draw(t, "share"), Load: 16 * time.Second, Warm: warmLoadTime,
 		})
 	}
 	return e
 }
 
-// drawWork draws the demand for each model, in slots.
-func drawWork(t *rapid.T, e *catalog.Engine, instances int, name string) []float64 {
-	work := make([]float64, len(e.Models))
+// drawDemand draws the demand for each model, in slots.
+func drawDemand(t *rapid.T, e *catalog.Engine, instances int, name string) []float64 {
+	demand := make([]float64, len(e.Models))
 	for i, m := range e.Models {
-		places := float64(instances*e.Slots) / float64(m.Size)
-		work[i] = places * rapid.Float64Range(0, 0.6).Draw(t, name)
+		slots := float64(instances*e.Slots) / float64(m.Size)
+		demand[i] = slots * rapid.Float64Range(0, 0.6).Draw(t, name)
 	}
-	return work
+	return demand
 }
 
-// drawWorld draws a simulation of one service without faults and with a single leader.
-func drawWorld(t *rapid.T) *world {
+// drawSimulation draws a simulation of one service without faults and with a single leader.
+func drawSimulation(t *rapid.T) *simulation {
 	domains, perDomain := rapid.IntRange(1, 4).Draw(t, "domains"), rapid.IntRange(4, 40).Draw(t, "instances of a domain")
-	w := newWorld(rapid.Uint64().Draw(t, "seed"), 0, 0, 1)
-	w.faults = false
-	w.engine = drawEngine(t, perDomain)
+	sim := newSimulation(rapid.Uint64().Draw(t, "seed"), 0, 0, 1)
+	sim.faultsEnabled = false
+	sim.engine = drawEngine(t, perDomain)
 	for d := range domains {
 		for range perDomain {
-			target := w.addTarget(fmt.Sprintf("d%d", d))
+			target := sim.addTarget(fmt.Sprintf("d%d", d))
 			target.Staged = nil
-			for _, m := range w.engine.Models {
+			for _, m := range sim.engine.Models {
 				target.Staged = append(target.Staged, m.Name)
 			}
-			w.changed(target)
+			sim.recordChange(target)
 		}
 	}
-	w.place(w.nodes[0], true)
-	return w
+	sim.setLeading(sim.nodes[0], true)
+	return sim
 }
 
 // For any sizes of domains and groups, the instances are placed in groups, and the groups
 // become stable again after a change of demand.
-func TestGroupsComeToRestInDrawnDeployments(t *testing.T) {
+func TestGroupsStabilizeInDrawnDeployments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawWorld(t)
-		w.run(14 * time.Second)
-		checkGroupsStand(t, w)
-		alive, _ := w.serving()
-		w.nodes[0].planner.Work = drawWork(t, w.engine, alive, "work")
-		w.run(45 * time.Second)
-		before := w.formations()
-		w.run(10 * time.Second)
-		if len(w.broken) > 0 {
-			t.Fatalf("%v", w.broken)
+		sim := drawSimulation(t)
+		sim.run(14 * time.Second)
+		checkPlacement(t, sim)
+		alive, _ := sim.countServing()
+		sim.nodes[0].planner.Work = drawDemand(t, sim.engine, alive, "work")
+		sim.run(45 * time.Second)
+		before := sim.groupKeys()
+		sim.run(10 * time.Second)
+		if len(sim.violations) > 0 {
+			t.Fatalf("%v", sim.violations)
 		}
-		for id, key := range w.formations() {
+		for id, key := range sim.groupKeys() {
 			if key != before[id] {
 				t.Fatalf("%s moved from %v to %v although neither demand nor instances changed", id, before[id], key)
 			}
@@ -80,18 +80,18 @@
 	})
 }
 
-// checkGroupsStand checks that no invariant was violated, and that in each domain fewer
+// checkPlacement checks that no invariant was violated, and that in each domain fewer
 // instances are free than the largest group has members.
-func checkGroupsStand(t *rapid.T, w *world) {
-	if len(w.broken) > 0 {
-		t.Fatalf("%v", w.broken)
+func checkPlacement(t *rapid.T, sim *simulation) {
+	if len(sim.violations) > 0 {
+		t.Fatalf("%v", sim.violations)
 	}
 	largest := 0
-	for _, m := range w.engine.Models {
+	for _, m := range sim.engine.Models {
 		largest = max(largest, m.Size)
 	}
 	free := map[string]int{}
-	for _, target := range w.targets {
+	for _, target := range sim.targets {
 		if target.Membership.Group == "" {
 			free[target.Domain]++
 		}
--- a/coordination/placement/epochs.go
+++ b/coordination/placement/epochs.go
@@ -12,14 +12,14 @@
 const (
 	offsetBits = 16
 	eraBits    = 4
-	numberBits = offsetBits + eraBits
+	ownerBits  = offsetBits + eraBits
 )
 
 // Epochs generates the epochs of one node incarnation. Each is greater than all epochs
 // observed or generated before, and no other node generates the same one. It is safe for
 // concurrent use.
 type Epochs struct {
-	number  state.Epoch
+	owner   state.Epoch
 	mu      sync.Mutex
 	highest state.Epoch
 }
@@ -27,25 +27,25 @@
 // NewEpochs returns the Epochs of the node incarnation whose entry was written at an offset in
 // an era of the store. The store reuses an offset only in a later era.
 func NewEpochs(era, offset int64) *Epochs {
-	return &Epochs{number: state.Epoch(era)&(1<<eraBits-1)<<offsetBits | state.Epoch(offset)&(1<<offsetBits-1)}
+	return &Epochs{owner: state.Epoch(era)&(1<<eraBits-1)<<offsetBits | state.Epoch(offset)&(1<<offsetBits-1)}
 }
 
 // Next returns a new epoch that is greater than seen.
 func (e *Epochs) Next(seen state.Epoch) state.Epoch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.highest = (max(seen, e.highest)>>numberBits+1)<<numberBits | e.number
+	e.highest = (max(seen, e.highest)>>ownerBits+1)<<ownerBits | e.owner
 	return e.highest
 }
 
-// seenStep is the number of epochs to skip when an instance has seen an epoch unknown to this node.
-const seenStep = 64
+// supersededStep is the number of epochs to skip when an instance has seen an epoch unknown to this node.
+const supersededStep = 64
 
 // Behind skips epochs after an instance has reported one that this node has not observed.
 func (e *Epochs) Behind() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.highest += seenStep << numberBits
+	e.highest += supersededStep << ownerBits
 }
 
 // Observe records an epoch seen elsewhere; later epochs are greater.
--- a/coordination/placement/formation.go
+++ b/coordination/placement/formation.go
@@ -9,95 +9,96 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// formation is the planner's record of a group at one epoch.
-type formation struct {
-	model   string
-	members []state.InstanceID
-	since   time.Time
-	// formed is the time of formation; for a group formed by another leader it is estimated.
-	formed time.Time
-	// failed is the reason for which the group is being dissolved. Once set it stays, even if a missing member returns.
-	failed string
+// group is the planner's record of a group at one epoch.
+type group struct {
+	model        string
+	members      []state.InstanceID
+	trackedSince time.Time
+	// formedAt is the time of formation; for a group formed by another leader it is estimated.
+	formedAt time.Time
+	// failure is the reason for which the group is being dissolved. Once set it stays, even if a missing member returns.
+	failure string
 	// opened is set once the head has been seen open.
 	opened bool
 	// joined holds the members that have been seen in the group.
 	joined map[state.InstanceID]bool
-	// unknown is the number of ranks that no instance has claimed.
-	unknown int
-	// donor is the time at which the group was selected to be closed for reallocation; zero if it was not.
-	donor time.Time
-	// closing is the time since which the head has been closing, for whatever reason.
-	closing time.Time
+	// unknownRanks is the number of ranks that no instance has claimed.
+	unknownRanks int
+	// donorSince is the time at which the group was selected to be closed for reallocation; zero if it was not.
+	donorSince time.Time
+	// closingSince is the time since which the head has been closing, for whatever reason.
+	closingSince time.Time
 }
 
-// tend reconciles one group: its members join, its head opens or closes, or the group is dissolved.
-func (s *step) tend(key fleet.GroupKey) {
-	f := s.formations[key]
-	if f == nil {
-		f = s.recover(key)
+// reconcile plans the next orders for one group: its members join, its head opens or closes, or
+// the group is dissolved.
+func (s *step) reconcile(key fleet.GroupKey) {
+	g := s.groups[key]
+	if g == nil {
+		g = s.recoverGroup(key)
 	}
-	if f.unknown > 0 {
-		s.complete(key, f)
+	if g.unknownRanks > 0 {
+		s.fillMembers(key, g)
 	}
-	for _, m := range s.groups[key] {
-		f.joined[m.ID] = true
+	for _, m := range s.membersByGroup[key] {
+		g.joined[m.ID] = true
 	}
-	if f.failed == "" {
-		f.failed = s.fault(key, f)
+	if g.failure == "" {
+		g.failure = s.failureReason(key, g)
 	}
-	head := s.headOf(f)
+	head := s.headOf(g)
 	switch {
-	case f.failed != "":
-		s.plan.Avoid[key] = f.failed
-		s.takeApart(key, f)
-	case s.draining(f):
+	case g.failure != "":
+		s.plan.Avoid[key] = g.failure
+		s.dissolve(key, g)
+	case s.isDraining(g):
 		s.plan.Avoid[key] = "a member is leaving"
-		s.handOver(key, f, head)
-	case !f.donor.IsZero():
+		s.drain(key, g, head)
+	case !g.donorSince.IsZero():
 		s.plan.Avoid[key] = "its members are needed elsewhere"
-		s.handOver(key, f, head)
+		s.drain(key, g, head)
 	default:
-		s.bringUp(key, f, head)
+		s.bringUp(key, g, head)
 	}
 }
 
-// recover records a group that instances report but this planner did not form.
-func (s *step) recover(key fleet.GroupKey) *formation {
-	f := &formation{since: s.now, unknown: 1, joined: map[state.InstanceID]bool{}}
+// recoverGroup records a group that instances report but this planner did not form.
+func (s *step) recoverGroup(key fleet.GroupKey) *group {
+	g := &group{trackedSince: s.now, unknownRanks: 1, joined: map[state.InstanceID]bool{}}
 	// The group is older than the takeover, so it counts as new only until its members should
 	// be known. With its age counted from the takeover, 30 of 300 instances stayed free for 6 s
 	// next to groups that lacked one member.
-	f.formed = s.now.Add(s.policy.UnknownMemberTimeout - s.policy.DonorAge)
-	s.formations[key] = f
-	return f
+	g.formedAt = s.now.Add(s.policy.UnknownMemberTimeout - s.policy.DonorAge)
+	s.groups[key] = g
+	return g
 }
 
-// complete fills in unknown members of a recovered group.
-func (s *step) complete(key fleet.GroupKey, f *formation) {
-	for _, m := range s.groups[key] {
+// fillMembers fills in unknown members of a recovered group.
+func (s *step) fillMembers(key fleet.GroupKey, g *group) {
+	for _, m := range s.membersByGroup[key] {
 		// A joining member may still report the model of its previous group.
 		if m.Loaded != "" && m.Membership.State != fleet.Joining {
-			f.model = m.Loaded
+			g.model = m.Loaded
 		}
 	}
 	for rank, id := range s.membersByRank(key) {
-		for len(f.members) <= rank {
-			f.members = append(f.members, "")
+		for len(g.members) <= rank {
+			g.members = append(g.members, "")
 		}
-		if f.members[rank] == "" {
-			f.members[rank] = id
+		if g.members[rank] == "" {
+			g.members[rank] = id
 		}
 	}
-	if model := s.engine.Model(f.model); model != nil && len(f.members) < model.Size {
-		f.members = append(f.members, make([]state.InstanceID, model.Size-len(f.members))...)
+	if model := s.engine.Model(g.model); model != nil && len(g.members) < model.Size {
+		g.members = append(g.members, make([]state.InstanceID, model.Size-len(g.members))...)
 	}
-	f.unknown = 0
-	if s.engine.Model(f.model) == nil {
-		f.unknown++ // the number of members is unknown as well
+	g.unknownRanks = 0
+	if s.engine.Model(g.model) == nil {
+		g.unknownRanks++ // the number of members is unknown as well
 	}
-	for _, id := range f.members {
+	for _, id := range g.members {
 		if id == "" {
-			f.unknown++
+			g.unknownRanks++
 		}
 	}
 }
@@ -106,7 +107,7 @@
 // unclaimed rank is empty.
 func (s *step) membersByRank(key fleet.GroupKey) []state.InstanceID {
 	var list []state.InstanceID
-	for _, m := range s.groups[key] {
+	for _, m := range s.membersByGroup[key] {
 		for len(list) <= m.Membership.Rank {
 			list = append(list, "")
 		}
@@ -115,13 +116,13 @@
 	return list
 }
 
-// fault returns the reason why a group cannot serve, or an empty string.
-func (s *step) fault(key fleet.GroupKey, f *formation) string {
-	joinBy := f.since.Add(s.joinTime(f.model) + s.policy.JoinMargin)
-	for rank, id := range f.members {
+// failureReason returns the reason why a group cannot serve, or an empty string.
+func (s *step) failureReason(key fleet.GroupKey, g *group) string {
+	joinDeadline := g.trackedSince.Add(s.maxJoinTime(g.model) + s.policy.JoinMargin)
+	for rank, id := range g.members {
 		m := s.byID[id]
 		switch {
-		case id == "" && s.now.Sub(f.since) < s.policy.UnknownMemberTimeout:
+		case id == "" && s.now.Sub(g.trackedSince) < s.policy.UnknownMemberTimeout:
 		case id == "":
 			return fmt.Sprintf("rank %d is unknown", rank)
 		case m == nil || m.Gone:
@@ -132,15 +133,15 @@
 			return fmt.Sprintf("%s has seen a later epoch", id)
 		case !m.Known:
 			s.plan.Ask = append(s.plan.Ask, id)
-		case m.Membership.Key() != key && f.joined[id]:
+		case m.Membership.Key() != key && g.joined[id]:
 			return fmt.Sprintf("%s has left", id)
-		case m.Membership.Key() != key && s.now.After(joinBy):
+		case m.Membership.Key() != key && s.now.After(joinDeadline):
 			return fmt.Sprintf("%s did not join", id)
 		case m.Membership.Key() != key && m.Membership.Group != "":
 			return fmt.Sprintf("%s is in another group", id)
 		case m.Membership.Key() == key && m.Membership.State == fleet.Broken:
 			return fmt.Sprintf("%s says broken", id)
-		case m.Membership.Key() == key && m.Membership.State == fleet.Joining && s.now.After(joinBy):
+		case m.Membership.Key() == key && m.Membership.State == fleet.Joining && s.now.After(joinDeadline):
 			return fmt.Sprintf("%s does not become ready", id)
 		}
 	}
@@ -148,40 +149,40 @@
 }
 
 // headOf returns the instance that is or was the head of a group, or nil.
-func (s *step) headOf(f *formation) *Member {
-	if len(f.members) == 0 {
+func (s *step) headOf(g *group) *Member {
+	if len(g.members) == 0 {
 		return nil
 	}
-	return s.byID[f.members[0]]
+	return s.byID[g.members[0]]
 }
 
-// draining reports whether a member of a group is draining or its head is no longer listed.
-func (s *step) draining(f *formation) bool {
-	if head := s.headOf(f); head != nil && head.Unlisted {
+// isDraining reports whether a member of a group is draining or its head is no longer listed.
+func (s *step) isDraining(g *group) bool {
+	if head := s.headOf(g); head != nil && head.Unlisted {
 		return true
 	}
-	return slices.ContainsFunc(f.members, func(id state.InstanceID) bool { return s.byID[id] != nil && s.byID[id].Draining })
+	return slices.ContainsFunc(g.members, func(id state.InstanceID) bool { return s.byID[id] != nil && s.byID[id].Draining })
 }
 
 // bringUp orders the missing members to join, and the head to open once all members are ready.
-func (s *step) bringUp(key fleet.GroupKey, f *formation, head *Member) {
+func (s *step) bringUp(key fleet.GroupKey, g *group, head *Member) {
 	if head == nil {
 		return
 	}
 	if head.Membership.Key() == key && (head.Membership.State == fleet.Open || head.Membership.State == fleet.Closing) {
-		f.opened = true
-		s.watchClosing(f, head)
+		g.opened = true
+		s.enforceCloseTimeout(g, head)
 		return
 	}
 	s.plan.Watch = true
 	ready := true
-	for _, id := range f.members {
+	for _, id := range g.members {
 		m := s.byID[id]
 		if m == nil {
 			return
 		}
 		if m.Membership.Key() != key {
-			s.join(key, f, m)
+			s.orderJoin(key, g, m)
 			ready = false
 			continue
 		}
@@ -189,76 +190,76 @@
 			ready = false
 		}
 	}
-	model := s.engine.Model(f.model)
-	if ready && model != nil && len(f.members) == model.Size {
-		s.order(head, Order{Action: Open, Key: key, Why: "all members are ready"})
+	model := s.engine.Model(g.model)
+	if ready && model != nil && len(g.members) == model.Size {
+		s.addOrder(head, Order{Action: Open, Key: key, Why: "all members are ready"})
 	}
 }
 
-// watchClosing fails a group whose head stays in the closing state for longer than the close
+// enforceCloseTimeout fails a group whose head stays in the closing state for longer than the close
 // timeout, due to a delayed order or an order of an earlier leader. Such a group would never
 // serve requests again.
-func (s *step) watchClosing(f *formation, head *Member) {
+func (s *step) enforceCloseTimeout(g *group, head *Member) {
 	switch {
 	case head.Membership.State != fleet.Closing:
-		f.closing = time.Time{}
-	case f.closing.IsZero():
-		f.closing = s.now
-	case s.now.Sub(f.closing) > s.policy.CloseTimeout:
-		f.failed = "closing takes too long"
+		g.closingSince = time.Time{}
+	case g.closingSince.IsZero():
+		g.closingSince = s.now
+	case s.now.Sub(g.closingSince) > s.policy.CloseTimeout:
+		g.failure = "closing takes too long"
 	}
 }
 
-// join orders an instance to become a member. The instance refuses the order if it has
+// orderJoin orders an instance to become a member. The instance refuses the order if it has
 // accepted other orders since its last report.
-func (s *step) join(key fleet.GroupKey, f *formation, m *Member) {
+func (s *step) orderJoin(key fleet.GroupKey, g *group, m *Member) {
 	if m.Membership.Group != "" {
 		return
 	}
 	expect := m.Orders
-	s.order(m, Order{Action: Join, Key: key, Model: f.model, Members: f.members, Expect: &expect, Why: "forming"})
+	s.addOrder(m, Order{Action: Join, Key: key, Model: g.model, Members: g.members, Expect: &expect, Why: "forming"})
 }
 
-// takeApart dissolves a group that cannot serve: all reachable members are ordered to leave.
+// dissolve dissolves a group that cannot serve: all reachable members are ordered to leave.
 // A head that lacks a member makes no progress, so it does not matter when its own order
 // arrives. A member is free once it reports that it belongs to no group.
-func (s *step) takeApart(key fleet.GroupKey, f *formation) {
-	left := true
-	for _, m := range s.groups[key] {
+func (s *step) dissolve(key fleet.GroupKey, g *group) {
+	allLeft := true
+	for _, m := range s.membersByGroup[key] {
 		if m.Lost || m.Far {
 			continue
 		}
-		left = false
+		allLeft = false
 		s.plan.Watch = true
-		s.order(m, Order{Action: Leave, Key: key, Why: f.failed})
+		s.addOrder(m, Order{Action: Leave, Key: key, Why: g.failure})
 	}
-	if left {
-		delete(s.formations, key)
+	if allLeft {
+		delete(s.groups, key)
 	}
 }
 
-// handOver drains a group: the head is ordered to finish its requests, and the group fails
+// drain drains a group: the head is ordered to finish its requests, and the group fails
 // once the head is closed. It applies to groups with a leaving member and to donor groups.
-func (s *step) handOver(key fleet.GroupKey, f *formation, head *Member) {
+func (s *step) drain(key fleet.GroupKey, g *group, head *Member) {
 	if head == nil || head.Membership.Key() != key {
-		f.failed = "a member is leaving"
+		g.failure = "a member is leaving"
 		return
 	}
 	s.plan.Watch = true
 	switch head.Membership.State {
 	case fleet.Open:
-		s.order(head, Order{Action: Close, Key: key, Why: s.plan.Avoid[key]})
+		s.addOrder(head, Order{Action: Close, Key: key, Why: s.plan.Avoid[key]})
 	case fleet.Closing:
-		if !f.donor.IsZero() && s.now.Sub(f.donor) > s.policy.CloseTimeout {
-			f.failed = "closing takes too long"
+		if !g.donorSince.IsZero() && s.now.Sub(g.donorSince) > s.policy.CloseTimeout {
+			g.failure = "closing takes too long"
 		}
 	default:
-		f.failed = s.plan.Avoid[key]
+		g.failure = s.plan.Avoid[key]
 	}
 }
 
-// serving reports whether an instance belongs to an open group.
-func (s *step) serving(m *Member) bool {
-	f := s.formations[m.Membership.Key()]
-	return f != nil && f.opened && f.failed == ""
+// isServing reports whether an instance belongs to an open group.
+func (s *step) isServing(m *Member) bool {
+	g := s.groups[m.Membership.Key()]
+	return g != nil && g.opened && g.failure == ""
 }
--- a/coordination/placement/layout.go
+++ b/coordination/placement/layout.go
@@ -8,189 +8,189 @@
 	"github.com/troutmast/troutmast/state/catalog"
 )
 
-// supply holds the current (have) and desired (want) number of instances in groups of each model.
-type supply struct {
-	policy *Policy
-	have   []float64
-	want   []float64
+// allocation holds the current and desired numbers of instances in groups of each model.
+type allocation struct {
+	policy  *Policy
+	current []float64
+	desired []float64
 }
 
-// newSupply returns a supply that divides a number of instances among the models by their
-// configured shares. It is used while the demand is unknown.
-func newSupply(models []catalog.Model, instances int, policy *Policy) *supply {
-	s := &supply{policy: policy, have: make([]float64, len(models)), want: make([]float64, len(models))}
+// newShareAllocation returns an allocation whose desired numbers divide the instances among the
+// models by their configured shares. It is used while the demand is unknown.
+func newShareAllocation(models []catalog.Model, instances int, policy *Policy) *allocation {
+	alloc := &allocation{policy: policy, current: make([]float64, len(models)), desired: make([]float64, len(models))}
 	var total float64
 	for i := range models {
 		total += models[i].Share
 	}
 	for i := range models {
 		if total > 0 {
-			s.want[i] = models[i].Share / total * float64(instances)
+			alloc.desired[i] = models[i].Share / total * float64(instances)
 		}
-		s.want[i] = max(s.want[i], 1)
+		alloc.desired[i] = max(alloc.desired[i], 1)
 	}
-	return s
+	return alloc
 }
 
-// newNeededSupply returns a supply for a measured demand. The desired number of instances is
-// Concavity times the number that the demand fills, because batches that are not full answer
-// faster and groups fail.
-func newNeededSupply(engine *catalog.Engine, work []float64, policy *Policy) *supply {
+// newDemandAllocation returns an allocation for a measured demand. The desired number of
+// instances is Concavity times the number that the demand fills, because batches that are not
+// full answer faster and groups fail.
+func newDemandAllocation(engine *catalog.Engine, demand []float64, policy *Policy) *allocation {
 	n := len(engine.Models)
-	s := &supply{policy: policy, have: make([]float64, n), want: make([]float64, n)}
+	alloc := &allocation{policy: policy, current: make([]float64, n), desired: make([]float64, n)}
 	for i, m := range engine.Models {
-		need := work[i] * cmp.Or(m.Pace, 1) * float64(m.Size) / float64(max(engine.Slots, 1))
-		s.want[i] = max(s.policy.Concavity*need, float64(m.Size))
+		need := demand[i] * cmp.Or(m.Pace, 1) * float64(m.Size) / float64(max(engine.Slots, 1))
+		alloc.desired[i] = max(alloc.policy.Concavity*need, float64(m.Size))
 	}
-	return s
+	return alloc
 }
 
-// value returns the utility of a number of instances in groups of a model. It grows concavely
+// utility returns the utility of a number of instances in groups of a model. It grows concavely
 // and never exceeds the desired number.
-func (s *supply) value(model int, have float64) float64 {
-	return s.want[model] * (1 - math.Exp(-s.policy.Concavity*have/s.want[model]))
+func (alloc *allocation) utility(model int, instances float64) float64 {
+	return alloc.desired[model] * (1 - math.Exp(-alloc.policy.Concavity*instances/alloc.desired[model]))
 }
 
-// option is a possible layout of groups for the free instances of one domain.
-type option struct {
+// layout is a possible layout of groups for the free instances of one domain.
+type layout struct {
 	// counts is the number of groups of each model.
 	counts []int
 }
 
-// size returns the number of instances in the groups of a model.
-func (o option) size(i int, models []catalog.Model) float64 {
-	return float64(o.counts[i] * models[i].Size)
+// instances returns the number of instances in the groups of a model.
+func (l layout) instances(i int, models []catalog.Model) float64 {
+	return float64(l.counts[i] * models[i].Size)
 }
 
-// options returns the maximal layouts of a number of free instances: those to which no further
-// group can be added. able is the number of instances that are eligible for each model.
-func options(free int, able []int, models []catalog.Model) []option {
-	var list []option
+// maximalLayouts returns the maximal layouts of a number of free instances: those to which no
+// further group can be added. eligible is the number of instances that are eligible for each model.
+func maximalLayouts(free int, eligible []int, models []catalog.Model) []layout {
+	var list []layout
 	counts := make([]int, len(models))
-	var try func(model, left int)
-	try = func(model, left int) {
+	var enumerate func(model, left int)
+	enumerate = func(model, left int) {
 		if model == len(models) {
-			list = append(list, option{counts: slices.Clone(counts)})
+			list = append(list, layout{counts: slices.Clone(counts)})
 			return
 		}
 		size := models[model].Size
-		for n := min(left, able[model]) / size; n >= 0; n-- {
+		for n := min(left, eligible[model]) / size; n >= 0; n-- {
 			counts[model] = n
-			try(model+1, left-n*size)
+			enumerate(model+1, left-n*size)
 		}
 	}
-	try(0, free)
-	return slices.DeleteFunc(list, func(o option) bool { return extendable(o, free, able, models) })
+	enumerate(0, free)
+	return slices.DeleteFunc(list, func(l layout) bool { return isExtendable(l, free, eligible, models) })
 }
 
-// extendable reports whether a further group could be added to an option.
-func extendable(o option, free int, able []int, models []catalog.Model) bool {
-	for i, n := range o.counts {
+// isExtendable reports whether a further group could be added to a layout.
+func isExtendable(l layout, free int, eligible []int, models []catalog.Model) bool {
+	for i, n := range l.counts {
 		free -= n * models[i].Size
 	}
-	for i, n := range o.counts {
-		if free >= models[i].Size && able[i] >= (n+1)*models[i].Size {
+	for i, n := range l.counts {
+		if free >= models[i].Size && eligible[i] >= (n+1)*models[i].Size {
 			return true
 		}
 	}
 	return false
 }
 
-// worth returns the utility that the groups of options add to the existing groups.
-func (s *supply) worth(models []catalog.Model, chosen ...option) float64 {
+// utilityGain returns the utility that the groups of the chosen layouts add to the existing groups.
+func (alloc *allocation) utilityGain(models []catalog.Model, chosen ...layout) float64 {
 	var total float64
 	for i := range models {
-		have := s.have[i]
-		for _, o := range chosen {
-			have += o.size(i, models)
+		instances := alloc.current[i]
+		for _, l := range chosen {
+			instances += l.instances(i, models)
 		}
-		total += s.value(i, have) - s.value(i, s.have[i])
+		total += alloc.utility(i, instances) - alloc.utility(i, alloc.current[i])
 	}
 	return total
 }
 
-// add adds the groups of an option to the supply, times times; -1 removes them.
-func (s *supply) add(o option, models []catalog.Model, times float64) {
+// add adds the groups of a layout to the current numbers with a factor of 1, or removes them with -1.
+func (alloc *allocation) add(l layout, models []catalog.Model, factor float64) {
 	for i := range models {
-		s.have[i] += times * o.size(i, models)
+		alloc.current[i] += factor * l.instances(i, models)
 	}
 }
 
-// best returns the option with the highest utility.
-func (s *supply) best(list []option, models []catalog.Model) option {
-	return slices.MaxFunc(list, func(a, b option) int {
-		return cmp.Compare(s.worth(models, a), s.worth(models, b))
+// best returns the layout with the highest utility gain.
+func (alloc *allocation) best(list []layout, models []catalog.Model) layout {
+	return slices.MaxFunc(list, func(a, b layout) int {
+		return cmp.Compare(alloc.utilityGain(models, a), alloc.utilityGain(models, b))
 	})
 }
 
-// pack chooses an option for each domain to maximize the total utility. The best option of a
-// domain depends on those of the others, so after a greedy start it improves pairs of domains,
-// until no pair improves or it has made one pass per domain. The result is a heuristic.
-func (s *supply) pack(domains [][]option, models []catalog.Model) []option {
-	chosen := make([]option, len(domains))
+// chooseLayouts chooses a layout for each domain to maximize the total utility. The best layout
+// of a domain depends on those of the others, so after a greedy start it improves pairs of domains
+// until no pair improves or it has made one pass per domain. The result may not be optimal.
+func (alloc *allocation) chooseLayouts(domains [][]layout, models []catalog.Model) []layout {
+	chosen := make([]layout, len(domains))
 	for d, list := range domains {
-		chosen[d] = s.best(list, models)
-		s.add(chosen[d], models, 1)
+		chosen[d] = alloc.best(list, models)
+		alloc.add(chosen[d], models, 1)
 	}
 	for range domains {
-		if !s.improve(domains, chosen, models) {
+		if !alloc.improvePairs(domains, chosen, models) {
 			break
 		}
 	}
 	for d := range chosen {
-		chosen[d] = s.prune(chosen[d], models)
+		chosen[d] = alloc.prune(chosen[d], models)
 	}
 	return chosen
 }
 
-// improve replaces the options of pairs of domains where that increases the utility, and
+// improvePairs replaces the layouts of pairs of domains where that increases the utility, and
 // reports whether it replaced any.
-func (s *supply) improve(domains [][]option, chosen []option, models []catalog.Model) bool {
-	const least = 1e-9
-	gained := false
+func (alloc *allocation) improvePairs(domains [][]layout, chosen []layout, models []catalog.Model) bool {
+	const minImprovement = 1e-9
+	improved := false
 	for a := range domains {
 		for b := a + 1; b < len(domains); b++ {
-			s.add(chosen[a], models, -1)
-			s.add(chosen[b], models, -1)
-			most := s.worth(models, chosen[a], chosen[b]) + least
-			for _, oa := range domains[a] {
-				for _, ob := range domains[b] {
-					if w := s.worth(models, oa, ob); w > most {
-						chosen[a], chosen[b], most, gained = oa, ob, w, true
+			alloc.add(chosen[a], models, -1)
+			alloc.add(chosen[b], models, -1)
+			bestGain := alloc.utilityGain(models, chosen[a], chosen[b]) + minImprovement
+			for _, la := range domains[a] {
+				for _, lb := range domains[b] {
+					if gain := alloc.utilityGain(models, la, lb); gain > bestGain {
+						chosen[a], chosen[b], bestGain, improved = la, lb, gain, true
 					}
 				}
 			}
-			s.add(chosen[a], models, 1)
-			s.add(chosen[b], models, 1)
+			alloc.add(chosen[a], models, 1)
+			alloc.add(chosen[b], models, 1)
 		}
 	}
-	return gained
+	return improved
 }
 
-// prune drops the groups of an option whose utility is below MinGroupGain per instance. Their
+// prune drops the groups of a layout whose utility is below MinGroupGain per instance. Their
 // instances remain free as spares.
-func (s *supply) prune(o option, models []catalog.Model) option {
-	out := option{counts: slices.Clone(o.counts)}
+func (alloc *allocation) prune(l layout, models []catalog.Model) layout {
+	out := layout{counts: slices.Clone(l.counts)}
 	for i := range models {
 		size := float64(models[i].Size)
-		for out.counts[i] > 0 && s.value(i, s.have[i])-s.value(i, s.have[i]-size) < s.policy.MinGroupGain*size {
+		for out.counts[i] > 0 && alloc.utility(i, alloc.current[i])-alloc.utility(i, alloc.current[i]-size) < alloc.policy.MinGroupGain*size {
 			out.counts[i]--
-			s.have[i] -= size
+			alloc.current[i] -= size
 		}
 	}
 	return out
 }
 
-// gain returns the utility that further instances add to the groups of a model.
-func (s *supply) gain(model int, more float64) float64 {
-	return s.value(model, s.have[model]+more) - s.value(model, s.have[model])
+// addedUtility returns the utility that further instances add to the groups of a model.
+func (alloc *allocation) addedUtility(model int, more float64) float64 {
+	return alloc.utility(model, alloc.current[model]+more) - alloc.utility(model, alloc.current[model])
 }
 
-// slopes returns the marginal utility of one more instance in groups of each model.
-func (s *supply) slopes() []float64 {
-	slopes := make([]float64, len(s.have))
-	for i := range slopes {
-		slopes[i] = s.gain(i, 1)
+// marginalUtilities returns the marginal utility of one more instance in groups of each model.
+func (alloc *allocation) marginalUtilities() []float64 {
+	utilities := make([]float64, len(alloc.current))
+	for i := range utilities {
+		utilities[i] = alloc.addedUtility(i, 1)
 	}
-	return slopes
+	return utilities
 }
--- a/coordination/placement/planner.go
+++ b/coordination/placement/planner.go
@@ -41,33 +41,33 @@
 // usable reports whether the instance can become a member of a new group.
 func (m *Member) usable() bool { return !m.Lost && !m.Far && !m.Gone && !m.Draining && !m.Unlisted }
 
-// empty reports whether the instance has neither a loaded nor a staged model.
-func (m *Member) empty() bool { return m.Model == "" && len(m.Staged) == 0 }
+// hasNoModel reports whether the instance has neither a loaded nor a staged model.
+func (m *Member) hasNoModel() bool { return m.Model == "" && len(m.Staged) == 0 }
 
-// sentOrder identifies an order that was sent; sentAt adds the time of sending.
-type sentOrder struct {
+// orderKey identifies an order that was sent; sentOrder adds the time of sending.
+type orderKey struct {
 	action Action
 	key    fleet.GroupKey
 }
 
-type sentAt struct {
-	sentOrder
+type sentOrder struct {
+	orderKey
 	at time.Time
 }
 
 // Planner plans the groups of one engine service. It is not safe for concurrent use.
 type Planner struct {
-	engine     *catalog.Engine
-	policy     Policy
-	next       func(seen state.Epoch) state.Epoch
-	formations map[fleet.GroupKey]*formation
-	loads      []time.Time
-	// began is the time of the first call of Step.
-	began   time.Time
-	sent    map[state.InstanceID]sentAt
-	staging map[state.InstanceID]Staging
-	// staged is the time at which the models to stage were last evaluated.
-	staged time.Time
+	engine    *catalog.Engine
+	policy    Policy
+	nextEpoch func(seen state.Epoch) state.Epoch
+	groups    map[fleet.GroupKey]*group
+	loadTimes []time.Time
+	// startedAt is the time of the first call of Step.
+	startedAt time.Time
+	sent      map[state.InstanceID]sentOrder
+	staging   map[state.InstanceID]Staging
+	// stagingEvaluatedAt is the time at which the models to stage were last evaluated.
+	stagingEvaluatedAt time.Time
 	// Quiet reports whether no request has arrived yet, in which case loads are nearly free.
 	Quiet bool
 	// Work is the demand for each model: the average number of slots that its requests occupy
@@ -75,15 +75,16 @@
 	Work []float64
 }
 
-// NewPlanner returns a Planner. The function next must return a new epoch that is greater than seen.
-func NewPlanner(engine *catalog.Engine, policy Policy, next func(seen state.Epoch) state.Epoch) *Planner {
+// NewPlanner returns a Planner. The function nextEpoch must return a new epoch that is greater
+// than seen.
+func NewPlanner(engine *catalog.Engine, policy Policy, nextEpoch func(seen state.Epoch) state.Epoch) *Planner {
 	return &Planner{
-		engine:     engine,
-		policy:     policy,
-		next:       next,
-		formations: map[fleet.GroupKey]*formation{},
-		sent:       map[state.InstanceID]sentAt{},
-		staging:    map[state.InstanceID]Staging{},
+		engine:    engine,
+		policy:    policy,
+		nextEpoch: nextEpoch,
+		groups:    map[fleet.GroupKey]*group{},
+		sent:      map[state.InstanceID]sentOrder{},
+		staging:   map[state.InstanceID]Staging{},
 	}
 }
 
@@ -103,7 +104,7 @@
 	// Wanted is the desired number of instances in groups of each model.
 	Wanted map[string]float64
 	// Kept is the number of domains in which no group is closed for reallocation, by reason.
-	Kept map[KeptReason]int
+	Kept map[SkipReason]int
 	// Spares describes the loaded and staged models of each free instance, for the log.
 	Spares []string
 	// Avoid holds the groups that must not receive new requests, with the reason.
@@ -115,61 +116,61 @@
 	*Planner
 	now  time.Time
 	byID map[state.InstanceID]*Member
-	// ids are the sorted instance ids; named holds the instances that are assigned to a group.
-	ids     []state.InstanceID
-	named   map[state.InstanceID]bool
-	groups  map[fleet.GroupKey][]*Member
-	plan    Plan
-	newest  state.Epoch
-	domains map[string]*domain
-	supply  *supply
-	// slopes are the marginal utilities of one more instance in groups of each model.
-	slopes []float64
+	// ids are the sorted instance ids; assigned holds the instances that are assigned to a group.
+	ids            []state.InstanceID
+	assigned       map[state.InstanceID]bool
+	membersByGroup map[fleet.GroupKey][]*Member
+	plan           Plan
+	highestEpoch   state.Epoch
+	domains        map[string]*domain
+	alloc          *allocation
+	// marginalUtilities are the marginal utilities of one more instance in groups of each model.
+	marginalUtilities []float64
 }
 
 // Step returns the plan for the given instances, which are all instances of the service.
 func (p *Planner) Step(now time.Time, members []Member) Plan {
 	s := &step{
-		Planner: p,
-		now:     now,
-		byID:    make(map[state.InstanceID]*Member, len(members)),
-		groups:  map[fleet.GroupKey][]*Member{},
-		plan:    Plan{Avoid: map[fleet.GroupKey]string{}, Kept: map[KeptReason]int{}},
+		Planner:        p,
+		now:            now,
+		byID:           make(map[state.InstanceID]*Member, len(members)),
+		membersByGroup: map[fleet.GroupKey][]*Member{},
+		plan:           Plan{Avoid: map[fleet.GroupKey]string{}, Kept: map[SkipReason]int{}},
 	}
-	if p.began.IsZero() {
-		p.began = now
+	if p.startedAt.IsZero() {
+		p.startedAt = now
 	}
 	for i := range members {
 		m := &members[i]
 		s.byID[m.ID] = m
-		s.newest = max(s.newest, m.Membership.Epoch)
+		s.highestEpoch = max(s.highestEpoch, m.Membership.Epoch)
 		if m.Membership.Group != "" && !m.Gone {
-			s.groups[m.Membership.Key()] = append(s.groups[m.Membership.Key()], m)
+			s.membersByGroup[m.Membership.Key()] = append(s.membersByGroup[m.Membership.Key()], m)
 		}
 	}
 	s.ids = sortedIDs(s.byID)
-	for _, key := range s.keys() {
-		s.tend(key)
+	for _, key := range s.groupKeys() {
+		s.reconcile(key)
 	}
-	s.named = s.namedMembers()
-	s.form()
-	s.census()
+	s.assigned = s.assignedMembers()
+	s.formGroups()
+	s.summarize()
 	s.stage()
-	s.forget()
+	s.removeExpired()
 	return s.plan
 }
 
-// keys returns all groups that instances report or the planner has recorded, in order of epoch.
-func (s *step) keys() []fleet.GroupKey {
+// groupKeys returns all groups that instances report or the planner has recorded, in order of epoch.
+func (s *step) groupKeys() []fleet.GroupKey {
 	var keys []fleet.GroupKey
-	for key := range s.groups {
+	for key := range s.membersByGroup {
 		keys = append(keys, key)
 	}
-	for key := range s.formations {
-		if s.groups[key] == nil {
+	for key := range s.groups {
+		if s.membersByGroup[key] == nil {
 			keys = append(keys, key)
 		}
-		s.newest = max(s.newest, key.Epoch)
+		s.highestEpoch = max(s.highestEpoch, key.Epoch)
 	}
 	slices.SortFunc(keys, func(a, b fleet.GroupKey) int {
 		return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Group, b.Group))
@@ -177,9 +178,9 @@
 	return keys
 }
 
-// joinTime returns the maximum time that members of a group of a model may take to become
+// maxJoinTime returns the maximum time that members of a group of a model may take to become
 // ready, not counting the margin. An empty name stands for an unknown model.
-func (s *step) joinTime(model string) time.Duration {
+func (s *step) maxJoinTime(model string) time.Duration {
 	var longest time.Duration
 	for i := range s.engine.Models {
 		if m := &s.engine.Models[i]; m.Name == model || model == "" {
@@ -189,12 +190,12 @@
 	return longest
 }
 
-// order adds an order to the plan, unless an equal one was sent within the order interval or
+// addOrder adds an order to the plan, unless an equal one was sent within the order interval or
 // another is unanswered. A join needs the number of orders that the instance has accepted; if
 // that is unknown, the instance is probed instead.
-func (s *step) order(m *Member, o Order) {
-	last := sentOrder{o.Action, o.Key}
-	if m.Pending || (s.sent[m.ID].sentOrder == last && s.now.Sub(s.sent[m.ID].at) < s.policy.OrderInterval) {
+func (s *step) addOrder(m *Member, o Order) {
+	last := orderKey{o.Action, o.Key}
+	if m.Pending || (s.sent[m.ID].orderKey == last && s.now.Sub(s.sent[m.ID].at) < s.policy.OrderInterval) {
 		return
 	}
 	if o.Action == Join && (!m.Counted || !m.Known) {
@@ -202,7 +203,7 @@
 		return
 	}
 	m.Pending = true
-	s.sent[m.ID] = sentAt{last, s.now}
+	s.sent[m.ID] = sentOrder{last, s.now}
 	o.Instance, o.Address = m.ID, m.Address
 	s.plan.Orders = append(s.plan.Orders, o)
 }
@@ -218,36 +219,36 @@
 	return model.Load
 }
 
-// census fills in the counts of open groups, desired instances and free instances.
-func (s *step) census() {
+// summarize fills in the counts of open groups, desired instances and free instances.
+func (s *step) summarize() {
 	s.plan.Serving = map[string]int{}
 	s.plan.Wanted = map[string]float64{}
 	for i, m := range s.engine.Models {
-		s.plan.Wanted[m.Name] = math.Round(s.supply.want[i])
+		s.plan.Wanted[m.Name] = math.Round(s.alloc.desired[i])
 	}
-	for _, f := range s.formations {
-		if f.opened && f.failed == "" {
-			s.plan.Serving[f.model]++
+	for _, g := range s.groups {
+		if g.opened && g.failure == "" {
+			s.plan.Serving[g.model]++
 		}
 	}
 	for _, id := range s.ids {
 		m := s.byID[id]
-		if m.usable() && m.Membership.Group == "" && !s.named[id] {
+		if m.usable() && m.Membership.Group == "" && !s.assigned[id] {
 			s.plan.Free++
 			s.plan.Spares = append(s.plan.Spares, fmt.Sprintf("%s: %s has %q and %v", m.Domain, id, m.Model, m.Staged))
 		}
 	}
 }
 
-// remembered is how long the last order to an instance is recorded.
-const remembered = time.Minute
+// orderRetention is how long the last order to an instance is recorded.
+const orderRetention = time.Minute
 
-// forget removes expired orders and stagings that have ended.
-func (s *step) forget() {
-	maps.DeleteFunc(s.sent, func(_ state.InstanceID, at sentAt) bool { return s.now.Sub(at.at) > remembered })
+// removeExpired removes expired orders and stagings that have ended.
+func (s *step) removeExpired() {
+	maps.DeleteFunc(s.sent, func(_ state.InstanceID, at sentOrder) bool { return s.now.Sub(at.at) > orderRetention })
 	maps.DeleteFunc(s.staging, func(id state.InstanceID, st Staging) bool {
 		m := s.byID[id]
-		return m == nil || m.Gone || m.Lost || m.HasStaged(st.Model) || !s.mayBeLoading(st)
+		return m == nil || m.Gone || m.Lost || m.HasStaged(st.Model) || !s.mayBeInProgress(st)
 	})
 }
 
--- a/coordination/placement/relayout_test.go
+++ b/coordination/placement/relayout_test.go
@@ -14,23 +14,23 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// sixteensAndFours returns an engine in which a large group needs the members of four small ones.
-func sixteensAndFours() *catalog.Engine {
+// unequalEngine returns an engine in which a large group needs the members of four small ones.
+func unequalEngine() *catalog.Engine {
 	return &catalog.Engine{
-		Slots: 23, LoadsPerSecond: 25, LoadsAtOnce: 37, Form: form,
+		Slots: 23, LoadsPerSecond: 25, LoadsAtOnce: 37, Form: openTime,
 		Models: []catalog.Model{
-			{Name: "large", Size: 16, Share: 0.5, Pace: 1, Load: 16 * time.Second, Warm: warm},
-			{Name: "small", Size: 4, Share: 0.5, Pace: 0.6, Load: 12 * time.Second, Warm: warm},
+			{Name: "large", Size: 16, Share: 0.5, Pace: 1, Load: 16 * time.Second, Warm: warmLoadTime},
+			{Name: "small", Size: 4, Share: 0.5, Pace: 0.6, Load: 12 * time.Second, Warm: warmLoadTime},
 		},
 	}
 }
 
-// fours returns the members of open groups of four in a domain, with the given models staged.
-func fours(domain string, groups int, staged ...string) []placement.Member {
+// groupsOfFour returns the members of open groups of four in a domain, with the given models staged.
+func groupsOfFour(domain string, groups int, staged ...string) []placement.Member {
 	var list []placement.Member
 	for n := range groups {
 		for rank := range 4 {
-			m := free(state.InstanceID(fmt.Sprintf("%s-i%02d", domain, 4*n+rank)), "small", staged...)
+			m := freeInstance(state.InstanceID(fmt.Sprintf("%s-i%02d", domain, 4*n+rank)), "small", staged...)
 			m.Domain, m.Loaded = domain, "small"
 			m.Membership = fleet.Membership{
 				Group: state.GroupName(fmt.Sprintf("%s-g%d", domain, n)), Epoch: state.Epoch(n+1) << 20, Rank: rank, State: fleet.Ready,
@@ -44,8 +44,8 @@
 	return list
 }
 
-// closed returns the sorted names of the groups that a plan orders to close.
-func closed(plan placement.Plan) []state.GroupName {
+// closedGroups returns the sorted names of the groups that a plan orders to close.
+func closedGroups(plan placement.Plan) []state.GroupName {
 	var names []state.GroupName
 	for _, o := range plan.Orders {
 		if o.Action == placement.Close {
@@ -61,25 +61,25 @@
 // group of 16, but at most two were considered. With 148 instances desired for each model, 80
 // stayed in five groups of 16, where nine were desired, and 208 in groups of 4; one group was
 // closed for reallocation in the whole run.
-func TestADomainOfSmallGroupsTurnsWhereLargeOnesAreMissing(t *testing.T) {
+func TestDomainSwitchesToLargeGroupsOnShortage(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		work   []float64
-		closes int
+		name       string
+		demand     []float64
+		wantClosed int
 	}{
 		{"half of the demand is for the large model", nil, 4},
 		{"the small model is short of instances too", []float64{0, 300}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			p := placement.NewPlanner(sixteensAndFours(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-			p.Work = c.work
-			members := func() []placement.Member { return fours("d", 9, "large", "small") }
-			old := stagingNow.Add(placement.DefaultPolicy().DonorAge)
-			p.Step(stagingNow, members())
-			p.Step(old, members())
-			plan := p.Step(old.Add(time.Second), members())
-			g.Expect(closed(plan)).To(HaveLen(c.closes))
+			p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
+			p.Work = c.demand
+			members := func() []placement.Member { return groupsOfFour("d", 9, "large", "small") }
+			eligibleAt := testStart.Add(placement.DefaultPolicy().DonorAge)
+			p.Step(testStart, members())
+			p.Step(eligibleAt, members())
+			plan := p.Step(eligibleAt.Add(time.Second), members())
+			g.Expect(closedGroups(plan)).To(HaveLen(c.wantClosed))
 		})
 	}
 }
@@ -90,17 +90,17 @@
 // group in the domain could have supplied the sixteenth member. No group was closed, with "no
 // gain" as the reason, until the groups had been known for 6 s; then three of eight domains
 // closed groups at once.
-func TestANewLeaderClosesGroupsThatItFound(t *testing.T) {
+func TestNewLeaderReallocatesRecoveredGroups(t *testing.T) {
 	g := NewWithT(t)
-	members := fours("d", 5, "large", "small")
+	members := groupsOfFour("d", 5, "large", "small")
 	for n := range 15 {
-		members = append(members, free(state.InstanceID(fmt.Sprintf("z%02d", n)), "large", "small"))
+		members = append(members, freeInstance(state.InstanceID(fmt.Sprintf("z%02d", n)), "large", "small"))
 	}
-	p := placement.NewPlanner(sixteensAndFours(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
+	p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
 	p.Work = []float64{80, 250}
-	p.Step(stagingNow, members)
-	known := stagingNow.Add(placement.DefaultPolicy().UnknownMemberTimeout)
-	g.Expect(closed(p.Step(known.Add(-time.Second), members))).To(BeEmpty(), "members may still be unknown")
-	p.Step(known, members)
-	g.Expect(closed(p.Step(known.Add(time.Second), members))).To(HaveLen(1))
+	p.Step(testStart, members)
+	knownAt := testStart.Add(placement.DefaultPolicy().UnknownMemberTimeout)
+	g.Expect(closedGroups(p.Step(knownAt.Add(-time.Second), members))).To(BeEmpty(), "members may still be unknown")
+	p.Step(knownAt, members)
+	g.Expect(closedGroups(p.Step(knownAt.Add(time.Second), members))).To(HaveLen(1))
 }
--- a/coordination/placement/stage.go
+++ b/coordination/placement/stage.go
@@ -31,25 +31,25 @@
 	for _, st := range list {
 		if _, known := p.staging[st.Instance]; !known {
 			p.staging[st.Instance] = st
-			p.loads = append(p.loads, st.Since)
+			p.loadTimes = append(p.loadTimes, st.Since)
 		}
 	}
 }
 
-// mayLoad reports whether the limits of the weight store allow another load, and if so counts it.
-func (s *step) mayLoad() bool {
+// reserveLoad reports whether the limits of the weight store allow another load, and if so counts it.
+func (s *step) reserveLoad() bool {
 	if !s.Quiet && len(s.staging) >= max(s.engine.LoadsAtOnce, 1) {
 		return false
 	}
-	s.loads = slices.DeleteFunc(s.loads, func(t time.Time) bool { return s.now.Sub(t) > s.policy.LoadWindow })
-	most := int(s.engine.LoadsPerSecond * s.policy.LoadWindow.Seconds() * s.policy.LoadPart)
-	if s.now.Sub(s.began) < s.policy.LoadWindow {
-		most /= 2 // the previous leader may have ordered loads that it had not reported
+	s.loadTimes = slices.DeleteFunc(s.loadTimes, func(t time.Time) bool { return s.now.Sub(t) > s.policy.LoadWindow })
+	maxLoads := int(s.engine.LoadsPerSecond * s.policy.LoadWindow.Seconds() * s.policy.LoadPart)
+	if s.now.Sub(s.startedAt) < s.policy.LoadWindow {
+		maxLoads /= 2 // the previous leader may have ordered loads that it had not reported
 	}
-	if !s.Quiet && len(s.loads) >= most {
+	if !s.Quiet && len(s.loadTimes) >= maxLoads {
 		return false
 	}
-	s.loads = append(s.loads, s.now)
+	s.loadTimes = append(s.loadTimes, s.now)
 	return true
 }
 
@@ -63,8 +63,8 @@
 		}
 	}
 	if s.Quiet {
-		s.stageOther(s.serving)
-		s.stageOther(s.spare)
+		s.stageAlternates(s.isServing)
+		s.stageAlternates(s.isSpare)
 	}
 }
 
@@ -77,43 +77,43 @@
 
 // wantedLoads returns the loads to free instances that gain enough utility, the highest gain first.
 func (s *step) wantedLoads() []wantedLoad {
-	if !s.Quiet && s.now.Sub(s.staged) < s.policy.StagingInterval {
+	if !s.Quiet && s.now.Sub(s.stagingEvaluatedAt) < s.policy.StagingInterval {
 		return nil
 	}
-	s.staged = s.now
+	s.stagingEvaluatedAt = s.now
 	// Staged models are used after traffic has begun, so the gain is computed as if loads were
 	// no longer nearly free.
 	quiet := s.Quiet
 	s.Quiet = false
 	defer func() { s.Quiet = quiet }()
 	var list []wantedLoad
-	for _, name := range sortedKeys(s.domains) {
+	for _, name := range sortedDomainNames(s.domains) {
 		for i := range s.engine.Models {
-			list = append(list, s.loadsOf(s.domains[name], s.engine.Models[i].Name, s.engine.Models[i].Size)...)
+			list = append(list, s.bestLoads(s.domains[name], s.engine.Models[i].Name, s.engine.Models[i].Size)...)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b wantedLoad) int { return cmp.Compare(b.gain, a.gain) })
 	return list
 }
 
-// loadsOf returns the loads of a model to free instances of a domain. Their number, at most
-// most, is the one with the highest gain per load: a group may lack several members that have
+// bestLoads returns the loads of a model to free instances of a domain. Their number, at most
+// maxLoads, is the one with the highest gain per load: a group may lack several members that have
 // the model, so that a single load would gain nothing.
-func (s *step) loadsOf(d *domain, model string, most int) []wantedLoad {
-	var lacking []*Member
+func (s *step) bestLoads(d *domain, model string, maxLoads int) []wantedLoad {
+	var candidates []*Member
 	for _, m := range d.free {
-		if s.spare(m) && s.staging[m.ID].Model == "" && m.Model != model && !m.HasStaged(model) {
-			lacking = append(lacking, m)
+		if s.isSpare(m) && s.staging[m.ID].Model == "" && m.Model != model && !m.HasStaged(model) {
+			candidates = append(candidates, m)
 		}
 	}
-	slices.SortStableFunc(lacking, func(a, b *Member) int { return cmp.Compare(s.slope(a.Model), s.slope(b.Model)) })
-	before := s.prospect(d, s.withStaging(d.free, nil, ""))
+	slices.SortStableFunc(candidates, func(a, b *Member) int { return cmp.Compare(s.marginalUtility(a.Model), s.marginalUtility(b.Model)) })
+	before := s.expectedUtility(d, s.withStaging(d.free, nil, ""))
 	var best []*Member
 	gain := s.policy.MinStagingGain
-	for n := 1; n <= min(len(lacking), most); n++ {
-		after := s.prospect(d, s.withStaging(d.free, lacking[:n], model))
-		if each := (after - before) / float64(n); each > gain {
-			best, gain = lacking[:n], each
+	for n := 1; n <= min(len(candidates), maxLoads); n++ {
+		after := s.expectedUtility(d, s.withStaging(d.free, candidates[:n], model))
+		if gainPerLoad := (after - before) / float64(n); gainPerLoad > gain {
+			best, gain = candidates[:n], gainPerLoad
 		}
 	}
 	var list []wantedLoad
@@ -123,92 +123,92 @@
 	return list
 }
 
-// stageOther orders the instances selected by kind to stage a model other than the one that they
-// last had. Instances that have a staged model but no last model are skipped.
-func (s *step) stageOther(kind func(m *Member) bool) {
+// stageAlternates orders the instances for which selected returns true to stage a model other than
+// the one that they last had. Instances that have a staged model but no last model are skipped.
+func (s *step) stageAlternates(selected func(m *Member) bool) {
 	for _, id := range s.ids {
-		if m := s.byID[id]; kind(m) && (m.Model != "" || len(m.Staged) == 0) {
+		if m := s.byID[id]; selected(m) && (m.Model != "" || len(m.Staged) == 0) {
 			s.stageModel(m, s.otherModel(m.Model))
 		}
 	}
 }
 
-// mayBeLoading reports whether an ordered load may still be in progress. A load superseded by the
-// order of another leader never completes, and no other load is ordered to the instance while
+// mayBeInProgress reports whether an ordered load may still be in progress. A load superseded by
+// the order of another leader never completes, and no other load is ordered to the instance while
 // this one counts as in progress, so the time is bounded.
-func (s *step) mayBeLoading(st Staging) bool {
-	return s.now.Sub(st.Since) <= min(s.joinTime(st.Model)+s.policy.JoinMargin, s.policy.StagingTimeout)
+func (s *step) mayBeInProgress(st Staging) bool {
+	return s.now.Sub(st.Since) <= min(s.maxJoinTime(st.Model)+s.policy.JoinMargin, s.policy.StagingTimeout)
 }
 
-// spare reports whether an instance is usable, is neither in nor assigned to a group, and was
+// isSpare reports whether an instance is usable, is neither in nor assigned to a group, and was
 // first seen more than twice the settle delay ago.
-func (s *step) spare(m *Member) bool {
-	return m.usable() && m.Membership.Group == "" && !s.named[m.ID] && s.now.Sub(m.Seen) > 2*s.policy.SettleDelay && s.domains[m.Domain] != nil
+func (s *step) isSpare(m *Member) bool {
+	return m.usable() && m.Membership.Group == "" && !s.assigned[m.ID] && s.now.Sub(m.Seen) > 2*s.policy.SettleDelay && s.domains[m.Domain] != nil
 }
 
-// slope returns the marginal utility of one more instance in groups of a model, or 0 if the
-// model is unknown.
-func (s *step) slope(model string) float64 {
+// marginalUtility returns the marginal utility of one more instance in groups of a model, or 0 if
+// the model is unknown.
+func (s *step) marginalUtility(model string) float64 {
 	if i := s.modelIndex(model); i >= 0 {
-		return s.slopes[i]
+		return s.marginalUtilities[i]
 	}
 	return 0
 }
 
 // stageModel orders an instance to load a model to its host, if the limits of the weight store allow it.
 func (s *step) stageModel(m *Member, model string) {
-	if m.Pending || !m.usable() || model == "" || m.HasStaged(model) || s.staging[m.ID].Model != "" || !s.mayLoad() {
+	if m.Pending || !m.usable() || model == "" || m.HasStaged(model) || s.staging[m.ID].Model != "" || !s.reserveLoad() {
 		return
 	}
 	s.staging[m.ID] = Staging{Instance: m.ID, Model: model, Since: s.now}
-	s.order(m, Order{Action: Stage, Model: model, Why: "for a later repair"})
+	s.addOrder(m, Order{Action: Stage, Model: model, Why: "for a later repair"})
 }
 
-// prospect returns the utility of the groups that a domain can form from free instances: what
-// it can form now, plus the mean of what it can form after one of its groups loses a member.
-func (s *step) prospect(d *domain, free []*Member) float64 {
-	worth := s.bestWorth(free)
-	for _, f := range d.groups {
-		worth += s.worthAfterLoss(free, f) / float64(len(d.groups))
+// expectedUtility returns the utility of the groups that a domain can form from free instances:
+// what it can form now, plus the mean of what it can form after one of its groups loses a member.
+func (s *step) expectedUtility(d *domain, free []*Member) float64 {
+	utility := s.bestUtility(free)
+	for _, g := range d.groups {
+		utility += s.utilityAfterLoss(free, g) / float64(len(d.groups))
 	}
-	return worth
+	return utility
 }
 
 // withStaging returns copies of the free instances as they will be once the stagings in progress
-// have completed and the instances in some have staged model.
-func (s *step) withStaging(free, some []*Member, model string) []*Member {
+// have completed and the instances in staging have staged model.
+func (s *step) withStaging(free, staging []*Member, model string) []*Member {
 	list := make([]*Member, 0, len(free))
 	for _, m := range free {
-		will := *m
+		updated := *m
 		if st := s.staging[m.ID]; st.Model != "" {
-			will.Staged = []string{st.Model}
+			updated.Staged = []string{st.Model}
 		}
-		if slices.Contains(some, m) {
-			will.Staged = []string{model}
+		if slices.Contains(staging, m) {
+			updated.Staged = []string{model}
 		}
-		list = append(list, &will)
+		list = append(list, &updated)
 	}
 	return list
 }
 
-// bestWorth returns the utility of the best groups that free instances can form.
-func (s *step) bestWorth(free []*Member) float64 {
+// bestUtility returns the utility of the best groups that free instances can form.
+func (s *step) bestUtility(free []*Member) float64 {
 	models := s.engine.Models
-	return s.supply.worth(models, s.supply.best(options(len(free), s.able(free), models), models))
+	return s.alloc.utilityGain(models, s.alloc.best(maximalLayouts(len(free), s.eligibleCounts(free), models), models))
 }
 
-// worthAfterLoss returns the utility of the best groups that can be formed from free instances and
-// the remaining members of a group that loses one member.
-func (s *step) worthAfterLoss(free []*Member, f *formation) float64 {
-	joined, whole := s.withMembers(free, f)
-	i := s.modelIndex(f.model)
-	if !whole || i < 0 {
+// utilityAfterLoss returns the utility of the best groups that can be formed from free instances
+// and the remaining members of a group that loses one member.
+func (s *step) utilityAfterLoss(free []*Member, g *group) float64 {
+	combined, ok := s.withMembers(free, g)
+	i := s.modelIndex(g.model)
+	if !ok || i < 0 {
 		return 0
 	}
-	size := float64(len(f.members))
-	s.supply.have[i] -= size
-	defer func() { s.supply.have[i] += size }()
-	return s.bestWorth(joined[:len(joined)-1])
+	size := float64(len(g.members))
+	s.alloc.current[i] -= size
+	defer func() { s.alloc.current[i] += size }()
+	return s.bestUtility(combined[:len(combined)-1])
 }
 
 // otherModel returns the first model with a name other than the given one, or an empty string.
--- a/coordination/placement/staging_test.go
+++ b/coordination/placement/staging_test.go
@@ -12,19 +12,19 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// stagingNow is the start time of the staging tests.
-var stagingNow = time.Unix(1000, 0)
+// testStart is the start time of the staging tests.
+var testStart = time.Unix(1000, 0)
 
-// free returns a free instance of domain d with the given last model and staged models.
-func free(id state.InstanceID, model string, staged ...string) placement.Member {
-	m := placement.Member{Known: true, Counted: true, Seen: stagingNow.Add(-time.Minute)}
+// freeInstance returns a free instance of domain d with the given last model and staged models.
+func freeInstance(id state.InstanceID, model string, staged ...string) placement.Member {
+	m := placement.Member{Known: true, Counted: true, Seen: testStart.Add(-time.Minute)}
 	m.ID, m.Service, m.Domain, m.Model, m.Staged = id, "lm", "d", model, staged
 	return m
 }
 
-// inGroup returns a member of the open group g, which serves the small model.
-func inGroup(id state.InstanceID, rank int) placement.Member {
-	m := free(id, "small")
+// groupMember returns a member of the open group g, which serves the small model.
+func groupMember(id state.InstanceID, rank int) placement.Member {
+	m := freeInstance(id, "small")
 	m.Loaded = "small"
 	m.Membership = fleet.Membership{Group: "g", Epoch: 16 << 20, Rank: rank, State: fleet.Ready}
 	if rank == 0 {
@@ -33,8 +33,8 @@
 	return m
 }
 
-// staged returns the instances that a plan orders to stage a model.
-func staged(plan placement.Plan) []state.InstanceID {
+// stagedInstances returns the instances that a plan orders to stage a model.
+func stagedInstances(plan placement.Plan) []state.InstanceID {
 	var ids []state.InstanceID
 	for _, o := range plan.Orders {
 		if o.Action == placement.Stage {
@@ -46,45 +46,45 @@
 
 // Guards against a new leader that orders the loads in progress again: the additional loads
 // slow down all loads.
-func TestLoadsOfTheLastLeaderAreNotOrderedAgain(t *testing.T) {
+func TestNewLeaderDoesNotRepeatLoads(t *testing.T) {
 	g := NewWithT(t)
 	members := func() []placement.Member {
-		return []placement.Member{inGroup("a", 0), inGroup("b", 1), free("c", ""), free("e", "")}
+		return []placement.Member{groupMember("a", 0), groupMember("b", 1), freeInstance("c", ""), freeInstance("e", "")}
 	}
 	first := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-	loading := staged(first.Step(stagingNow, members()))
+	loading := stagedInstances(first.Step(testStart, members()))
 	g.Expect(loading).NotTo(BeEmpty())
 	next := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 2).Next)
 	next.Adopt(first.Stagings())
 	g.Expect(next.Stagings()).To(Equal(first.Stagings()))
-	again := staged(next.Step(stagingNow.Add(time.Second), members()))
+	again := stagedInstances(next.Step(testStart.Add(time.Second), members()))
 	g.Expect(again).NotTo(ContainElements(loading))
-	late := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 3).Next)
-	g.Expect(staged(late.Step(stagingNow.Add(time.Second), members()))).To(ContainElements(loading), "a leader that does not know of the loads orders them")
+	uninformed := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 3).Next)
+	g.Expect(stagedInstances(uninformed.Step(testStart.Add(time.Second), members()))).To(ContainElements(loading), "a leader that does not know of the loads orders them")
 }
 
 // Guards against a new instance without a model delaying the repair of its whole domain.
-func TestANewInstanceWithoutAModelIsNotWaitedFor(t *testing.T) {
+func TestNewInstanceWithoutModelDoesNotDelayGroups(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		model string
-		forms bool
+		name      string
+		model     string
+		wantForms bool
 	}{
 		{"without a model", "", true},
 		{"with a model", "small", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			young := free("z", c.model)
-			young.Seen = stagingNow
-			members := []placement.Member{free("a", "small"), free("b", "small"), young}
+			recent := freeInstance("z", c.model)
+			recent.Seen = testStart
+			members := []placement.Member{freeInstance("a", "small"), freeInstance("b", "small"), recent}
 			p := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
 			joins := 0
-			for _, o := range p.Step(stagingNow, members).Orders {
+			for _, o := range p.Step(testStart, members).Orders {
 				if o.Action == placement.Join {
 					joins++
 				}
 			}
-			NewWithT(t).Expect(joins > 0).To(Equal(c.forms))
+			NewWithT(t).Expect(joins > 0).To(Equal(c.wantForms))
 		})
 	}
 }
@@ -93,10 +93,10 @@
 // ordered one host to load two models, and the host kept the later one. The remaining leader
 // counted its own, superseded load as in progress for 40 s and ordered no other, so no group of
 // the larger model was formed for over 20 s although six instances of the domain were free.
-func TestALoadIsOnlyCountedOnWhileItMayBeUnderWay(t *testing.T) {
+func TestLoadCountsOnlyWhileItMayBeInProgress(t *testing.T) {
 	const margin = 6 * time.Second
-	pair := []placement.Member{inGroup("a", 0), inGroup("b", 1)}
-	three := []placement.Member{free("c", "large"), free("e", "large"), free("f", "large")}
+	pair := []placement.Member{groupMember("a", 0), groupMember("b", 1)}
+	spares := []placement.Member{freeInstance("c", "large"), freeInstance("e", "large"), freeInstance("f", "large")}
 	for _, c := range []struct {
 		name string
 		// model is the model that the instance is ordered to load; the load of other supersedes it.
@@ -105,24 +105,24 @@
 		// within is the time by which the load must be ordered again.
 		within time.Duration
 	}{
-		{"the large model", "large", "small", slices.Concat(pair, three), slices.Concat(pair, three), 2*16*time.Second + margin},
-		{"the small model", "small", "large", pair, []placement.Member{free("b", "small")}, 2*12*time.Second + margin},
+		{"the large model", "large", "small", slices.Concat(pair, spares), slices.Concat(pair, spares), 2*16*time.Second + margin},
+		{"the small model", "small", "large", pair, []placement.Member{freeInstance("b", "small")}, 2*12*time.Second + margin},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			p := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-			g.Expect(loadsOf(p.Step(stagingNow, append(c.before, free("z", ""))), "z", c.model)).To(Equal(1))
+			g.Expect(countStageOrders(p.Step(testStart, append(c.before, freeInstance("z", ""))), "z", c.model)).To(Equal(1))
 			again := 0
 			for at := time.Second; at <= c.within; at += time.Second {
-				again += loadsOf(p.Step(stagingNow.Add(at), append(c.later, free("z", "", c.other))), "z", c.model)
+				again += countStageOrders(p.Step(testStart.Add(at), append(c.later, freeInstance("z", "", c.other))), "z", c.model)
 			}
 			g.Expect(again).To(Equal(1))
 		})
 	}
 }
 
-// loadsOf returns the number of orders in a plan for an instance to stage a model.
-func loadsOf(plan placement.Plan, id state.InstanceID, model string) int {
+// countStageOrders returns the number of orders in a plan for an instance to stage a model.
+func countStageOrders(plan placement.Plan, id state.InstanceID, model string) int {
 	n := 0
 	for _, o := range plan.Orders {
 		if o.Action == placement.Stage && o.Instance == id && o.Model == model {
--- a/coordination/placement/step_bench_test.go
+++ b/coordination/placement/step_bench_test.go
@@ -15,9 +15,9 @@
 	var list []placement.Member
 	for d := range 8 {
 		domain := fmt.Sprintf("d%d", d)
-		spare := free(state.InstanceID(domain+"-spare"), "small", "large")
+		spare := freeInstance(state.InstanceID(domain+"-spare"), "small", "large")
 		spare.Domain = domain
-		list = append(append(list, fours(domain, 9, "large")...), spare)
+		list = append(append(list, groupsOfFour(domain, 9, "large")...), spare)
 	}
 	return list
 }
@@ -27,19 +27,19 @@
 // traffic and from 452 to 341 us while serving (8 cores shared with other work).
 func BenchmarkStepOfALargeService(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		quiet bool
-		work  []float64
+		name   string
+		quiet  bool
+		demand []float64
 	}{
 		{"before traffic", true, nil},
 		{"serving", false, []float64{20, 60}},
 		{"serving, large model short", false, nil},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p := placement.NewPlanner(sixteensAndFours(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-			p.Quiet, p.Work = c.quiet, c.work
+			p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
+			p.Quiet, p.Work = c.quiet, c.demand
 			members := largeService()
-			now := stagingNow
+			now := testStart
 			for b.Loop() {
 				p.Step(now, members)
 				now = now.Add(time.Microsecond)
