--- a/coordination/placement/step_bench_test.go
+++ b/coordination/placement/step_bench_test.go
@@ -9,37 +9,37 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// largeService returns the members of 8 domains of 37 instances, in nine groups of
-// four each and one in none.
+// largeService returns the instances of 8 domains of 37 instances each: nine groups of four and
+// one free instance.
 func largeService() []placement.Member {
 	var list []placement.Member
 	for d := range 8 {
 		domain := fmt.Sprintf("d%d", d)
-		spare := free(state.InstanceID(domain+"-spare"), "small", "large")
+		spare := freeInstance(state.InstanceID(domain+"-spare"), "small", "large")
 		spare.Domain = domain
-		list = append(append(list, fours(domain, 9, "large")...), spare)
+		list = append(append(list, groupsOfFour(domain, 9, "large")...), spare)
 	}
 	return list
 }
 
-// One step of a planner for 296 instances in groups of four, with nothing to be done.
-// Looking up once a step who is named by a formation takes it from 962 to 621 us before
+// Measures a planning step for 296 instances in groups of four that orders nothing. Computing
+// the set of assigned instances once per step reduced the time from 962 to 621 us before
 // traffic and from 452 to 341 us while serving (8 cores shared with other work).
 func BenchmarkStepOfALargeService(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		quiet bool
-		work  []float64
+		name   string
+		quiet  bool
+		demand []float64
 	}{
 		{"before traffic", true, nil},
 		{"serving", false, []float64{20, 60}},
 		{"serving, large model short", false, nil},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p := placement.NewPlanner(sixteensAndFours(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-			p.Quiet, p.Work = c.quiet, c.work
+			p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
+			p.Quiet, p.Work = c.quiet, c.demand
 			members := largeService()
-			now := stagingNow
+			now := testStart
 			for b.Loop() {
 				p.Step(now, members)
 				now = now.Add(time.Microsecond)
