--- a/coordination/evidence/feed.go
+++ b/coordination/evidence/feed.go
@@ -7,130 +7,129 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Feed holds the reports that a node has itself asked for, numbered by change,
-// so that peers can be told only what is new to them.
+// Feed holds the reports that a node has got by its own probes, with a version for each
+// change, so that a peer can be sent only what is new to it.
 type Feed struct {
 	mu      sync.Mutex
 	version uint64
-	own     map[state.InstanceID]*fed
+	entries map[state.InstanceID]*feedEntry
 }
 
-// fed is one own report; lost is set once it has become too old or is no longer asked for.
-type fed struct {
-	report  Report
-	asked   time.Time
-	version uint64
-	lost    bool
+// feedEntry is one report of a Feed. It expires when it is too old, which includes that the
+// instance is no longer probed by this node.
+type feedEntry struct {
+	report   Report
+	probedAt time.Time
+	version  uint64
+	expired  bool
 }
 
-// Delta is what a peer that has seen a version does not know yet.
+// Delta holds the changes of a Feed since a version.
 type Delta struct {
 	Version uint64
-	// Confirmed is when the oldest question behind any report that is not lost was asked.
+	// Confirmed is the send time of the oldest probe behind any report that has not expired.
 	Confirmed time.Time
 	Changed   []Entry
 	Lost      []state.InstanceID
 }
 
 // NewFeed returns an empty Feed.
-func NewFeed() *Feed { return &Feed{own: map[state.InstanceID]*fed{}} }
+func NewFeed() *Feed { return &Feed{entries: map[state.InstanceID]*feedEntry{}} }
 
-// Observe takes in a report that the node itself has asked for.
-func (f *Feed) Observe(r Report, asked time.Time) {
+// Observe records a report whose probe this node sent at probedAt.
+func (f *Feed) Observe(r Report, probedAt time.Time) {
 	if r.Rank != 0 || r.Group == "" {
 		r.Load = Load{}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e, ok := f.own[r.Instance]
+	e, ok := f.entries[r.Instance]
 	if !ok {
-		e = &fed{}
-		f.own[r.Instance] = e
+		e = &feedEntry{}
+		f.entries[r.Instance] = e
 	}
-	if !ok || e.lost || e.report != r {
+	if !ok || e.expired || e.report != r {
 		f.version++
 		e.version = f.version
 	}
-	e.report, e.asked, e.lost = r, asked, false
+	e.report, e.probedAt, e.expired = r, probedAt, false
 }
 
-// Expire marks every report asked for before a time as lost.
+// Expire marks every report whose probe was sent before a time as expired.
 func (f *Feed) Expire(before time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, e := range f.own {
-		if !e.lost && e.asked.Before(before) {
+	for _, e := range f.entries {
+		if !e.expired && e.probedAt.Before(before) {
 			f.version++
-			e.lost, e.version = true, f.version
+			e.expired, e.version = true, f.version
 		}
 	}
 }
 
-// Since returns what has changed after a version; 0 returns everything.
+// Since returns the changes after a version. Version 0 returns everything.
 func (f *Feed) Since(version uint64) Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := Delta{Version: f.version}
-	for id, e := range f.own {
-		if e.lost {
+	for id, e := range f.entries {
+		if e.expired {
 			if e.version > version {
 				d.Lost = append(d.Lost, id)
 			}
 			continue
 		}
-		if d.Confirmed.IsZero() || e.asked.Before(d.Confirmed) {
-			d.Confirmed = e.asked
+		if d.Confirmed.IsZero() || e.probedAt.Before(d.Confirmed) {
+			d.Confirmed = e.probedAt
 		}
 		if e.version > version {
-			d.Changed = append(d.Changed, Entry{Report: e.report, Asked: e.asked})
+			d.Changed = append(d.Changed, Entry{Report: e.report, Asked: e.probedAt})
 		}
 	}
 	return d
 }
 
-// Mirror is what a node has learnt from one peer's Feed.
+// Mirror is a node's copy of one peer's Feed.
 type Mirror struct {
 	Incarnation string
 	Version     uint64
-	// Ledger is the version of the peer's ledger of endings that this node has.
+	// Ledger is the version of the peer's ledger of instance endings that this node has.
 	Ledger  uint64
 	reports map[state.InstanceID]Report
 }
 
-// Follow begins anew if the peer's process is another than the one that the mirror was of.
+// Follow resets the mirror if the peer has another incarnation than the mirrored one.
 func (m *Mirror) Follow(incarnation string) {
 	if m.reports == nil || m.Incarnation != incarnation {
 		*m = Mirror{Incarnation: incarnation, reports: map[state.InstanceID]Report{}}
 	}
 }
 
-// Merge takes a Delta into the mirror and the table.
-//
-// asked is when this node asked the peer, by its own clock; confirmed is how
-// old the peer said its oldest unchanged evidence was. Counting the age back
-// from the question, not from the answer, can only make evidence look older
-// than it is.
+// Merge applies a Delta to the mirror and the table and returns the reports that it applied.
 //
-// It returns the reports that were taken in.
-func (m *Mirror) Merge(t *Table, incarnation string, d Delta, asked time.Time, confirmed time.Duration, ages []time.Duration) []Report {
+// requestedAt is when this node sent its request to the peer, by its own clock. ages are
+// the ages of the changed reports at the peer, and oldestAge is the age of the oldest
+// evidence there. The ages are subtracted from the time of the request, not of the
+// response: evidence can only look older than it is, never newer.
+func (m *Mirror) Merge(t *Table, incarnation string, d Delta, requestedAt time.Time, oldestAge time.Duration, ages []time.Duration) []Report {
 	m.Follow(incarnation)
 	m.Version = d.Version
 	for _, id := range d.Lost {
 		delete(m.reports, id)
 	}
-	taken := make([]Report, 0, len(m.reports)+len(d.Changed))
+	applied := make([]Report, 0, len(m.reports)+len(d.Changed))
 	changed := map[state.InstanceID]bool{}
 	for i, e := range d.Changed {
 		m.reports[e.Instance] = e.Report
 		changed[e.Instance] = true
-		t.Observe(e.Report, asked.Add(-ages[i]))
-		taken = append(taken, e.Report)
+		t.Observe(e.Report, requestedAt.Add(-ages[i]))
+		applied = append(applied, e.Report)
 	}
 	for id, r := range m.reports {
 		if !changed[id] {
-			t.Observe(r, asked.Add(-confirmed))
-			taken = append(taken, r)
+			t.Observe(r, requestedAt.Add(-oldestAge))
+			applied = append(applied, r)
 		}
 	}
-	return taken
+	return applied
 }
--- a/coordination/localhealth/localhealth_test.go
+++ b/coordination/localhealth/localhealth_test.go
@@ -11,28 +11,28 @@
 
 var start = time.Unix(1000, 0)
 
-func TestAnOwnDelayExcusesOthersForAMoment(t *testing.T) {
+func TestDelayedAfterLateTimer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		delay   time.Duration
-		asked   time.Duration
+		since   time.Duration
 		now     time.Duration
 		delayed bool
 	}{
 		{"on time", 10 * time.Millisecond, -100 * time.Millisecond, 10 * time.Millisecond, false},
-		{"late after the question", 90 * time.Millisecond, -100 * time.Millisecond, time.Second, true},
-		{"late just before the question", 90 * time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond, true},
-		{"late long before the question", 90 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond, false},
+		{"late after the probe", 90 * time.Millisecond, -100 * time.Millisecond, time.Second, true},
+		{"late just before the probe", 90 * time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond, true},
+		{"late long before the probe", 90 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var m localhealth.Monitor
 			m.Observe(c.delay, start)
-			NewWithT(t).Expect(m.Delayed(start.Add(c.asked), start.Add(c.now))).To(Equal(c.delayed))
+			NewWithT(t).Expect(m.Delayed(start.Add(c.since), start.Add(c.now))).To(Equal(c.delayed))
 		})
 	}
 }
 
-func TestOverloadIsLatenessAgainAndAgain(t *testing.T) {
+func TestOverloadedAfterRepeatedLateTimers(t *testing.T) {
 	g := NewWithT(t)
 	var m localhealth.Monitor
 	now := start
@@ -46,15 +46,15 @@
 	g.Expect(m.Overloaded(now.Add(3 * time.Second))).To(BeFalse())
 }
 
-func TestACallNoticedLongAfterItsDeadlineProvesNothing(t *testing.T) {
+func TestOverranAfterLateDetection(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		after   time.Duration
 		overran bool
 	}{
 		{"before its deadline", -time.Millisecond, false},
-		{"a moment after it", 3 * time.Millisecond, false},
-		{"long after it", 20 * time.Millisecond, true},
+		{"shortly after its deadline", 3 * time.Millisecond, false},
+		{"long after its deadline", 20 * time.Millisecond, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			NewWithT(t).Expect(localhealth.Overran(start, start.Add(c.after))).To(Equal(c.overran))
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -15,32 +15,32 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// TestSplitAddsUpToTheWhole holds for any places and demands.
-func TestSplitAddsUpToTheWhole(t *testing.T) {
+// The shares add up to the number of places for any number of places and any demands.
+func TestSplitSumsToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := rapid.MapOfN(rapid.StringMatching(`n[0-9]{1,3}`), rapid.IntRange(0, 1000), 1, 60).Draw(t, "demand")
-		whole := rapid.IntRange(0, 500).Draw(t, "whole")
-		sum, none := 0, 0
+		places := rapid.IntRange(0, 500).Draw(t, "whole")
+		sum, withoutPlace := 0, 0
 		for name := range demand {
-			part := membership.Split(whole, demand, name)
-			sum += part
-			if part == 0 {
-				none++
+			share := membership.Split(places, demand, name)
+			sum += share
+			if share == 0 {
+				withoutPlace++
 			}
-			if part < whole/(2*len(demand)) {
-				t.Fatalf("%s has %d of %d places, less than half an even part", name, part, whole)
+			if share < places/(2*len(demand)) {
+				t.Fatalf("%s has %d of %d places, less than half of an equal share", name, share, places)
 			}
 		}
-		if sum != whole {
-			t.Fatalf("the parts add up to %d of %d", sum, whole)
+		if sum != places {
+			t.Fatalf("shares add up to %d, want %d", sum, places)
 		}
-		if whole >= len(demand) && none > 0 {
-			t.Fatalf("%d nodes have no place of %d", none, whole)
+		if places >= len(demand) && withoutPlace > 0 {
+			t.Fatalf("%d nodes got none of %d places", withoutPlace, places)
 		}
 	})
 }
 
-func TestOwnerMovesOnlyWhatTheLostNodeHad(t *testing.T) {
+func TestOwnerMovesOnlyKeysOfRemovedNode(t *testing.T) {
 	g := NewWithT(t)
 	names := []string{"a", "b", "c", "d"}
 	moved, owned := 0, map[string]int{}
@@ -65,15 +65,15 @@
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	group := &state.Group{Name: "g", Hall: "h", Drained: 10}
 	cases := []struct {
-		name    string
-		node    membership.Node
-		held    int
-		cleared bool
+		name     string
+		node     membership.Node
+		inFlight int
+		cleared  bool
 	}{
 		{"applied and idle", membership.Node{Applied: 10, SaidAt: now}, 0, true},
-		{"still has a request", membership.Node{Applied: 10, SaidAt: now}, 1, false},
+		{"request in flight", membership.Node{Applied: 10, SaidAt: now}, 1, false},
 		{"has not applied the drain", membership.Node{Applied: 9, SaidAt: now}, 0, false},
-		{"silent, so perhaps at work", membership.Node{Applied: 10, SaidAt: now.Add(-3 * time.Second)}, 0, false},
+		{"silent, may still be working on a request", membership.Node{Applied: 10, SaidAt: now.Add(-3 * time.Second)}, 0, false},
 		{"gone", membership.Node{Applied: 9, SaidAt: now.Add(-time.Minute)}, 1, true},
 		{"of another hall", membership.Node{Hall: "other", Applied: 0, SaidAt: now}, 0, true},
 	}
@@ -84,15 +84,15 @@
 			if c.node.Hall == "" {
 				c.node.Hall = "h"
 			}
-			d.LearnHeld(c.node, map[state.GroupName]int{"g": c.held})
+			d.LearnHeld(c.node, map[state.GroupName]int{"g": c.inFlight})
 			NewWithT(t).Expect(d.ClearedOf(group, now, 30*time.Second)).To(Equal(c.cleared))
 		})
 	}
 }
 
-// TestClearedOfTrustsOnlyTheNodesOwnWord covers what others relay of a node:
-// that it has applied the drain, while its requests were counted before it had.
-func TestClearedOfTrustsOnlyTheNodesOwnWord(t *testing.T) {
+// A relayed report may show that a node has applied the drain although its requests in
+// flight were counted before that. It must not make the group count as cleared.
+func TestClearedOfIgnoresRelayedReports(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	group := &state.Group{Name: "g", Hall: "h", Drained: 10}
@@ -103,10 +103,10 @@
 	d.LearnHeld(membership.Node{Name: "n", Hall: "h", Applied: 10, SaidAt: now}, nil)
 	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeTrue())
 	d.Learn(membership.Node{Name: "m", Hall: "h", Applied: 10, SaidAt: now})
-	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeFalse(), "m has never said what it holds")
+	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeFalse(), "m has not reported its requests in flight")
 }
 
-func TestLearnKeepsTheNewest(t *testing.T) {
+func TestLearnKeepsNewestReport(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	d := membership.NewDirectory(membership.Node{Name: "self", Hall: "h"}, 2*time.Second)
@@ -123,7 +123,7 @@
 	d.Suspect("far", now.Add(time.Second))
 	g.Expect(d.Live("other", now.Add(3*time.Second))).To(BeEmpty())
 	d.Learn(membership.Node{Name: "far", Hall: "other", SaidAt: now.Add(time.Second / 2)})
-	g.Expect(d.Live("other", now.Add(3*time.Second))).To(BeEmpty(), "what was heard before is no news")
+	g.Expect(d.Live("other", now.Add(3*time.Second))).To(BeEmpty(), "a report from before the suspicion does not clear it")
 	d.Learn(membership.Node{Name: "far", Hall: "other", SaidAt: now.Add(2 * time.Second)})
 	g.Expect(d.Live("other", now.Add(3*time.Second))).To(HaveLen(1))
 }
--- a/coordination/ratelimit/grant.go
+++ b/coordination/ratelimit/grant.go
@@ -8,14 +8,14 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Grant allows one node to send some requests to a limited instance.
+// Grant allows one node to send a number of requests to a limited instance.
 type Grant struct {
 	Instance state.InstanceID `json:"i"`
 	Requests int              `json:"n"`
 }
 
-// Granted records grants that may be used until a time. Those for instances that are not
-// known to be limited are dropped.
+// Granted records grants that expire at until. Grants for instances without a known limit are
+// dropped.
 func (b *Book) Granted(grants []Grant, until time.Time) {
 	if len(grants) == 0 {
 		return
@@ -33,29 +33,29 @@
 	}
 }
 
-// expire drops the grants that can no longer be used.
+// expire removes the grants that have expired.
 func (e *entry) expire(now time.Time) {
 	for len(e.grants) > 0 && !now.Before(e.grants[0]) {
-		e.lapsedAt = e.grants[0]
+		e.expiredAt = e.grants[0]
 		e.grants = e.grants[1:]
-		e.lapsed++
+		e.expired++
 	}
 }
 
-// Open reports whether a request may be sent to an instance, as far as its limit goes.
+// Open reports whether the rate limit of an instance allows a request now.
 func (b *Book) Open(in fleet.Incarnation, now time.Time) bool {
 	return b.allows(in, now, func(e *entry) bool { return len(e.grants) > 0 })
 }
 
-// allows reports whether a life of an instance has no limit in force, or a function says that
-// its limit allows what is asked; the grants that the function sees can still be used.
+// allows reports whether an incarnation of an instance has no limit in force or satisfies
+// allowed. Expired grants are removed before allowed is called.
 func (b *Book) allows(in fleet.Incarnation, now time.Time, allowed func(*entry) bool) bool {
 	if !b.Any() {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.limited(in)
+	e := b.findInForce(in)
 	if e == nil {
 		return true
 	}
@@ -63,21 +63,21 @@
 	return allowed(e)
 }
 
-// Send counts a request that is about to leave for an instance. It reports false, and counts
-// nothing, if the instance is limited and this node has no grant left: the request must not
-// leave then.
+// Send records a request that is about to be sent to an instance. It reports false and records
+// nothing if the instance is limited and this node has no grant left. The request must not be
+// sent then.
 func (b *Book) Send(in fleet.Incarnation, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e := b.limited(in); e != nil && !e.take(now) {
+	if e := b.findInForce(in); e != nil && !e.consumeGrant(now) {
 		return false
 	}
-	b.count(in.ID, now)
+	b.recordCall(in.ID, now)
 	return true
 }
 
-// take uses up one grant, or reports that none is left.
-func (e *entry) take(now time.Time) bool {
+// consumeGrant consumes one grant. It reports false if none is left.
+func (e *entry) consumeGrant(now time.Time) bool {
 	e.expire(now)
 	if len(e.grants) == 0 {
 		return false
@@ -86,88 +86,89 @@
 	return true
 }
 
-// Order counts an order that is about to leave for an instance. Orders are few and do not
-// wait: what a group is changed for does not wait either.
+// Order records an order that is about to be sent to an instance. Orders are never delayed: they
+// are few, and the group changes that need them cannot wait.
 func (b *Book) Order(in fleet.Incarnation, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.count(in.ID, now)
+	b.recordCall(in.ID, now)
 }
 
-// count counts a call to an instance. b.mu is held.
-func (b *Book) count(id state.InstanceID, now time.Time) {
-	c := b.sends[id]
+// recordCall records a call to an instance. b.mu is held.
+func (b *Book) recordCall(id state.InstanceID, now time.Time) {
+	c := b.calls[id]
 	if c == nil {
 		c = &window.Counter{}
-		b.sends[id] = c
+		b.calls[id] = c
 	}
 	c.Add(now, b.policy.Window)
 }
 
-// Asker is who puts a question to an instance, and why.
+// Asker describes the node that probes an instance, and why.
 type Asker struct {
-	// Leading tells that the node asks for all others; another one needs a grant.
+	// Leading reports whether the node probes for all nodes. Other nodes need a grant.
 	Leading bool
-	// Failing tells that the instance did not answer the last question.
+	// Failing reports whether the instance did not answer the last probe.
 	Failing bool
 }
 
-// MayQuestion reports whether a question may be put to an instance now, as far as its limit goes.
+// MayQuestion reports whether the rate limit of an instance allows a probe now.
 func (b *Book) MayQuestion(in fleet.Incarnation, by Asker, now time.Time) bool {
-	return b.allows(in, now, func(e *entry) bool { return e.mayQuestion(by, now, &b.policy) })
+	return b.allows(in, now, func(e *entry) bool { return e.canProbe(by, now, &b.policy) })
 }
 
-// mayQuestion reports whether a question may be put to a limited instance; its grants are not expired.
-func (e *entry) mayQuestion(by Asker, now time.Time, p *Policy) bool {
+// canProbe reports whether a limited instance may be probed now. Expired grants must have
+// been removed.
+func (e *entry) canProbe(by Asker, now time.Time, p *Policy) bool {
 	if !by.Leading {
 		return len(e.grants) > 0
 	}
-	return now.Sub(e.questioned) >= p.questionInterval(e.PerSecond, by.Failing)
+	return now.Sub(e.probedAt) >= p.probeInterval(e.PerSecond, by.Failing)
 }
 
-// questionInterval returns the least time between two questions to an instance with a limit.
-func (p *Policy) questionInterval(perSecond float64, failing bool) time.Duration {
+// probeInterval returns the minimum time between two probes of an instance with a limit.
+func (p *Policy) probeInterval(perSecond float64, failing bool) time.Duration {
 	if failing {
-		return p.QuestionRetry
+		return p.ProbeRetryInterval
 	}
 	if perSecond <= 0 {
-		return p.QuestionMax
+		return p.MaxProbeInterval
 	}
-	seconds := min(1/(perSecond*p.QuestionPart), p.QuestionMax.Seconds())
-	return max(time.Duration(seconds*float64(time.Second)), p.QuestionMin)
+	seconds := min(1/(perSecond*p.ProbeShare), p.MaxProbeInterval.Seconds())
+	return max(time.Duration(seconds*float64(time.Second)), p.MinProbeInterval)
 }
 
-// Question counts a question that is about to leave for an instance, and reports whether its
-// limit allows it. Questions take up the limit as requests do; without a bound of their own
-// the leader's would take half of 2 requests a second.
+// Question reports whether the rate limit of an instance allows a probe, and records the probe
+// if so. Probes count against the limit as requests do. Without a bound of their own, the
+// leader's probes would use half of a limit of 2 requests a second.
 func (b *Book) Question(in fleet.Incarnation, by Asker, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e := b.limited(in); e != nil {
+	if e := b.findInForce(in); e != nil {
 		e.expire(now)
-		if !e.mayQuestion(by, now, &b.policy) {
+		if !e.canProbe(by, now, &b.policy) {
 			return false
 		}
 		if !by.Leading {
-			e.take(now)
+			e.consumeGrant(now)
 		}
-		e.questioned = now
+		e.probedAt = now
 	}
-	b.count(in.ID, now)
+	b.recordCall(in.ID, now)
 	return true
 }
 
-// Usage is what a node made of a limited instance's rate.
+// Usage is a node's use of a limited instance's rate.
 type Usage struct {
-	// Sent is how many calls it sent within the window, Waiting how many requests it may still send.
-	Sent    int `json:"s,omitempty"`
-	Waiting int `json:"w,omitempty"`
-	// Lapsed counts the grants that it did not use in time since it knows of the limit.
-	Lapsed int `json:"l,omitempty"`
+	// Sent is the number of calls sent within the window, Unused the number of unused grants.
+	Sent   int `json:"s,omitempty"`
+	Unused int `json:"w,omitempty"`
+	// Expired is the number of grants that expired unused since the node knows the limit.
+	Expired int `json:"l,omitempty"`
 }
 
-// Usage returns what this node made of the rate of each limited instance within the window,
-// those left out that it had nothing to do with.
+// Usage returns this node's use of the rate of each limited instance within the window. It
+// omits instances that have no calls, no unused grants and no recently expired grants.
 func (b *Book) Usage(now time.Time) map[state.InstanceID]Usage {
 	if !b.Any() {
 		return nil
@@ -180,11 +181,11 @@
 			continue
 		}
 		e.expire(now)
-		u := Usage{Waiting: len(e.grants), Lapsed: e.lapsed}
-		if c := b.sends[id]; c != nil {
+		u := Usage{Unused: len(e.grants), Expired: e.expired}
+		if c := b.calls[id]; c != nil {
 			u.Sent = c.Within(now, b.policy.Window)
 		}
-		if u.Sent > 0 || u.Waiting > 0 || now.Sub(e.lapsedAt) < b.policy.Window {
+		if u.Sent > 0 || u.Unused > 0 || now.Sub(e.expiredAt) < b.policy.Window {
 			usage[id] = u
 		}
 	}
--- a/coordination/roster/list.go
+++ b/coordination/roster/list.go
@@ -10,180 +10,183 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Listed takes in an entry that an instance has written into the list since the
-// list was last read, a moment ago.
+// Listed records a list entry that the instance wrote since the previous read of the
+// list. That read must be recent, so that the entry counts as freshly written.
 func (r *Roster) Listed(in fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.list(in, now); e != nil {
-		e.vouched = now
+	if e := r.applyListEntry(in, now); e != nil {
+		e.freshEntryAt = now
 	}
 }
 
-// Recalled takes in an entry of the list that may have been written long ago.
+// Recalled records a list entry that may have been written long ago.
 func (r *Roster) Recalled(in fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list(in, now)
+	r.applyListEntry(in, now)
 }
 
-// Snapshot updates the roster by the whole list as it stood before a position. Its entries may
-// have been written long ago: they count as read, but not as lately written.
+// Snapshot updates the roster from the whole list as of the records before position. Its entries
+// may have been written long ago: they count as read, but not as freshly written.
 func (r *Roster) Snapshot(entries []fleet.Instance, position int64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	listed := make(map[state.InstanceID]bool, len(entries))
 	for _, in := range entries {
 		listed[in.ID] = true
-		r.reread(in, now)
+		r.applyWholeListEntry(in, now)
 	}
-	for id, e := range r.m {
+	for id, e := range r.entries {
 		if !listed[id] && e.listed.Position < position {
-			r.unlist(e, position-1, now) // the next entry has the position itself
+			r.markUnlisted(e, position-1, now) // the next record gets position itself
 		}
 	}
 }
 
-// Restore updates the roster by the whole list as an older copy of it shows it. The copy lacks what was
-// written after it was made: it drops no instance, and takes back nothing that is known of one.
+// Restore updates the roster from the whole list after the store was restored from a backup. The
+// backup lacks what was written after it was made, so it neither removes an instance nor reverts
+// newer state of one.
 func (r *Roster) Restore(entries []fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range r.m {
-		e.vouched = time.Time{}
+	for _, e := range r.entries {
+		e.freshEntryAt = time.Time{}
 	}
 	for _, in := range entries {
-		r.reread(in, now)
+		r.applyWholeListEntry(in, now)
 	}
 }
 
-// reread applies an entry of the whole list. r.mu is held.
-func (r *Roster) reread(in fleet.Instance, now time.Time) {
-	e := r.m[in.ID]
+// applyWholeListEntry applies an entry of the whole list. r.mu must be held.
+func (r *Roster) applyWholeListEntry(in fleet.Instance, now time.Time) {
+	e := r.entries[in.ID]
 	switch {
 	case e == nil:
-		r.list(in, now).restored = source.Era(in.Position) > 0
-	case e.isCopy(in):
-		r.keep(e, in)
+		r.applyListEntry(in, now).restored = source.Era(in.Position) > 0
+	case e.mayBeOutdated(in):
+		r.retainKnown(e, in)
 	default:
-		r.list(in, now)
+		r.applyListEntry(in, now)
 	}
 }
 
-// isCopy reports whether an entry that was read in a later era may be older than what is
-// known: it has the offset of what is known, or an earlier one. One with a later offset was written since.
-func (e *entry) isCopy(in fleet.Instance) bool {
+// mayBeOutdated reports whether an entry of a later era may come from the backup and be older than
+// the known one: its offset is not higher. An entry with a higher offset was written since.
+func (e *entry) mayBeOutdated(in fleet.Instance) bool {
 	return source.Era(in.Position) > source.Era(e.listed.Position) &&
-		source.Offset(in.Position) <= source.Offset(e.listed.Position) && !e.reborn(in.Born)
+		source.Offset(in.Position) <= source.Offset(e.listed.Position) && !e.isLaterIncarnation(in.Born)
 }
 
-// keep keeps what is known of an instance over an entry of an older copy. It takes the entry's
-// position, as all nodes do that read the copy, so that what they tell each other of the
-// instance is compared by the same one. r.mu is held.
-func (r *Roster) keep(e *entry, in fleet.Instance) {
-	if e.outlived(in.Born) {
+// retainKnown keeps the known state of an instance over an entry of a backup. It adopts the entry's
+// position, as every node that reads the backup does, so that the changes that nodes send each
+// other are ordered by the same positions. r.mu must be held.
+func (r *Roster) retainKnown(e *entry, in fleet.Instance) {
+	if e.isEarlierIncarnation(in.Born) {
 		return
 	}
 	e.listed.Position = in.Position
 	e.listed.Draining = e.listed.Draining || in.Draining
 	e.restored = true
-	r.touch(e)
+	r.markChanged(e)
 }
 
-// list takes in an entry and returns it, or nil if it was taken in before. r.mu is held.
-func (r *Roster) list(in fleet.Instance, now time.Time) *entry {
-	e := r.m[in.ID]
+// applyListEntry applies a list entry and returns the instance's state. It returns nil if the entry
+// is not newer than the known one or belongs to an earlier incarnation. r.mu must be held.
+func (r *Roster) applyListEntry(in fleet.Instance, now time.Time) *entry {
+	e := r.entries[in.ID]
 	switch {
 	case e == nil:
-		e = &entry{policy: &r.cfg.Policy, seen: now, changed: now, belief: in}
-		r.m[in.ID] = e
-		r.touch(e)
-	case e.outlived(in.Born):
+		e = &entry{policy: &r.cfg.Policy, firstSeen: now, listChangedAt: now, latest: in}
+		r.entries[in.ID] = e
+		r.markChanged(e)
+	case e.isEarlierIncarnation(in.Born):
 		return nil
-	case e.reborn(in.Born):
-		r.begin(e, in, now)
+	case e.isLaterIncarnation(in.Born):
+		r.startIncarnation(e, in, now)
 	}
-	if e.beat.IsZero() || in.Position > e.listed.Position {
-		e.beat = now
-		r.revive(e)
+	if e.heartbeatAt.IsZero() || in.Position > e.listed.Position {
+		e.heartbeatAt = now
+		r.clearGone(e)
 	} else {
 		return nil
 	}
-	before := e.belief.Membership.Key()
+	before := e.latest.Membership.Key()
 	if in.Membership != e.listed.Membership || in.Model != e.listed.Model || !slices.Equal(in.Staged, e.listed.Staged) {
-		e.changed = now
+		e.listChangedAt = now
 	}
-	// Every entry says how the instance stands, also one that says the same again.
-	if e.believe(in.Membership, in.Model, in.Staged, now) {
-		r.touch(e)
+	// Every entry states the current membership, so one that repeats the previous entry still
+	// overrides an older report.
+	if e.updateMembership(in.Membership, in.Model, in.Staged, now) {
+		r.markChanged(e)
 	}
-	// The number of orders is worth nothing without the membership that it was told with.
-	if e.belief.Membership.Key() != before {
-		e.counted = false
+	// The order count is valid only with the membership that it was reported with.
+	if e.latest.Membership.Key() != before {
+		e.ordersKnown = false
 	}
 	if in.Draining != e.listed.Draining || !e.inList || in.Address != e.listed.Address {
-		r.touch(e)
+		r.markChanged(e)
 	}
 	e.listed, e.inList, e.restored = in, true, false
 	return e
 }
 
-// Confirm takes in that the list was read up to its end by a question asked at a time.
-func (r *Roster) Confirm(asked time.Time) {
+// Confirm records that the list was read up to its end by a request sent at the given time.
+func (r *Roster) Confirm(requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if asked.After(r.listAsOf) {
-		r.listAsOf = asked
+	if requestedAt.After(r.listAsOf) {
+		r.listAsOf = requestedAt
 	}
 }
 
-// Fed takes in that another node told all changes of the list as of a time.
+// Fed records that another node relayed all changes of the list as of the given time.
 func (r *Roster) Fed(asOf time.Time) {
 	r.Confirm(asOf)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if asOf.After(r.fedAsOf) {
-		r.fedAsOf = asOf
+	if asOf.After(r.relayedAsOf) {
+		r.relayedAsOf = asOf
 	}
 }
 
-// ListAge returns how old the knowledge of the list may be.
+// ListAge returns the maximum age of the list data in the roster.
 func (r *Roster) ListAge(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Sub(r.listAsOf)
 }
 
-// Unlisted takes in that the list no longer shows an instance as of a position.
+// Unlisted records that the list no longer contains an instance as of a position.
 func (r *Roster) Unlisted(id state.InstanceID, position int64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.m[id]; e != nil {
-		r.unlist(e, position, now)
+	if e := r.entries[id]; e != nil {
+		r.markUnlisted(e, position, now)
 	}
 }
 
-// unlist notes that the list no longer shows an instance. r.mu is held.
-func (r *Roster) unlist(e *entry, position int64, now time.Time) {
+// markUnlisted marks an instance as no longer in the list. r.mu must be held.
+func (r *Roster) markUnlisted(e *entry, position int64, now time.Time) {
 	e.listed.Position = max(e.listed.Position, position)
 	if e.inList {
-		e.inList, e.unlisted = false, now
-		r.touch(e)
+		e.inList, e.unlistedAt = false, now
+		r.markChanged(e)
 	}
 }
 
-// Change is what one node tells another of an instance.
+// Change is the state of an instance as one node relays it to another.
 type Change struct {
 	fleet.Instance
-	// Unlisted tells that the list no longer shows the instance.
+	// Unlisted is set if the list no longer contains the instance.
 	Unlisted bool `json:",omitempty"`
-	// Leaving tells that the instance itself said that it will end soon.
+	// Leaving is set if the instance itself announced its shutdown.
 	Leaving bool `json:",omitempty"`
-	// Restored tells that the entry is one of an older copy of the list.
+	// Restored is set if the entry comes from a backup of the list.
 	Restored bool `json:",omitempty"`
 }
 
-// Changes returns what changed of the instances after a version, by id, and the version now.
+// Changes returns the instances that changed after a version, sorted by ID, and the current version.
 func (r *Roster) Changes(after uint64) ([]Change, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,8 +194,8 @@
 		return nil, r.version
 	}
 	var list []Change
-	for _, e := range r.m {
-		if e.stamp > after {
+	for _, e := range r.entries {
+		if e.changeVersion > after {
 			list = append(list, Change{Instance: e.current(), Unlisted: !e.inList, Leaving: e.leaving, Restored: e.restored})
 		}
 	}
@@ -200,54 +203,54 @@
 	return list, r.version
 }
 
-// Relayed takes in what another node knows of an instance, if that is newer than
-// what this node has read itself. Of an entry that this node has read too, it
-// counts only that the instance is leaving and what has become of its
-// membership: word of another node brings none back.
+// Relayed applies a change relayed by another node unless this node has read a newer entry
+// itself. If this node has read the same entry, only the draining and leaving marks and the
+// membership are updated: a relayed change never lists again an instance that this node knows
+// to be unlisted at that position.
 func (r *Roster) Relayed(c Change, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.m[c.ID]
+	e := r.entries[c.ID]
 	known := e != nil
 	if !known {
-		e = &entry{policy: &r.cfg.Policy, seen: now, changed: now, belief: c.Instance}
+		e = &entry{policy: &r.cfg.Policy, firstSeen: now, listChangedAt: now, latest: c.Instance}
 		e.listed.Position = c.Position - 1
-		r.m[c.ID] = e
+		r.entries[c.ID] = e
 	}
 	switch {
-	case c.Position < e.listed.Position || e.outlived(c.Born):
+	case c.Position < e.listed.Position || e.isEarlierIncarnation(c.Born):
 	case c.Unlisted:
 		if e.listed.ID == "" {
 			e.listed = c.Instance
 		}
-		r.unlist(e, c.Position, now)
+		r.markUnlisted(e, c.Position, now)
 	case c.Position == e.listed.Position && !e.inList:
 	case c.Restored && !e.inList && known && source.Era(c.Position) > source.Era(e.listed.Position):
-		// The copy shows an entry that this node knows to have been dropped since.
-		r.keep(e, c.Instance)
+		// The backup contains an entry that this node knows to have been removed since.
+		r.retainKnown(e, c.Instance)
 	default:
-		r.relay(c.Instance, c.Restored, e, now)
+		r.applyRelayed(c.Instance, c.Restored, e, now)
 	}
-	// An instance leaves for good, whatever this node has read of the list meanwhile.
+	// Leaving is final for an incarnation, whatever this node has read from the list since.
 	if c.Leaving {
 		r.markLeaving(e, c.Incarnation())
 	}
 }
 
-// relay takes in another node's word on an instance that is listed. r.mu is held.
-func (r *Roster) relay(in fleet.Instance, restored bool, e *entry, now time.Time) {
-	if e.reborn(in.Born) {
-		r.begin(e, in, now)
+// applyRelayed applies a change relayed by another node for a listed instance. r.mu must be held.
+func (r *Roster) applyRelayed(in fleet.Instance, restored bool, e *entry, now time.Time) {
+	if e.isLaterIncarnation(in.Born) {
+		r.startIncarnation(e, in, now)
 	}
 	if in.Position > e.listed.Position {
-		e.beat = now
-		r.revive(e)
+		e.heartbeatAt = now
+		r.clearGone(e)
 	}
-	copied := restored && source.Era(in.Position) > source.Era(e.listed.Position)
-	in.Draining = in.Draining || (copied || in.Position == e.listed.Position) && e.listed.Draining
-	if e.believe(in.Membership, in.Model, in.Staged, now) {
-		e.counted = false
+	fromBackup := restored && source.Era(in.Position) > source.Era(e.listed.Position)
+	in.Draining = in.Draining || (fromBackup || in.Position == e.listed.Position) && e.listed.Draining
+	if e.updateMembership(in.Membership, in.Model, in.Staged, now) {
+		e.ordersKnown = false
 	}
 	e.listed, e.inList, e.restored = in, true, restored
-	r.touch(e)
+	r.markChanged(e)
 }
