--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -11,14 +11,14 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Sizes of the target, from the brief's letter.
+// The largest deployment that is supported: groups, members per group, and changes per day.
 const (
 	targetGroups  = 750
 	targetMembers = 16
 	targetChanges = 29000
 )
 
-// bigGroup returns the change that creates the n-th group of the target.
+// bigGroup returns the operation that creates the n-th group of the largest deployment.
 func bigGroup(n int) state.Op {
 	c := &state.CreateGroup{Name: group(n), Model: state.Model{Name: "hearth-lm", Version: "v1"}, Gate: state.GateWindow}
 	for m := range targetMembers {
@@ -29,7 +29,7 @@
 	return state.Op{CreateGroup: c}
 }
 
-// bigLog returns the records of the target: its groups, then a day's changes.
+// bigLog returns the records that create groups, followed by changes spread over one day.
 func bigLog(groups, changes int) [][]byte {
 	log := make([][]byte, 0, groups+changes)
 	for n := range groups {
@@ -43,7 +43,7 @@
 	return log
 }
 
-// foldAll applies a log with the times that its records carry.
+// foldAll applies a log of bigLog at the times of its records.
 func foldAll(tb testing.TB, log [][]byte, groups int) *state.State {
 	s := state.New()
 	for i, data := range log {
@@ -59,7 +59,7 @@
 	return s
 }
 
-// TestFoldAllocations bounds the allocations of one small command.
+// TestFoldAllocations bounds the number of allocations of applying one small command.
 func TestFoldAllocations(t *testing.T) {
 	g := NewWithT(t)
 	s := foldAll(t, bigLog(10, 0), 10)
@@ -75,11 +75,11 @@
 		}
 		i++
 	})
-	t.Logf("%.0f allocations a record", allocs)
+	t.Logf("%.0f allocations per record", allocs)
 	g.Expect(allocs).To(BeNumerically("<=", 40))
 }
 
-// TestSnapshotSize bounds what a group of 16 adds to a snapshot, before and after compression.
+// TestSnapshotSize bounds the compressed size that a group of 16 members adds to a snapshot.
 func TestSnapshotSize(t *testing.T) {
 	g := NewWithT(t)
 	size := func(groups int) int {
@@ -88,11 +88,12 @@
 		return len(snap.Data)
 	}
 	perGroup := (size(200) - size(100)) / 100
-	t.Logf("%d bytes a group of %d, compressed", perGroup, targetMembers)
+	t.Logf("%d compressed bytes per group of %d members", perGroup, targetMembers)
 	g.Expect(perGroup).To(BeNumerically("<=", 400))
 }
 
-// TestOutcomesAreForgotten bounds what is remembered by the horizon, not by the length of the log.
+// TestOutcomesAreForgotten checks that the number of retained outcomes depends on the retention time,
+// not on the length of the log.
 func TestOutcomesAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	s := foldAll(t, bigLog(10, 2000), 10)
@@ -135,7 +136,7 @@
 	}
 }
 
-// heapOf returns the heap that is held by what build returns.
+// heapOf returns the heap size in bytes of the state that build returns.
 func heapOf(build func() *state.State) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -147,7 +148,8 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkHeap measures the memory of the target's state, and of one claim with a small result.
+// BenchmarkHeap measures the memory of the state of the largest deployment, and of one claim with a
+// small result.
 func BenchmarkHeap(b *testing.B) {
 	const claims = 20000
 	for b.Loop() {
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds the configuration that a platform's operator states
-// as a whole: routes, services with their engines, teams with their keys, and
-// the limits of callers. A Catalog is built once and never changed.
+// Package catalog holds the configuration that the operator of a platform sets:
+// routes, services with their engines, teams with their keys, and the limits on
+// requests of callers. A Catalog is immutable once built.
 package catalog
 
 import (
@@ -11,54 +11,54 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// RouteKind says how often a request of a route may be run.
+// RouteKind is how the requests of a route may be executed and answered.
 type RouteKind string
 
 // The kinds of routes.
 const (
-	// Safe requests may run more than once.
+	// Safe requests may be executed more than once.
 	Safe RouteKind = "safe"
-	// Unsafe requests run at most once.
+	// Unsafe requests are executed at most once.
 	Unsafe RouteKind = "unsafe"
 	// Stream requests are answered with a series of events.
 	Stream RouteKind = "stream"
 )
 
-// Share is a part of a route's requests that goes to one service.
+// Share is the part of a route's requests that one service receives.
 type Share struct {
 	Service state.ServiceName
 	Weight  float64
 }
 
-// Route says which service answers the requests for a host and a path prefix.
+// Route maps the requests for a host and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the longest that a request is held; 0 is no bound.
+	// Timeout bounds the duration of a request; 0 is no bound.
 	Timeout time.Duration
-	// Goal is the time to the first event, or to the answer, that callers hope for.
+	// Goal is the target for the time to the first event of a stream, or to the response.
 	Goal time.Duration
-	// GapGoal is the longest pause between two events that callers hope for.
+	// GapGoal is the target for the longest gap between two events of a stream.
 	GapGoal time.Duration
-	// Priority ranks the route's requests; 0 goes first.
+	// Priority ranks the route's requests; 0 is the highest.
 	Priority int
 	Shares   []Share
-	// MaxAttempts is the greatest number of instances that one request may be run by.
+	// MaxAttempts is the maximum number of instances that one request may be sent to.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another instance after a known event.
+	// Resumable streams may continue on another instance after a known event.
 	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may be run more than once.
+// Repeatable reports whether a request of the route may be executed more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
-// Pick draws one of the route's services by weight.
+// Pick returns one of the route's services, chosen at random by weight.
 func (r *Route) Pick() state.ServiceName {
 	var total float64
 	for _, s := range r.Shares {
@@ -81,35 +81,38 @@
 	Name string
 	// Size is the number of instances in a group of the model.
 	Size int
-	// Share is the part of the service's work that the model is expected to have.
+	// Share is the expected part of the service's load that is for the model.
 	Share float64
-	// Pace is a factor on all times of a group of the model.
+	// Pace is the factor by which all engine times are multiplied for groups of the model.
 	Pace float64
-	// Load is the time to load the model from the weight store, Warm from the instance's host.
+	// Load is the time to load the model from the weight store, Warm the time to load it from
+	// the instance's host.
 	Load time.Duration
 	Warm time.Duration
 }
 
-// Engine describes the model engines of a service.
+// Engine describes the inference engines of a service.
 type Engine struct {
-	// Slots is the number of requests that a group batches.
+	// Slots is the maximum number of requests in a group's batch.
 	Slots int
-	// Step is the time of a token step, PerSequence what each request in the batch adds.
+	// Step is the duration of a token step, PerSequence the time that each request in the batch
+	// adds to it.
 	Step        time.Duration
 	PerSequence time.Duration
-	// ReadPerSecond is the number of prompt tokens read in a second.
+	// ReadPerSecond is the number of prompt tokens that a group reads per second.
 	ReadPerSecond float64
-	// Stride is the number of token steps played in one pass.
+	// Stride is the number of token steps that are run in one pass.
 	Stride int
-	// UsualPrompt and UsualAnswer are the mean numbers of tokens of a request.
+	// UsualPrompt and UsualAnswer are the mean numbers of prompt and response tokens of a request.
 	UsualPrompt float64
 	UsualAnswer float64
-	// LoadsPerSecond bounds the loads from the weight store, LoadsAtOnce is how many it carries without slowing down.
+	// LoadsPerSecond bounds the rate of loads from the weight store, LoadsAtOnce is the number of
+	// concurrent loads that it serves without slowing down.
 	LoadsPerSecond float64
 	LoadsAtOnce    int
-	// Form is the time that an open group needs before it serves.
+	// Form is the time that an open group needs before it serves requests.
 	Form time.Duration
-	// ReportLag is how old what an instance reports may be.
+	// ReportLag is the maximum age of the information that an instance reports.
 	ReportLag time.Duration
 	Models    []Model
 }
@@ -136,11 +139,11 @@
 // Team is a set of callers with keys of their own.
 type Team struct {
 	Name state.TeamName
-	// Priority takes the place of the route's; nil leaves that.
+	// Priority overrides the route's priority unless it is nil.
 	Priority *int
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the requests and connections of a caller.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -148,22 +151,23 @@
 	IdleTime    time.Duration
 }
 
-// Catalog is one whole configuration.
+// Catalog is one complete configuration.
 type Catalog struct {
 	Version  int64
 	Services map[state.ServiceName]*Service
 	Limits   Limits
-	// Keyed tells that requests need a key, except on public routes.
+	// Keyed is set if requests need a key, except on public routes.
 	Keyed bool
 
 	routes map[routeKey]*Route
 	teams  map[string]*Team
 }
 
-// routeKey finds a route.
+// routeKey identifies a route.
 type routeKey struct{ host, prefix string }
 
-// New returns a Catalog; teams are listed under each of their keys.
+// New returns a Catalog; teams maps each key to the team that holds it. No request needs a key if
+// teams is nil.
 func New(version int64, routes []Route, services []Service, teams map[string]*Team, limits Limits) *Catalog {
 	c := &Catalog{
 		Version:  version,
@@ -182,7 +186,7 @@
 	return c
 }
 
-// Route returns the route with the longest prefix of a path at a host, or nil.
+// Route returns the route of a host with the longest prefix of path, or nil.
 func (c *Catalog) Route(host, path string) *Route {
 	for end := len(path); end > 0; {
 		slash := strings.LastIndexByte(path[:end], '/')
--- a/state/claim.go
+++ b/state/claim.go
@@ -2,86 +2,88 @@
 
 import "time"
 
-// ClaimKey identifies one call that may not be repeated.
+// ClaimKey identifies one call that must be executed at most once.
 type ClaimKey struct {
 	Team    TeamName    `json:"team"`
 	Service ServiceName `json:"service"`
-	// Key is the caller's UUIDv7; the time inside it is the key's age.
+	// Key is the caller's UUIDv7; its timestamp gives the age of the key.
 	Key string `json:"key"`
 }
 
-// Claim is what is known of a call that may not be repeated.
+// Claim is the recorded state of a call that must be executed at most once.
 type Claim struct {
 	ClaimKey
-	// Holder is the attempt that alone may run the call.
+	// Holder is the only attempt that may execute the call.
 	Holder string `json:"holder"`
 	// Request is a digest of the call's method, path and body.
 	Request string `json:"request"`
 	Offset  Offset `json:"offset"`
-	// Released is set when the holder has said that the call certainly never left.
+	// Released is set once the holder has reported that the call was never sent.
 	Released bool `json:"released,omitempty"`
-	// Result is nil until the holder has recorded how the call ended.
+	// Result is nil until the holder has recorded the result of the call.
 	Result *Result `json:"result,omitempty"`
 }
 
-// Result is how a claimed call ended.
+// Result is the recorded end of a claimed call.
 type Result struct {
-	// Status is the HTTP status that the target answered; 0 when the holder does not know.
+	// Status is the HTTP status of the target's response; 0 if the holder does not know it.
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Dropped is set when the body was too large to keep.
+	// Dropped is set if the body was too large to store.
 	Dropped bool `json:"dropped,omitempty"`
 }
 
-// ClaimOp claims a key, records its result, or gives it back; one of the three.
+// ClaimOp does one of three things: it claims a key, records the result of its call, or releases it.
 type ClaimOp struct {
 	Key     ClaimKey `json:"key"`
 	Holder  string   `json:"holder"`
 	Request string   `json:"request,omitempty"`
-	// Result, when set, records the end of the call.
+	// Result, if set, records the result of the call.
 	Result *Result `json:"result,omitempty"`
-	// NotRun, when set, gives the key back: the call certainly never left.
+	// NotRun, if set, releases the key: the call was never sent.
 	NotRun bool `json:"not_run,omitempty"`
 }
 
-// Bounds of what the state remembers, measured by the log's own clock.
+// Retention times of claims and record ids, and the tolerated skew, by the clock of the log.
 const (
-	// ClaimHorizon is how long a claim is kept, and how old a key may be when it is claimed.
+	// ClaimHorizon is the maximum age of a key when it is claimed, and the base of the retention
+	// time of claims.
 	ClaimHorizon = 10 * time.Minute
-	// IDHorizon is how long the id of a record is kept, and how old it may be when it is applied.
+	// IDHorizon is the maximum age of a record's id when it is applied, and the base of the
+	// retention time of outcomes.
 	IDHorizon = 2 * time.Hour
-	// MaxSkew is how far an id or key may lie ahead of the log's clock.
+	// MaxSkew is how far the timestamp of an id or key may be ahead of the log's clock.
 	MaxSkew = time.Minute
 )
 
-// expiring is a record id and the time from which it may be forgotten.
+// expiring is a record id and the time after which its outcome is evicted.
 type expiring struct {
 	ID string
 	At time.Time
 }
 
-// expiringKey is a claimed key and the time from which it may be forgotten.
+// expiringKey is a claimed key and the time after which its claim is evicted.
 type expiringKey struct {
 	Key ClaimKey
 	At  time.Time
 }
 
-// KeyCovered reports whether the claim history reaches back to the age of a key.
+// KeyCovered reports whether the timestamp of a key lies within the retained claim history.
 func (s *State) KeyCovered(key string) bool {
 	at, ok := IDTime(key)
 	return ok && covered(at, s.now, ClaimHorizon)
 }
 
-// covered reports whether a time lies within the horizon before now and not too far ahead.
+// covered reports whether a time is at most horizon before now and at most MaxSkew after it.
 func covered(at, now time.Time, horizon time.Duration) bool {
 	return !at.Before(now.Add(-horizon)) && !at.After(now.Add(MaxSkew))
 }
 
-// applyClaim settles one claim operation; the first holder of a key keeps it.
+// applyClaim applies one claim operation; the first holder of a key keeps it.
 //
-// A holder that gives a key back can never claim it again, so a claim of its
-// own that reaches the log later than the release has no effect.
+// A holder that releases a key cannot claim it again, so a claim of its own that
+// reaches the log after the release has no effect.
 func (s *State) applyClaim(op *ClaimOp, at Offset) {
 	if !s.KeyCovered(op.Key.Key) {
 		return
@@ -104,7 +106,7 @@
 	}
 }
 
-// setClaim stores a claim and, for a new key, when it may be forgotten.
+// setClaim stores a claim and, for a new key, schedules its eviction.
 func (s *State) setClaim(c Claim, known bool) {
 	s.claims[c.ClaimKey] = c
 	if !known {
@@ -112,10 +114,10 @@
 	}
 }
 
-// forget drops claims and outcomes that can no longer be repeated.
+// forget evicts expired claims and outcomes.
 //
-// A key or id is forgotten only after its own age alone makes the fold refuse
-// it, so that forgetting never lets a repeat through.
+// A key or id is evicted only once it is refused for its age alone, so that
+// eviction never lets a duplicate take effect.
 func (s *State) forget() {
 	n := 0
 	for n < len(s.keyQueue) && s.keyQueue[n].At.Before(s.now) {
--- a/state/errors.go
+++ b/state/errors.go
@@ -5,22 +5,24 @@
 	"fmt"
 )
 
-// Errors that stop a fold: the node must not go on from such a record.
+// Errors of Apply, of decoding and of snapshots. A node must not skip an entry that fails with ErrGap or
+// ErrUnknownRecord.
 var (
-	// ErrUnknownRecord means the record is of a kind or version this program does not know.
-	ErrUnknownRecord = errors.New("state: record not understood")
-	// ErrGap means a record was offered whose offset does not follow the last one.
+	// ErrUnknownRecord means that a record cannot be decoded: it is malformed, or of a kind, version or
+	// field that this program does not know.
+	ErrUnknownRecord = errors.New("state: unknown record format")
+	// ErrGap means that the offset of an entry is not the one after the last entry applied.
 	ErrGap = errors.New("state: gap in the log")
-	// ErrBackwards means a snapshot older than the held state was offered.
-	ErrBackwards = errors.New("state: snapshot is older than the state held")
-	// ErrSnapshot means a snapshot is damaged or does not match its digest.
-	ErrSnapshot = errors.New("state: snapshot not usable")
+	// ErrBackwards means that a snapshot is not newer than the current state.
+	ErrBackwards = errors.New("state: snapshot is not newer than the current state")
+	// ErrSnapshot means that a snapshot is damaged or does not match its digest.
+	ErrSnapshot = errors.New("state: invalid snapshot")
 )
 
-// Reason is the code of why a record was refused.
+// Reason is the code of the reason for which a record was refused.
 type Reason string
 
-// The reasons for which the fold refuses a record.
+// The reasons for which a record is refused.
 const (
 	ReasonVoided         Reason = "voided"
 	ReasonAlreadySettled Reason = "already-settled"
@@ -44,7 +46,8 @@
 	ReasonDraining       Reason = "group-draining"
 )
 
-// Refusal says why the fold refused a record.
+// Refusal is the reason for which a record was refused. Its Detail is stored in the state and enters
+// the digest, so its wording must be the same in every node.
 type Refusal struct {
 	Reason Reason
 	Detail string
--- a/state/example_test.go
+++ b/state/example_test.go
@@ -7,7 +7,8 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Two operators race for the same instance; the offset decides, and the loser is told why.
+// Two operators create groups with the same instance. The record with the lower offset is accepted;
+// the other is refused with a reason.
 func ExampleState_Apply() {
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	form := func(name state.GroupName) []state.Op {
--- a/state/fleet/instance.go
+++ b/state/fleet/instance.go
@@ -1,6 +1,6 @@
-// Package fleet holds what is known of the target instances of a platform that
-// lists them itself: where they are, which replica group each is in, and what
-// each last said.
+// Package fleet holds the types that describe the target instances of a platform
+// that lists them itself: their locations, their memberships in replica groups,
+// and their reports.
 package fleet
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// MemberState is how far a member of a group has come.
+// MemberState is the state of an instance as a member of a group.
 type MemberState string
 
-// The states of a member. Only the first member, the head, is ever open or closing.
+// The states of a member. Only the head, which is the first member, can be open or closing.
 const (
 	Joining MemberState = "joining"
 	Ready   MemberState = "ready"
@@ -23,7 +23,7 @@
 	Broken  MemberState = "broken"
 )
 
-// Membership is the group that an instance says it belongs to; the zero value is none.
+// Membership is the group membership that an instance reports; the zero value is none.
 type Membership struct {
 	Group state.GroupName
 	Epoch state.Epoch
@@ -31,25 +31,26 @@
 	State MemberState
 }
 
-// GroupKey names one formation of a group.
+// GroupKey identifies a group at one epoch.
 type GroupKey struct {
 	Group state.GroupName
 	Epoch state.Epoch
 }
 
-// Key returns the formation that the membership belongs to.
+// Key returns the group and epoch of the membership.
 func (m Membership) Key() GroupKey { return GroupKey{m.Group, m.Epoch} }
 
-// Incarnation names one life of a target process: a process may start again
-// under the id that it had.
+// Incarnation identifies one incarnation of a target process: a process may restart
+// under the same ID.
 type Incarnation struct {
 	ID state.InstanceID `json:"i"`
-	// Life tells the lives of one id apart; empty for a process that does not tell them apart itself.
+	// Life distinguishes the incarnations of one ID: it is the start time in milliseconds. It is empty
+	// for a process that does not report its start time.
 	Life string `json:"l,omitempty"`
 }
 
-// LaterThan reports whether a life is certain to have begun after another one of the same
-// process. Lives are told apart by when they began, in milliseconds.
+// LaterThan reports whether i is certain to have started after o, an incarnation of the same process.
+// It is false if either start time is unknown.
 func (i Incarnation) LaterThan(o Incarnation) bool {
 	if i.Life == "" || o.Life == "" || i.Life == o.Life {
 		return false
@@ -60,34 +61,37 @@
 	return i.Life > o.Life
 }
 
-// Instance is one life of a target process, as the platform's list shows it.
+// Instance is one incarnation of a target process, as in the platform's list.
 type Instance struct {
 	ID state.InstanceID
-	// Born is when the process started by its own clock, in whole milliseconds; zero if it does not say so.
+	// Born is the start time of the process by its own clock, in whole milliseconds; zero if it does not
+	// report one.
 	Born    time.Time `json:",omitzero"`
 	Service state.ServiceName
 	Address netip.AddrPort
 	Hall    state.HallName
 	Domain  string
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int
-	// Draining tells that the instance will end soon and takes no new work.
+	// Draining is set if the instance shuts down soon and accepts no new requests.
 	Draining bool
-	// Model is the model that it has loaded, or had in its last group, Staged those that its host holds.
+	// Model is the model that it has loaded, or had in its last group. Staged are the models that its
+	// host stores.
 	Model      string
 	Staged     []string
 	Membership Membership
-	// Loaded is the model that it has loaded now, or none.
+	// Loaded is the model that it currently has loaded; empty for none.
 	Loaded string
-	// Position orders what the list said of the instance, also where the list was restored from
-	// an older copy.
+	// Position orders the list's entries for the instance, also across a restore of the list from a
+	// backup.
 	Position int64
 }
 
-// Incarnation returns which life of the process the entry is of.
+// Incarnation returns the incarnation of the process that the entry describes.
 func (i *Instance) Incarnation() Incarnation { return LifeSince(i.ID, i.Born) }
 
-// LifeSince returns the life of a process that started at a time, if it tells that.
+// LifeSince returns the incarnation of a process that started at born; born is zero if the start time
+// is unknown.
 func LifeSince(id state.InstanceID, born time.Time) Incarnation {
 	if born.IsZero() {
 		return Incarnation{ID: id}
@@ -95,7 +99,7 @@
 	return Incarnation{ID: id, Life: strconv.FormatInt(born.UnixMilli(), 10)}
 }
 
-// HasStaged reports whether the instance's host holds a model.
+// HasStaged reports whether the instance's host stores a model.
 func (i *Instance) HasStaged(model string) bool {
 	for _, s := range i.Staged {
 		if s == model {
@@ -105,21 +109,21 @@
 	return false
 }
 
-// Report is what an instance answered when asked itself.
+// Report is the response of an instance to a probe.
 type Report struct {
 	Notice
-	// Born is when the process started, as in Instance.
+	// Born is the start time of the process, as in Instance.
 	Born       time.Time
 	Membership Membership
 	Model      string
 	Staged     []string
-	// Busy tells that an order is under way.
+	// Busy is set if an order is in progress.
 	Busy bool
-	// Orders is the number of orders that the instance has taken in this life.
+	// Orders is the number of orders that this incarnation has accepted.
 	Orders int64
-	// Waiting and Running are the requests that it holds.
+	// Waiting and Running are the numbers of its queued and executing requests.
 	Waiting int
 	Running int
-	// Asked is when the question left.
+	// Asked is when the probe was sent.
 	Asked time.Time
 }
--- a/state/fleet/notice.go
+++ b/state/fleet/notice.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Notice is what an instance says in an answer of whether and when it wants to be called
-// again, beside what it was asked. Any answer may carry one.
+// Notice is what a response of an instance states about further requests to it: a cooldown, a
+// shutdown or a rate limit. Any response may carry one.
 type Notice struct {
-	// Cooldown is for how long from the answer on it wants nothing of the node that it
-	// answers; 0 if it does not ask for one. CooldownFault is why what it asks for cannot be read.
+	// Cooldown is how long after the response the node that receives it must send no request to the
+	// instance; 0 for none. CooldownFault is the error of parsing the cooldown.
 	Cooldown      time.Duration
 	CooldownFault error
-	// Leaving tells that it will end soon and wants no further request of any node.
+	// Leaving is set if the instance shuts down soon and accepts no further request from any node.
 	Leaving bool
-	// RateLimit is how many requests a second it takes from all nodes together.
+	// RateLimit is the limit on the requests per second from all nodes together.
 	RateLimit RateLimit
 }
--- a/state/fleet/ratelimit.go
+++ b/state/fleet/ratelimit.go
@@ -1,21 +1,21 @@
 package fleet
 
-// RateLimit is what one answer of an instance says of how many requests it takes from all
-// nodes together. The zero value says nothing: no answer came, or none that can be read.
+// RateLimit is the rate limit that an instance states in one response. It applies to the requests
+// of all nodes together. The zero value means that there was no response, or none that can be parsed.
 type RateLimit struct {
-	// Said tells that an answer came and can be read.
+	// Said is set if there was a response that can be parsed.
 	Said bool
-	// Limited tells that the answer names a limit, PerSecond the requests a second.
+	// Limited is set if the response states a limit, PerSecond is that limit in requests per second.
 	Limited   bool
 	PerSecond float64
-	// Fault is why the limit that the answer names cannot be read.
+	// Fault is the error of parsing the limit in the response.
 	Fault error
 }
 
-// Unlimited is an answer that names no limit.
+// Unlimited returns the RateLimit of a response that states no limit.
 func Unlimited() RateLimit { return RateLimit{Said: true} }
 
-// LimitedTo is an answer that names a limit, in requests a second.
+// LimitedTo returns the RateLimit of a response that states a limit in requests per second.
 func LimitedTo(perSecond float64) RateLimit {
 	return RateLimit{Said: true, Limited: true, PerSecond: perSecond}
 }
--- a/state/fold.go
+++ b/state/fold.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Outcome is what became of one record.
+// Outcome is the result of applying one record. It is part of the state and of its digest.
 type Outcome struct {
 	ID       string `json:"id"`
 	Offset   Offset `json:"offset"`
@@ -19,11 +19,11 @@
 
 // Apply folds the next entry of the log into the state.
 //
-// It returns the outcome of a command or void record. An error means that the
-// fold stopped before the entry: ErrGap or ErrUnknownRecord.
+// It returns the outcome of the record. On an error, ErrGap or ErrUnknownRecord,
+// the entry has not been applied and the state is unchanged.
 func (s *State) Apply(e Entry) (Outcome, error) {
 	if e.Offset != s.offset+1 {
-		return Outcome{}, fmt.Errorf("%w: offset %d offered after %d", ErrGap, e.Offset, s.offset)
+		return Outcome{}, fmt.Errorf("%w: got offset %d after offset %d", ErrGap, e.Offset, s.offset)
 	}
 	r, err := DecodeRecord(e.Data)
 	if err != nil {
@@ -34,7 +34,8 @@
 		return Outcome{}, fmt.Errorf("offset %d: %w", e.Offset, err)
 	}
 	s.offset = e.Offset
-	// Peers hand entries on in microseconds: every source must give the same time.
+	// Peers pass on entries with times in microseconds. The time is truncated so that an entry has
+	// the same time from every source.
 	e.Time = e.Time.UTC().Truncate(time.Microsecond)
 	if e.Time.After(s.now) {
 		s.now = e.Time
@@ -43,7 +44,7 @@
 	return s.applyRecord(r, changes), nil
 }
 
-// decodeChanges returns the changes of a command; it fails before anything is changed.
+// decodeChanges returns the changes of a command, or an error before any of them is applied.
 func decodeChanges(r *Record) ([]change, error) {
 	list := make([]change, 0, len(r.Ops))
 	for i := range r.Ops {
@@ -56,7 +57,7 @@
 	return list, nil
 }
 
-// applyRecord dispatches on the kind of a record that is understood.
+// applyRecord applies a decoded record according to its kind.
 func (s *State) applyRecord(r *Record, changes []change) Outcome {
 	switch r.Kind {
 	case KindClaims:
@@ -71,7 +72,8 @@
 	return Outcome{ID: r.ID, Offset: s.offset, Accepted: true}
 }
 
-// settle remembers the outcome of a record, unless its id was settled before.
+// settle returns the outcome of a record and stores it, unless the id already has an outcome. Ids that
+// are invalid or expired are not stored.
 func (s *State) settle(r *Record, err error) Outcome {
 	if o, ok := s.outcomes[r.ID]; ok {
 		return o
@@ -88,13 +90,13 @@
 	return o
 }
 
-// remember keeps an outcome until its id is refused for its age alone.
+// remember stores an outcome until its id is refused for its age alone.
 func (s *State) remember(o Outcome) {
 	s.outcomes[o.ID] = o
 	s.idQueue = append(s.idQueue, expiring{ID: o.ID, At: s.now.Add(IDHorizon + 2*MaxSkew)})
 }
 
-// checkID refuses an id that is no UUIDv7 or whose age the history does not cover.
+// checkID refuses an id that is not a UUIDv7 or whose timestamp lies outside the retained history.
 func (s *State) checkID(id string) *Refusal {
 	at, ok := IDTime(id)
 	if !ok {
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// void settles an id as refused before its command was seen.
+// void records an id as refused, so that its command has no effect if it is read later.
 func (s *State) void(r *Record) error {
 	for _, id := range []string{r.ID, r.Void} {
 		if refusal := s.checkID(id); refusal != nil {
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// command applies the changes of a command, all or none.
+// command applies all changes of a command or none.
 func (s *State) command(r *Record, changes []change) error {
 	if _, done := s.outcomes[r.ID]; done {
 		return nil
--- a/state/fold_test.go
+++ b/state/fold_test.go
@@ -12,16 +12,16 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	_ "github.com/troutmast/troutmast/internal/fixedseed" // the same cases in every run
+	_ "github.com/troutmast/troutmast/internal/fixedseed" // rapid draws the same cases in every run
 
 	_ "github.com/troutmast/troutmast/internal/seed"
 	"github.com/troutmast/troutmast/state"
 )
 
-// start is the log's time in tests; ids are made to fit it.
+// start is the initial log time in tests; the timestamps of ids are based on it.
 var start = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// idAt returns a UUIDv7 with a time and a serial number.
+// idAt returns a UUIDv7 with a timestamp and a serial number.
 func idAt(at time.Time, n int) string {
 	var u uuid.UUID
 	ms := at.UnixMilli()
@@ -42,20 +42,20 @@
 	return data
 }
 
-// apply folds data at the next offset.
+// apply applies data at the next offset.
 func apply(s *state.State, at time.Time, data []byte) (state.Outcome, error) {
 	return s.Apply(state.Entry{Offset: s.Offset() + 1, Time: at, Data: data})
 }
 
-// place returns an instance of a small world with two fabric domains.
+// place returns the n-th instance of a small deployment with two fabric domains.
 func place(n int) state.Place {
 	return state.Place{Instance: state.InstanceID(fmt.Sprintf("i%d", n)), Hall: "h", Domain: fmt.Sprintf("d%d", n%2)}
 }
 
-// group returns the name of a group of a small world.
+// group returns the name of the n-th group.
 func group(n int) state.GroupName { return state.GroupName(fmt.Sprintf("g%d", n)) }
 
-// opGen draws a change of a small world, often one that must be refused.
+// opGen draws an operation on a small deployment, often one that must be refused.
 var opGen = rapid.Custom(func(t *rapid.T) state.Op {
 	g := group(rapid.IntRange(0, 3).Draw(t, "group"))
 	n := rapid.IntRange(0, 9).Draw(t, "instance")
@@ -81,7 +81,7 @@
 	return state.Op{BindModel: &state.BindModel{Group: g, Model: state.Model{Name: "m2"}}}
 })
 
-// historyGen draws a log: attempts in any order, some twice, some voided, claims between them.
+// historyGen draws a log of commands in any order, some duplicated and some voided.
 var historyGen = rapid.Custom(func(t *rapid.T) []state.Entry {
 	var attempts [][]byte
 	for n := range rapid.IntRange(1, 40).Draw(t, "commands") {
@@ -120,7 +120,7 @@
 	}
 }
 
-// checkSeats fails if an instance sits in two groups, or if groups and assignments disagree.
+// checkSeats fails if an instance is in two groups, or if groups and assignments disagree.
 func checkSeats(t *rapid.T, s *state.State) {
 	seats := map[state.InstanceID]state.GroupName{}
 	for _, g := range s.Groups() {
@@ -140,12 +140,12 @@
 	}
 	for _, a := range s.Assignments() {
 		if a.Group != "" && seats[a.Instance] != a.Group {
-			t.Fatalf("%s is assigned to %s, which does not name it", a.Instance, a.Group)
+			t.Fatalf("%s is assigned to %s, which does not list it as a member", a.Instance, a.Group)
 		}
 	}
 }
 
-// TestNoInstanceInTwoGroups holds after every record of any history.
+// TestNoInstanceInTwoGroups checks the invariant after every record of a drawn history.
 func TestNoInstanceInTwoGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
@@ -156,8 +156,8 @@
 	})
 }
 
-// TestAllReadersReachTheSameState holds for a reader from the start, one that
-// starts from a snapshot anywhere, and one that goes through several snapshots.
+// TestAllReadersReachTheSameState checks that replaying the whole log and replaying it with restores
+// from snapshots at drawn offsets reach the same digest.
 func TestAllReadersReachTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := historyGen.Draw(t, "history")
@@ -182,12 +182,13 @@
 			}
 		}
 		if got, _ := other.Digest(); got != want {
-			t.Fatalf("digests differ")
+			t.Fatalf("digest after restores does not equal digest after full replay")
 		}
 	})
 }
 
-// TestRefusedChangesNothing holds for every refused command, batches with a bad statement among them.
+// TestRefusedChangesNothing checks that a refused command leaves the state unchanged, also if only
+// one of its operations is refused.
 func TestRefusedChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
@@ -198,22 +199,23 @@
 				t.Fatal(err)
 			}
 			if !o.Accepted && o.Reason == "" {
-				t.Fatalf("refused without a reason: %+v", o)
+				t.Fatalf("record refused without a reason: %+v", o)
 			}
 			if !o.Accepted && visible(s) != before {
-				t.Fatalf("refused (%s) but changed:\n%s\n%s", o.Reason, before, visible(s))
+				t.Fatalf("record refused (%s) but state changed:\n%s\n%s", o.Reason, before, visible(s))
 			}
 		}
 	})
 }
 
-// visible returns what commands can change, as text.
+// visible returns the part of the state that commands can change, as JSON.
 func visible(s *state.State) string {
 	data, _ := json.Marshal([]any{s.Groups(), s.Assignments(), s.Teams(), s.Services(), s.Policy(), s.LastAccepted()})
 	return string(data)
 }
 
-// TestRepeatHasNoFurtherEffect holds for the second record of an id, wherever it comes.
+// TestRepeatHasNoFurtherEffect checks that a second record with the same id, at any later offset, has
+// no effect and the same outcome.
 func TestRepeatHasNoFurtherEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
@@ -226,7 +228,7 @@
 			}
 			first, seen := outcomes[o.ID]
 			if seen && (o != first || visible(s) != before) {
-				t.Fatalf("the repeat of %s had an effect", o.ID)
+				t.Fatalf("duplicate of %s had an effect", o.ID)
 			}
 			outcomes[o.ID] = o
 		}
@@ -326,7 +328,8 @@
 	g.Expect(s.Teams()).To(HaveLen(1))
 }
 
-// TestForgottenIDIsNeverAppliedAgain lets a late duplicate come at every age.
+// TestForgottenIDIsNeverAppliedAgain applies a duplicate at a drawn delay, before or after its id has
+// been evicted.
 func TestForgottenIDIsNeverAppliedAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		skew := time.Duration(rapid.Int64Range(0, int64(state.MaxSkew)).Draw(t, "skew"))
@@ -341,12 +344,12 @@
 		mustApply(t, s, at, command(idAt(at, 3), state.Op{DrainGroup: &state.DrainGroup{Group: "g", Off: true}}))
 		mustApply(t, s, at, data)
 		if s.Group("g").Drained != 0 {
-			t.Fatalf("a duplicate %s later had an effect", late)
+			t.Fatalf("duplicate had an effect %s after the original", late)
 		}
 	})
 }
 
-// mustApply folds data and fails on an error.
+// mustApply applies data and fails the test on an error.
 func mustApply(t *rapid.T, s *state.State, at time.Time, data []byte) state.Outcome {
 	o, err := apply(s, at, data)
 	if err != nil {
@@ -355,8 +358,8 @@
 	return o
 }
 
-// TestOneHolderRuns lets holders claim, run, record and give back one key, each
-// record possibly late and repeated, and counts what they run.
+// TestOneHolderRuns has several holders claim and release one key, execute its call and record the
+// result. Each record may be delayed or duplicated. The call must be executed at most once.
 func TestOneHolderRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := state.ClaimKey{Team: "t", Service: "s", Key: idAt(start, 1)}
@@ -397,13 +400,13 @@
 			}
 		}
 		if ran > 1 {
-			t.Fatalf("the call ran %d times", ran)
+			t.Fatalf("call executed %d times, expected at most 1", ran)
 		}
 	})
 }
 
-// TestGivenBackKeyIsFreeForOthers lets the claim of a holder that has given its
-// key back come, or come again, after the release: it must not block the key.
+// TestGivenBackKeyIsFreeForOthers checks that another holder can claim a released key, also if a
+// delayed or duplicated claim of the first holder is applied after its release.
 func TestGivenBackKeyIsFreeForOthers(t *testing.T) {
 	key := state.ClaimKey{Team: "t", Service: "s", Key: idAt(start, 1)}
 	claim := func(holder string) state.ClaimOp { return state.ClaimOp{Key: key, Holder: holder, Request: "r"} }
@@ -432,7 +435,8 @@
 	}
 }
 
-// TestSourcesOfCoarserTimesAgree covers entries that a peer hands on in microseconds.
+// TestSourcesOfCoarserTimesAgree checks that an entry read from the log and the same entry from a peer,
+// which passes on times in microseconds, lead to the same digest.
 func TestSourcesOfCoarserTimesAgree(t *testing.T) {
 	g := NewWithT(t)
 	data := command(idAt(start, 1), state.Op{CreateTeam: &state.CreateTeam{Name: "t", KeyHashes: []string{"x"}}})
@@ -477,12 +481,12 @@
 		before, _ := s.Digest()
 		if _, err := apply(s, start, data); err != nil {
 			if after, _ := s.Digest(); after != before {
-				t.Fatal("a record that was not understood changed the state")
+				t.Fatal("record that could not be decoded changed the state")
 			}
 			return
 		}
 		if s.Offset() != 1 {
-			t.Fatal("an applied record did not move the state")
+			t.Fatal("applied record did not advance the offset")
 		}
 	})
 }
--- a/state/group_op.go
+++ b/state/group_op.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Bounds of a replica group, from the brief.
+// Bounds on the number of members of a replica group.
 const (
 	MinGroupSize = 1
 	MaxGroupSize = 32
 )
 
-// Place is where the platform's list says an instance is.
+// Place is the location of an instance according to the platform's list.
 type Place struct {
 	Instance InstanceID `json:"instance"`
 	Hall     HallName   `json:"hall"`
 	Domain   string     `json:"domain"`
 }
 
-// CreateGroup forms a group from free instances of one fabric domain.
+// CreateGroup creates a group of free instances of one fabric domain.
 type CreateGroup struct {
 	Name    GroupName `json:"name"`
 	Model   Model     `json:"model"`
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// checkFree refuses an instance that holds an assignment or lies in another fabric domain.
+// checkFree refuses an instance that has an assignment, serves a plain service, or is not in the
+// given hall and fabric domain.
 func (s *State) checkFree(p Place, hall HallName, domain string) *Refusal {
 	if p.Instance == "" || p.Hall == "" || p.Domain == "" {
 		return refuse(ReasonBadValue, "a member needs an id, a hall and a domain")
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// describe says what an instance is ordered to be.
+// describe returns the assignment as the detail of a refusal.
 func (a *Assignment) describe() string {
 	if a.Group == "" {
 		return fmt.Sprintf("%s has not yet reported the release ordered at %d", a.Instance, a.Epoch)
@@ -87,7 +88,8 @@
 	return ""
 }
 
-// groupAt returns a group after checking that it is still in the epoch the author saw.
+// groupAt returns a group if it is at the epoch that the author of the command saw. Epoch 0 matches
+// any epoch.
 func (s *State) groupAt(name GroupName, epoch Epoch) (*Group, *Refusal) {
 	g := s.groups[name]
 	if g == nil {
@@ -99,7 +101,7 @@
 	return g, nil
 }
 
-// reassign gives a group and all its members the epoch at.
+// reassign sets the epoch of a group and of the assignments of all its members to at.
 func (s *State) reassign(t *tx, g *Group, at Epoch) {
 	g.Epoch = at
 	for rank, id := range g.Members {
@@ -111,14 +113,14 @@
 	put(t, s.groups, g.Name, g)
 }
 
-// releaseInstance orders an instance to release what it holds.
+// releaseInstance orders an instance to release its membership and its model.
 func (s *State) releaseInstance(t *tx, id InstanceID, at Epoch) {
 	a := *s.instances[id]
 	a.Group, a.Epoch, a.Rank = "", at, 0
 	put(t, s.instances, id, &a)
 }
 
-// BindModel changes what a group serves; its members load again in a new epoch.
+// BindModel changes the model of a group; its members load it in a new epoch.
 type BindModel struct {
 	Group GroupName `json:"group"`
 	Epoch Epoch     `json:"epoch,omitempty"`
@@ -140,12 +142,12 @@
 	return nil
 }
 
-// ReplaceMember puts a free instance in a seat of a group; the member it displaces is released.
+// ReplaceMember assigns a free instance to a rank of a group; the member that it replaces is released.
 type ReplaceMember struct {
 	Group GroupName `json:"group"`
 	Epoch Epoch     `json:"epoch,omitempty"`
 	Rank  int       `json:"rank"`
-	// Out is the member that the author saw in the seat; empty for a vacant seat.
+	// Out is the member that the author saw at the rank; empty for a vacant rank.
 	Out InstanceID `json:"out,omitempty"`
 	In  Place      `json:"in"`
 }
@@ -167,7 +169,7 @@
 	return nil
 }
 
-// openSeat returns a copy of a group whose seat holds what the author saw in it.
+// openSeat returns a copy of a group that is not being released and has the instance out at rank.
 func (s *State) openSeat(name GroupName, epoch Epoch, rank int, out InstanceID) (*Group, *Refusal) {
 	old, r := s.groupAt(name, epoch)
 	if r != nil {
@@ -184,7 +186,8 @@
 	return &g, nil
 }
 
-// VacateMember releases a member and leaves its seat vacant; the group is not whole until it is filled.
+// VacateMember releases a member and leaves its rank vacant; the group is incomplete until the rank
+// is filled.
 type VacateMember struct {
 	Group GroupName  `json:"group"`
 	Epoch Epoch      `json:"epoch"`
@@ -207,11 +210,11 @@
 	return nil
 }
 
-// DrainGroup stops or restarts new requests to a group.
+// DrainGroup drains a group, or ends the drain if Off is set.
 type DrainGroup struct {
 	Group GroupName `json:"group"`
 	Off   bool      `json:"off,omitempty"`
-	// For names the group for which a repair wants members of this one.
+	// For names the group for which a repair needs members of this one.
 	For GroupName `json:"for,omitempty"`
 }
 
@@ -236,7 +239,7 @@
 	return nil
 }
 
-// ReleaseGroup drains a group for good; DissolveGroup follows when its last request has ended.
+// ReleaseGroup drains a group permanently; DissolveGroup follows when its last request has ended.
 type ReleaseGroup struct {
 	Group GroupName `json:"group"`
 	Epoch Epoch     `json:"epoch,omitempty"`
@@ -258,7 +261,7 @@
 	return nil
 }
 
-// DissolveGroup removes a releasing group and orders its members to release.
+// DissolveGroup removes a group that is being released and orders its members to release.
 type DissolveGroup struct {
 	Group GroupName `json:"group"`
 	Epoch Epoch     `json:"epoch"`
@@ -282,7 +285,7 @@
 	return nil
 }
 
-// FreeInstance records that an instance has itself reported the release ordered at Epoch.
+// FreeInstance records that the instance itself has reported the release ordered at Epoch.
 type FreeInstance struct {
 	Instance InstanceID `json:"instance"`
 	Epoch    Epoch      `json:"epoch"`
--- a/state/op.go
+++ b/state/op.go
@@ -24,11 +24,11 @@
 
 // change is one kind of operation on the state.
 type change interface {
-	// apply checks the precondition and makes the change through tx.
+	// apply checks the preconditions and makes the change through tx.
 	apply(s *State, tx *tx, at Offset) *Refusal
 }
 
-// change returns the one change that the Op holds, or an error when it holds none or several.
+// change returns the one change of the Op, or ErrUnknownRecord if it has none or several.
 func (o *Op) change() (change, error) {
 	var found []change
 	add := func(c change, set bool) {
@@ -50,31 +50,31 @@
 	add(o.CreateService, o.CreateService != nil)
 	add(o.SetPolicy, o.SetPolicy != nil)
 	if len(found) != 1 {
-		return nil, fmt.Errorf("%w: an operation holds %d changes", ErrUnknownRecord, len(found))
+		return nil, fmt.Errorf("%w: operation has %d changes, expected 1", ErrUnknownRecord, len(found))
 	}
 	return found[0], nil
 }
 
-// tx collects how to take back what a command has changed so far.
+// tx is the undo log of a command.
 type tx struct {
 	undo []func()
 }
 
-// rollback takes back every change, the last one first.
+// rollback undoes every change in reverse order.
 func (t *tx) rollback() {
 	for _, f := range slices.Backward(t.undo) {
 		f()
 	}
 }
 
-// put stores a value in a map, or deletes the key when v is nil, and notes how to take it back.
+// put stores a value in a map, or deletes the key if v is nil, and records the undo in t.
 func put[K comparable, V any](t *tx, m map[K]*V, k K, v *V) {
 	old := m[k]
 	t.undo = append(t.undo, func() { assign(m, k, old) })
 	assign(m, k, v)
 }
 
-// assign stores a value in a map, or deletes the key when v is nil.
+// assign stores a value in a map, or deletes the key if v is nil.
 func assign[K comparable, V any](m map[K]*V, k K, v *V) {
 	if v == nil {
 		delete(m, k)
--- a/state/past_test.go
+++ b/state/past_test.go
@@ -10,8 +10,8 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Records that earlier builds wrote are read as they were meant: a record with a field that is
-// not known would stop the fold of a node, so that none may be taken away or renamed.
+// Records written by earlier builds must decode without loss. A record with an unknown field stops a
+// node from applying the log, so no field may be removed or renamed.
 func TestRecordsOfEarlierBuildsAreRead(t *testing.T) {
 	g := NewWithT(t)
 	paths, err := filepath.Glob("testdata/records/*/record.json")
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// maxSnapshotBytes bounds the decompressed size of a snapshot that is read.
+// maxSnapshotBytes bounds the decompressed size of a snapshot on restore.
 const maxSnapshotBytes = 256 << 20
 
-// Snapshot is the whole state at an offset, compressed; equal states give equal snapshots.
+// Snapshot is the complete state at an offset, compressed; equal states have equal snapshots.
 type Snapshot struct {
 	At Offset `json:"at"`
 	// Digest is the SHA-256 of the uncompressed content, in hexadecimal.
@@ -23,7 +23,8 @@
 	Data   []byte `json:"data"`
 }
 
-// content is what a snapshot holds; slices are in a fixed order.
+// content is the uncompressed form of a snapshot. The order of every slice is deterministic, so that
+// equal states have equal digests.
 type content struct {
 	Offset       Offset        `json:"offset"`
 	LastAccepted Offset        `json:"last_accepted"`
@@ -61,7 +62,7 @@
 	return json.Marshal(c)
 }
 
-// compareKeys orders claim keys.
+// compareKeys orders claim keys by key, then by team and service.
 func compareKeys(a, b ClaimKey) int {
 	if a.Key != b.Key {
 		return bytes.Compare([]byte(a.Key), []byte(b.Key))
@@ -69,7 +70,7 @@
 	return bytes.Compare([]byte(a.Team+"/"+TeamName(a.Service)), []byte(b.Team+"/"+TeamName(b.Service)))
 }
 
-// Digest returns the SHA-256 of the whole state, in hexadecimal.
+// Digest returns the SHA-256 of the complete state, in hexadecimal.
 func (s *State) Digest() (string, error) {
 	data, err := s.encodeContent()
 	if err != nil {
@@ -84,7 +85,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns a snapshot of the complete state.
 func (s *State) Snapshot() (*Snapshot, error) {
 	data, err := s.encodeContent()
 	if err != nil {
@@ -101,7 +102,7 @@
 	return &Snapshot{At: s.offset, Digest: digestOf(data), Data: buf.Bytes()}, nil
 }
 
-// Restore returns the state that a snapshot holds, or ErrSnapshot.
+// Restore returns the state in a snapshot, or ErrSnapshot if it is damaged.
 func Restore(snap *Snapshot) (*State, error) {
 	r, err := gzip.NewReader(bytes.NewReader(snap.Data))
 	if err != nil {
@@ -112,19 +113,19 @@
 		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	if digestOf(data) != snap.Digest {
-		return nil, fmt.Errorf("%w: digest does not match", ErrSnapshot)
+		return nil, fmt.Errorf("%w: content does not match its digest", ErrSnapshot)
 	}
 	var c content
 	if err := json.Unmarshal(data, &c); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	if c.Offset != snap.At {
-		return nil, fmt.Errorf("%w: content is of offset %d, label says %d", ErrSnapshot, c.Offset, snap.At)
+		return nil, fmt.Errorf("%w: content has offset %d, expected %d", ErrSnapshot, c.Offset, snap.At)
 	}
 	return c.state(), nil
 }
 
-// state builds the State that the content describes.
+// state returns the State with this content.
 func (c *content) state() *State {
 	s := New()
 	s.offset, s.lastAccepted, s.now, s.policy = c.Offset, c.LastAccepted, c.Now, c.Policy
--- a/state/team_op.go
+++ b/state/team_op.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// CreateTeam adds a team; its keys are stored as SHA-256 in hexadecimal.
+// CreateTeam adds a team; its keys are stored as hexadecimal SHA-256 hashes.
 type CreateTeam struct {
 	Name      TeamName `json:"name"`
 	KeyHashes []string `json:"key_hashes"`
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// AllowTeam lets a team use a data hall, with a number of places and a priority.
+// AllowTeam lets a team use a data hall with a limit on requests in flight and a priority.
 type AllowTeam struct {
 	Team  TeamName `json:"team"`
 	Hall  HallName `json:"hall"`
@@ -45,7 +45,7 @@
 	return s.editHalls(t, c.Team, func(halls map[HallName]Share) { halls[c.Hall] = c.Share })
 }
 
-// DenyTeam takes a data hall from a team.
+// DenyTeam ends the access of a team to a data hall.
 type DenyTeam struct {
 	Team TeamName `json:"team"`
 	Hall HallName `json:"hall"`
@@ -56,7 +56,7 @@
 	return s.editHalls(t, c.Team, func(halls map[HallName]Share) { delete(halls, c.Hall) })
 }
 
-// editHalls replaces a team by a copy whose halls have been edited.
+// editHalls replaces a team by a copy to whose halls edit has been applied.
 func (s *State) editHalls(t *tx, name TeamName, edit func(map[HallName]Share)) *Refusal {
 	old := s.teams[name]
 	if old == nil {
