--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -13,27 +13,27 @@
 
 // The largest deployment that is supported: groups, members per group, and changes per day.
 const (
-	targetGroups  = 750
-	targetMembers = 16
-	targetChanges = 29000
+	maxGroups     = 750
+	maxMembers    = 16
+	changesPerDay = 29000
 )
 
-// bigGroup returns the operation that creates the n-th group of the largest deployment.
-func bigGroup(n int) state.Op {
+// createGroupOp returns the operation that creates the n-th group of the largest deployment.
+func createGroupOp(n int) state.Op {
 	c := &state.CreateGroup{Name: group(n), Model: state.Model{Name: "hearth-lm", Version: "v1"}, Gate: state.GateWindow}
-	for m := range targetMembers {
+	for m := range maxMembers {
 		c.Members = append(c.Members, state.Place{
-			Instance: state.InstanceID(fmt.Sprintf("worker-%05d", n*targetMembers+m)), Hall: "yxe-hall", Domain: fmt.Sprintf("fabric-%d", n),
+			Instance: state.InstanceID(fmt.Sprintf("worker-%05d", n*maxMembers+m)), Hall: "yxe-hall", Domain: fmt.Sprintf("fabric-%d", n),
 		})
 	}
 	return state.Op{CreateGroup: c}
 }
 
-// bigLog returns the records that create groups, followed by changes spread over one day.
-func bigLog(groups, changes int) [][]byte {
+// buildLog returns the records that create groups, followed by changes spread over one day.
+func buildLog(groups, changes int) [][]byte {
 	log := make([][]byte, 0, groups+changes)
 	for n := range groups {
-		log = append(log, command(idAt(start, n), bigGroup(n)))
+		log = append(log, command(idAt(start, n), createGroupOp(n)))
 	}
 	for n := range changes {
 		at := start.Add(time.Duration(n) * 24 * time.Hour / time.Duration(changes))
@@ -43,8 +43,8 @@
 	return log
 }
 
-// foldAll applies a log of bigLog at the times of its records.
-func foldAll(tb testing.TB, log [][]byte, groups int) *state.State {
+// applyLog applies a log of buildLog at the times of its records.
+func applyLog(tb testing.TB, log [][]byte, groups int) *state.State {
 	s := state.New()
 	for i, data := range log {
 		at := start
@@ -59,10 +59,10 @@
 	return s
 }
 
-// TestFoldAllocations bounds the number of allocations of applying one small command.
-func TestFoldAllocations(t *testing.T) {
+// TestApplyAllocations bounds the number of allocations of applying one small command.
+func TestApplyAllocations(t *testing.T) {
 	g := NewWithT(t)
-	s := foldAll(t, bigLog(10, 0), 10)
+	s := applyLog(t, buildLog(10, 0), 10)
 	n := 1000
 	records := make([][]byte, 0, 2000)
 	for i := range cap(records) {
@@ -83,36 +83,36 @@
 func TestSnapshotSize(t *testing.T) {
 	g := NewWithT(t)
 	size := func(groups int) int {
-		snap, err := foldAll(t, bigLog(groups, 0), groups).Snapshot()
+		snap, err := applyLog(t, buildLog(groups, 0), groups).Snapshot()
 		g.Expect(err).NotTo(HaveOccurred())
 		return len(snap.Data)
 	}
 	perGroup := (size(200) - size(100)) / 100
-	t.Logf("%d compressed bytes per group of %d members", perGroup, targetMembers)
+	t.Logf("%d compressed bytes per group of %d members", perGroup, maxMembers)
 	g.Expect(perGroup).To(BeNumerically("<=", 400))
 }
 
-// TestOutcomesAreForgotten checks that the number of retained outcomes depends on the retention time,
-// not on the length of the log.
-func TestOutcomesAreForgotten(t *testing.T) {
+// TestExpiredOutcomesAreEvicted checks that the number of retained outcomes depends on the
+// retention time, not on the length of the log.
+func TestExpiredOutcomesAreEvicted(t *testing.T) {
 	g := NewWithT(t)
-	s := foldAll(t, bigLog(10, 2000), 10)
+	s := applyLog(t, buildLog(10, 2000), 10)
 	perHorizon := int(2000 * (state.IDHorizon + 2*state.MaxSkew) / (24 * time.Hour))
 	g.Expect(len(s.Outcomes())).To(BeNumerically("<=", perHorizon+2))
 	g.Expect(len(s.Outcomes())).To(BeNumerically(">", perHorizon/2))
 }
 
 func BenchmarkFoldDay(b *testing.B) {
-	log := bigLog(targetGroups, targetChanges)
+	log := buildLog(maxGroups, changesPerDay)
 	b.ReportAllocs()
 	for b.Loop() {
-		foldAll(b, log, targetGroups)
+		applyLog(b, log, maxGroups)
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(len(log)), "µs/record")
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	s := foldAll(b, bigLog(targetGroups, targetChanges), targetGroups)
+	s := applyLog(b, buildLog(maxGroups, changesPerDay), maxGroups)
 	var size int
 	for b.Loop() {
 		snap, err := s.Snapshot()
@@ -125,7 +125,7 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	snap, err := foldAll(b, bigLog(targetGroups, targetChanges), targetGroups).Snapshot()
+	snap, err := applyLog(b, buildLog(maxGroups, changesPerDay), maxGroups).Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -136,8 +136,8 @@
 	}
 }
 
-// heapOf returns the heap size in bytes of the state that build returns.
-func heapOf(build func() *state.State) float64 {
+// heapSize returns the heap size in bytes of the state that build returns.
+func heapSize(build func() *state.State) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -153,19 +153,19 @@
 func BenchmarkHeap(b *testing.B) {
 	const claims = 20000
 	for b.Loop() {
-		log := bigLog(targetGroups, targetChanges)
-		b.ReportMetric(heapOf(func() *state.State { return foldAll(b, log, targetGroups) })/1e6, "MB/target")
+		log := buildLog(maxGroups, changesPerDay)
+		b.ReportMetric(heapSize(func() *state.State { return applyLog(b, log, maxGroups) })/1e6, "MB/target")
 		runtime.KeepAlive(log)
 		records := make([][]byte, 0, 2*claims)
 		for n := range claims {
 			op := state.ClaimOp{Key: state.ClaimKey{Team: "t", Service: "kiosk-ledger", Key: idAt(start, n)}, Holder: fmt.Sprintf("node/%036d/%036d", n, n), Request: fmt.Sprintf("%064d", n)}
-			done := op
-			done.Result = &state.Result{Status: 200, ContentType: "application/json", Body: make([]byte, 200)}
-			for i, one := range []state.ClaimOp{op, done} {
-				records = append(records, encode(&state.Record{Version: 1, ID: idAt(start, 2*n+i), Kind: state.KindClaims, By: "t", Claims: []state.ClaimOp{one}}))
+			result := op
+			result.Result = &state.Result{Status: 200, ContentType: "application/json", Body: make([]byte, 200)}
+			for i, claimOp := range []state.ClaimOp{op, result} {
+				records = append(records, encode(&state.Record{Version: 1, ID: idAt(start, 2*n+i), Kind: state.KindClaims, By: "t", Claims: []state.ClaimOp{claimOp}}))
 			}
 		}
-		b.ReportMetric(heapOf(func() *state.State {
+		b.ReportMetric(heapSize(func() *state.State {
 			s := state.New()
 			for _, data := range records {
 				if _, err := apply(s, start, data); err != nil {
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -64,9 +64,9 @@
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := rand.Float64() * total
+	remaining := rand.Float64() * total
 	for _, s := range r.Shares {
-		if at -= s.Weight; at < 0 {
+		if remaining -= s.Weight; remaining < 0 {
 			return s.Service
 		}
 	}
--- a/state/claim.go
+++ b/state/claim.go
@@ -57,8 +57,8 @@
 	MaxSkew = time.Minute
 )
 
-// expiring is a record id and the time after which its outcome is evicted.
-type expiring struct {
+// expiringID is a record id and the time after which its outcome is evicted.
+type expiringID struct {
 	ID string
 	At time.Time
 }
@@ -72,11 +72,11 @@
 // KeyCovered reports whether the timestamp of a key lies within the retained claim history.
 func (s *State) KeyCovered(key string) bool {
 	at, ok := IDTime(key)
-	return ok && covered(at, s.now, ClaimHorizon)
+	return ok && isWithinHorizon(at, s.now, ClaimHorizon)
 }
 
-// covered reports whether a time is at most horizon before now and at most MaxSkew after it.
-func covered(at, now time.Time, horizon time.Duration) bool {
+// isWithinHorizon reports whether at is at most horizon before now and at most MaxSkew after it.
+func isWithinHorizon(at, now time.Time, horizon time.Duration) bool {
 	return !at.Before(now.Add(-horizon)) && !at.After(now.Add(MaxSkew))
 }
 
@@ -88,37 +88,37 @@
 	if !s.KeyCovered(op.Key.Key) {
 		return
 	}
-	c, known := s.claims[op.Key]
-	mine := known && c.Holder == op.Holder
-	open := mine && c.Result == nil && !c.Released
+	c, exists := s.claims[op.Key]
+	isHolder := exists && c.Holder == op.Holder
+	isOpen := isHolder && c.Result == nil && !c.Released
 	switch {
 	case op.NotRun:
-		if open || !known {
-			s.setClaim(Claim{ClaimKey: op.Key, Holder: op.Holder, Offset: at, Released: true}, known)
+		if isOpen || !exists {
+			s.setClaim(Claim{ClaimKey: op.Key, Holder: op.Holder, Offset: at, Released: true}, exists)
 		}
 	case op.Result != nil:
-		if open {
+		if isOpen {
 			c.Result = op.Result
 			s.claims[op.Key] = c
 		}
-	case !known || (c.Released && !mine):
-		s.setClaim(Claim{ClaimKey: op.Key, Holder: op.Holder, Request: op.Request, Offset: at}, known)
+	case !exists || (c.Released && !isHolder):
+		s.setClaim(Claim{ClaimKey: op.Key, Holder: op.Holder, Request: op.Request, Offset: at}, exists)
 	}
 }
 
 // setClaim stores a claim and, for a new key, schedules its eviction.
-func (s *State) setClaim(c Claim, known bool) {
+func (s *State) setClaim(c Claim, exists bool) {
 	s.claims[c.ClaimKey] = c
-	if !known {
+	if !exists {
 		s.keyQueue = append(s.keyQueue, expiringKey{Key: c.ClaimKey, At: s.now.Add(ClaimHorizon + 2*MaxSkew)})
 	}
 }
 
-// forget evicts expired claims and outcomes.
+// evictExpired evicts expired claims and outcomes.
 //
 // A key or id is evicted only once it is refused for its age alone, so that
 // eviction never lets a duplicate take effect.
-func (s *State) forget() {
+func (s *State) evictExpired() {
 	n := 0
 	for n < len(s.keyQueue) && s.keyQueue[n].At.Before(s.now) {
 		delete(s.claims, s.keyQueue[n].Key)
--- a/state/example_test.go
+++ b/state/example_test.go
@@ -11,13 +11,13 @@
 // the other is refused with a reason.
 func ExampleState_Apply() {
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
-	form := func(name state.GroupName) []state.Op {
+	createGroup := func(name state.GroupName) []state.Op {
 		place := state.Place{Instance: "gpu-1", Hall: "yxe-hall", Domain: "fabric-a"}
 		return []state.Op{{CreateGroup: &state.CreateGroup{Name: name, Model: state.Model{Name: "hearth-lm"}, Gate: state.GateWindow, Members: []state.Place{place}}}}
 	}
 	s := state.New()
 	for i, name := range []state.GroupName{"first", "second"} {
-		r := &state.Record{Version: state.RecordVersion, ID: idAt(now, i), Kind: state.KindCommand, By: "example", Ops: form(name)}
+		r := &state.Record{Version: state.RecordVersion, ID: idAt(now, i), Kind: state.KindCommand, By: "example", Ops: createGroup(name)}
 		data, err := r.Encode()
 		if err != nil {
 			fmt.Println(err)
--- a/state/fleet/instance.go
+++ b/state/fleet/instance.go
@@ -90,13 +90,13 @@
 // Incarnation returns the incarnation of the process that the entry describes.
 func (i *Instance) Incarnation() Incarnation { return LifeSince(i.ID, i.Born) }
 
-// LifeSince returns the incarnation of a process that started at born; born is zero if the start time
+// LifeSince returns the incarnation of a process that started at startedAt, which is zero if the time
 // is unknown.
-func LifeSince(id state.InstanceID, born time.Time) Incarnation {
-	if born.IsZero() {
+func LifeSince(id state.InstanceID, startedAt time.Time) Incarnation {
+	if startedAt.IsZero() {
 		return Incarnation{ID: id}
 	}
-	return Incarnation{ID: id, Life: strconv.FormatInt(born.UnixMilli(), 10)}
+	return Incarnation{ID: id, Life: strconv.FormatInt(startedAt.UnixMilli(), 10)}
 }
 
 // HasStaged reports whether the instance's host stores a model.
--- a/state/fold.go
+++ b/state/fold.go
@@ -40,7 +40,7 @@
 	if e.Time.After(s.now) {
 		s.now = e.Time
 	}
-	s.forget()
+	s.evictExpired()
 	return s.applyRecord(r, changes), nil
 }
 
@@ -65,16 +65,16 @@
 			s.applyClaim(&r.Claims[i], s.offset)
 		}
 	case KindVoid:
-		return s.settle(r, s.void(r))
+		return s.recordOutcome(r, s.applyVoid(r))
 	case KindCommand:
-		return s.settle(r, s.command(r, changes))
+		return s.recordOutcome(r, s.applyCommand(r, changes))
 	}
 	return Outcome{ID: r.ID, Offset: s.offset, Accepted: true}
 }
 
-// settle returns the outcome of a record and stores it, unless the id already has an outcome. Ids that
-// are invalid or expired are not stored.
-func (s *State) settle(r *Record, err error) Outcome {
+// recordOutcome returns the outcome of a record and stores it, unless the id already has an
+// outcome. Outcomes of invalid or expired ids are not stored.
+func (s *State) recordOutcome(r *Record, err error) Outcome {
 	if o, ok := s.outcomes[r.ID]; ok {
 		return o
 	}
@@ -86,14 +86,14 @@
 	if o.Reason == ReasonBadID || o.Reason == ReasonExpired {
 		return o
 	}
-	s.remember(o)
+	s.storeOutcome(o)
 	return o
 }
 
-// remember stores an outcome until its id is refused for its age alone.
-func (s *State) remember(o Outcome) {
+// storeOutcome stores an outcome until its id is refused for its age alone.
+func (s *State) storeOutcome(o Outcome) {
 	s.outcomes[o.ID] = o
-	s.idQueue = append(s.idQueue, expiring{ID: o.ID, At: s.now.Add(IDHorizon + 2*MaxSkew)})
+	s.idQueue = append(s.idQueue, expiringID{ID: o.ID, At: s.now.Add(IDHorizon + 2*MaxSkew)})
 }
 
 // checkID refuses an id that is not a UUIDv7 or whose timestamp lies outside the retained history.
@@ -102,14 +102,14 @@
 	if !ok {
 		return refuse(ReasonBadID, "%q is no UUIDv7", id)
 	}
-	if !covered(at, s.now, IDHorizon) {
+	if !isWithinHorizon(at, s.now, IDHorizon) {
 		return refuse(ReasonExpired, "the id is of %s, the log's time is %s", at.UTC(), s.now.UTC())
 	}
 	return nil
 }
 
-// void records an id as refused, so that its command has no effect if it is read later.
-func (s *State) void(r *Record) error {
+// applyVoid records an id as refused, so that its command has no effect if it is read later.
+func (s *State) applyVoid(r *Record) error {
 	for _, id := range []string{r.ID, r.Void} {
 		if refusal := s.checkID(id); refusal != nil {
 			return refusal
@@ -118,13 +118,13 @@
 	if o, ok := s.outcomes[r.Void]; ok {
 		return refuse(ReasonAlreadySettled, "%s was settled at %d", r.Void, o.Offset)
 	}
-	s.remember(Outcome{ID: r.Void, Offset: s.offset, Reason: ReasonVoided, Detail: "voided by " + r.By, By: r.By})
+	s.storeOutcome(Outcome{ID: r.Void, Offset: s.offset, Reason: ReasonVoided, Detail: "voided by " + r.By, By: r.By})
 	return nil
 }
 
-// command applies all changes of a command or none.
-func (s *State) command(r *Record, changes []change) error {
-	if _, done := s.outcomes[r.ID]; done {
+// applyCommand applies all changes of a command or none.
+func (s *State) applyCommand(r *Record, changes []change) error {
+	if _, exists := s.outcomes[r.ID]; exists {
 		return nil
 	}
 	if refusal := s.checkID(r.ID); refusal != nil {
--- a/state/fold_test.go
+++ b/state/fold_test.go
@@ -83,20 +83,20 @@
 
 // historyGen draws a log of commands in any order, some duplicated and some voided.
 var historyGen = rapid.Custom(func(t *rapid.T) []state.Entry {
-	var attempts [][]byte
+	var records [][]byte
 	for n := range rapid.IntRange(1, 40).Draw(t, "commands") {
 		id := idAt(start, n)
-		attempts = append(attempts, command(id, rapid.SliceOfN(opGen, 1, 3).Draw(t, "ops")...))
+		records = append(records, command(id, rapid.SliceOfN(opGen, 1, 3).Draw(t, "ops")...))
 		if rapid.IntRange(0, 5).Draw(t, "void") == 0 {
-			attempts = append(attempts, encode(&state.Record{Version: 1, ID: idAt(start, 1000+n), Kind: state.KindVoid, By: "t", Void: id}))
+			records = append(records, encode(&state.Record{Version: 1, ID: idAt(start, 1000+n), Kind: state.KindVoid, By: "t", Void: id}))
 		}
 		if rapid.IntRange(0, 3).Draw(t, "again") == 0 {
-			attempts = append(attempts, attempts[rapid.IntRange(0, len(attempts)-1).Draw(t, "which")])
+			records = append(records, records[rapid.IntRange(0, len(records)-1).Draw(t, "which")])
 		}
 	}
-	attempts = rapid.Permutation(attempts).Draw(t, "order")
-	entries := make([]state.Entry, len(attempts))
-	for i, data := range attempts {
+	records = rapid.Permutation(records).Draw(t, "order")
+	entries := make([]state.Entry, len(records))
+	for i, data := range records {
 		entries[i] = state.Entry{Offset: state.Offset(i + 1), Time: start.Add(time.Duration(i) * time.Second), Data: data}
 	}
 	return entries
@@ -111,8 +111,8 @@
 	return data
 }
 
-// fold applies entries and fails the test on an error.
-func fold(t *rapid.T, s *state.State, entries []state.Entry) {
+// applyAll applies entries and fails the test on an error.
+func applyAll(t *rapid.T, s *state.State, entries []state.Entry) {
 	for _, e := range entries {
 		if _, err := s.Apply(e); err != nil {
 			t.Fatalf("offset %d: %v", e.Offset, err)
@@ -120,18 +120,18 @@
 	}
 }
 
-// checkSeats fails if an instance is in two groups, or if groups and assignments disagree.
-func checkSeats(t *rapid.T, s *state.State) {
-	seats := map[state.InstanceID]state.GroupName{}
+// checkAssignments fails if an instance is in two groups, or if groups and assignments disagree.
+func checkAssignments(t *rapid.T, s *state.State) {
+	groupOf := map[state.InstanceID]state.GroupName{}
 	for _, g := range s.Groups() {
 		for rank, id := range g.Members {
 			if id == "" {
 				continue
 			}
-			if other, ok := seats[id]; ok {
+			if other, ok := groupOf[id]; ok {
 				t.Fatalf("%s is in %s and in %s", id, other, g.Name)
 			}
-			seats[id] = g.Name
+			groupOf[id] = g.Name
 			a := s.Assignment(id)
 			if a == nil || a.Group != g.Name || a.Epoch != g.Epoch || a.Rank != rank || a.Domain != g.Domain {
 				t.Fatalf("%s of %s has assignment %+v", id, g.Name, a)
@@ -139,7 +139,7 @@
 		}
 	}
 	for _, a := range s.Assignments() {
-		if a.Group != "" && seats[a.Instance] != a.Group {
+		if a.Group != "" && groupOf[a.Instance] != a.Group {
 			t.Fatalf("%s is assigned to %s, which does not list it as a member", a.Instance, a.Group)
 		}
 	}
@@ -150,50 +150,49 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
 		for _, e := range historyGen.Draw(t, "history") {
-			fold(t, s, []state.Entry{e})
-			checkSeats(t, s)
+			applyAll(t, s, []state.Entry{e})
+			checkAssignments(t, s)
 		}
 	})
 }
 
-// TestAllReadersReachTheSameState checks that replaying the whole log and replaying it with restores
-// from snapshots at drawn offsets reach the same digest.
-func TestAllReadersReachTheSameState(t *testing.T) {
+// TestReplayWithSnapshotsReachesSameState checks that replaying the whole log, and replaying it with
+// restores from snapshots at drawn offsets, reach the same digest.
+func TestReplayWithSnapshotsReachesSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := historyGen.Draw(t, "history")
-		whole := state.New()
-		fold(t, whole, entries)
-		want, err := whole.Digest()
+		full := state.New()
+		applyAll(t, full, entries)
+		want, err := full.Digest()
 		if err != nil {
 			t.Fatal(err)
 		}
-		other := state.New()
+		restored := state.New()
 		for i, e := range entries {
-			fold(t, other, []state.Entry{e})
+			applyAll(t, restored, []state.Entry{e})
 			if rapid.IntRange(0, 4).Draw(t, "snapshot") > 0 {
 				continue
 			}
-			snap, err := other.Snapshot()
+			snap, err := restored.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if other, err = state.Restore(snap); err != nil {
+			if restored, err = state.Restore(snap); err != nil {
 				t.Fatalf("after %d: %v", i, err)
 			}
 		}
-		if got, _ := other.Digest(); got != want {
+		if got, _ := restored.Digest(); got != want {
 			t.Fatalf("digest after restores does not equal digest after full replay")
 		}
 	})
 }
 
-// TestRefusedChangesNothing checks that a refused command leaves the state unchanged, also if only
-// one of its operations is refused.
-func TestRefusedChangesNothing(t *testing.T) {
+// TestRefusedCommandLeavesStateUnchanged covers commands of which only one operation is refused, too.
+func TestRefusedCommandLeavesStateUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
 		for _, e := range historyGen.Draw(t, "history") {
-			before := visible(s)
+			before := commandState(s)
 			o, err := s.Apply(e)
 			if err != nil {
 				t.Fatal(err)
@@ -201,33 +200,33 @@
 			if !o.Accepted && o.Reason == "" {
 				t.Fatalf("record refused without a reason: %+v", o)
 			}
-			if !o.Accepted && visible(s) != before {
-				t.Fatalf("record refused (%s) but state changed:\n%s\n%s", o.Reason, before, visible(s))
+			if !o.Accepted && commandState(s) != before {
+				t.Fatalf("record refused (%s) but state changed:\n%s\n%s", o.Reason, before, commandState(s))
 			}
 		}
 	})
 }
 
-// visible returns the part of the state that commands can change, as JSON.
-func visible(s *state.State) string {
+// commandState returns the part of the state that commands can change, as JSON.
+func commandState(s *state.State) string {
 	data, _ := json.Marshal([]any{s.Groups(), s.Assignments(), s.Teams(), s.Services(), s.Policy(), s.LastAccepted()})
 	return string(data)
 }
 
-// TestRepeatHasNoFurtherEffect checks that a second record with the same id, at any later offset, has
+// TestDuplicateRecordHasNoEffect checks that a second record with the same id, at any later offset, has
 // no effect and the same outcome.
-func TestRepeatHasNoFurtherEffect(t *testing.T) {
+func TestDuplicateRecordHasNoEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
 		outcomes := map[string]state.Outcome{}
 		for _, e := range historyGen.Draw(t, "history") {
-			before := visible(s)
+			before := commandState(s)
 			o, err := s.Apply(e)
 			if err != nil {
 				t.Fatal(err)
 			}
 			first, seen := outcomes[o.ID]
-			if seen && (o != first || visible(s) != before) {
+			if seen && (o != first || commandState(s) != before) {
 				t.Fatalf("duplicate of %s had an effect", o.ID)
 			}
 			outcomes[o.ID] = o
@@ -256,11 +255,11 @@
 		{"group exists", []state.Op{create("g", 0)}, []state.Op{create("g", 2)}, state.ReasonGroupExists},
 		{"no members", nil, []state.Op{create("g")}, state.ReasonSize},
 		{"empty", nil, nil, state.ReasonEmpty},
-		{"one bad statement of two", nil, []state.Op{create("g", 0), create("h", 0)}, state.ReasonInUse},
+		{"second operation refused", nil, []state.Op{create("g", 0), create("h", 0)}, state.ReasonInUse},
 		{"stale epoch", []state.Op{create("g", 0)}, []state.Op{{ReleaseGroup: &state.ReleaseGroup{Group: "g", Epoch: 7}}}, state.ReasonEpochChanged},
 		{"dissolve without release", []state.Op{create("g", 0)}, []state.Op{{DissolveGroup: &state.DissolveGroup{Group: "g", Epoch: 1}}}, state.ReasonNotReleasing},
-		{"free what is not releasing", []state.Op{create("g", 0)}, []state.Op{{FreeInstance: &state.FreeInstance{Instance: "i0", Epoch: 1}}}, state.ReasonNotReleasing},
-		{"move one not released", []state.Op{create("g", 0), create("h", 2)}, []state.Op{{ReplaceMember: &state.ReplaceMember{Group: "g", Rank: 0, Out: "i0", In: place(2)}}}, state.ReasonInUse},
+		{"free instance not being released", []state.Op{create("g", 0)}, []state.Op{{FreeInstance: &state.FreeInstance{Instance: "i0", Epoch: 1}}}, state.ReasonNotReleasing},
+		{"replacement still assigned", []state.Op{create("g", 0), create("h", 2)}, []state.Op{{ReplaceMember: &state.ReplaceMember{Group: "g", Rank: 0, Out: "i0", In: place(2)}}}, state.ReasonInUse},
 		{"no places", []state.Op{{CreateTeam: &state.CreateTeam{Name: "t", KeyHashes: []string{"x"}}}}, []state.Op{{AllowTeam: &state.AllowTeam{Team: "t", Hall: "h"}}}, state.ReasonBadValue},
 	}
 	for _, c := range cases {
@@ -272,27 +271,27 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(o.Accepted).To(BeTrue(), o.Detail)
 			}
-			before := visible(s)
+			before := commandState(s)
 			o, err := apply(s, start, command(idAt(start, 99), c.ops...))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(o.Reason).To(Equal(c.reason), o.Detail)
 			g.Expect(o.Accepted).To(Equal(c.reason == ""))
 			if c.reason != "" {
-				g.Expect(visible(s)).To(Equal(before))
+				g.Expect(commandState(s)).To(Equal(before))
 			}
 		})
 	}
 }
 
-func TestFoldStopsAtWhatItDoesNotKnow(t *testing.T) {
+func TestUnknownRecordIsNotApplied(t *testing.T) {
 	cases := []struct{ name, data string }{
 		{"kind", `{"v":1,"id":"x","kind":"new-kind"}`},
 		{"version", `{"v":2,"id":"x","kind":"command"}`},
 		{"field", `{"v":1,"id":"x","kind":"command","new":1}`},
 		{"operation", `{"v":1,"id":"x","kind":"command","ops":[{"new_op":{}}]}`},
 		{"operation without change", `{"v":1,"id":"x","kind":"command","ops":[{}]}`},
-		{"no JSON", `{`},
-		{"more after the record", `{"v":1,"id":"x","kind":"command"}{}`},
+		{"invalid JSON", `{`},
+		{"trailing data", `{"v":1,"id":"x","kind":"command"}{}`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -307,7 +306,7 @@
 	}
 }
 
-func TestVoidAndCommandAreSettledByTheFirst(t *testing.T) {
+func TestFirstOfVoidAndCommandDecides(t *testing.T) {
 	g := NewWithT(t)
 	id := idAt(start, 1)
 	void := encode(&state.Record{Version: 1, ID: idAt(start, 2), Kind: state.KindVoid, By: "t", Void: id})
@@ -328,23 +327,23 @@
 	g.Expect(s.Teams()).To(HaveLen(1))
 }
 
-// TestForgottenIDIsNeverAppliedAgain applies a duplicate at a drawn delay, before or after its id has
+// TestDuplicateAfterEvictionIsNotApplied applies a duplicate at a drawn delay, before or after its id has
 // been evicted.
-func TestForgottenIDIsNeverAppliedAgain(t *testing.T) {
+func TestDuplicateAfterEvictionIsNotApplied(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		skew := time.Duration(rapid.Int64Range(0, int64(state.MaxSkew)).Draw(t, "skew"))
-		late := time.Duration(rapid.Int64Range(0, int64(2*state.IDHorizon)).Draw(t, "late"))
+		delay := time.Duration(rapid.Int64Range(0, int64(2*state.IDHorizon)).Draw(t, "late"))
 		s := state.New()
 		data := command(idAt(start.Add(skew), 1), state.Op{DrainGroup: &state.DrainGroup{Group: "g"}})
 		mustApply(t, s, start, command(idAt(start, 2), state.Op{CreateGroup: &state.CreateGroup{Name: "g", Model: state.Model{Name: "m"}, Gate: state.GateWindow, Members: []state.Place{place(0)}}}))
 		if o := mustApply(t, s, start, data); !o.Accepted {
 			t.Fatalf("%+v", o)
 		}
-		at := start.Add(late)
+		at := start.Add(delay)
 		mustApply(t, s, at, command(idAt(at, 3), state.Op{DrainGroup: &state.DrainGroup{Group: "g", Off: true}}))
 		mustApply(t, s, at, data)
 		if s.Group("g").Drained != 0 {
-			t.Fatalf("duplicate had an effect %s after the original", late)
+			t.Fatalf("duplicate had an effect %s after the original", delay)
 		}
 	})
 }
@@ -358,33 +357,33 @@
 	return o
 }
 
-// TestOneHolderRuns has several holders claim and release one key, execute its call and record the
-// result. Each record may be delayed or duplicated. The call must be executed at most once.
-func TestOneHolderRuns(t *testing.T) {
+// TestClaimedCallIsExecutedAtMostOnce has several holders claim and release one key, execute its
+// call and record the result. Each record may be delayed or duplicated.
+func TestClaimedCallIsExecutedAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := state.ClaimKey{Team: "t", Service: "s", Key: idAt(start, 1)}
 		s := state.New()
-		ran := 0
-		notRun := map[string]bool{}
+		executions := 0
+		settled := map[string]bool{}
 		var queue []state.ClaimOp
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			holder := fmt.Sprintf("n%d", rapid.IntRange(0, 3).Draw(t, "holder"))
 			c, ok := s.Claim(key)
-			mine := ok && c.Holder == holder && !c.Released && c.Result == nil
+			isHolder := ok && c.Holder == holder && !c.Released && c.Result == nil
 			switch rapid.IntRange(0, 4).Draw(t, "act") {
 			case 0:
-				if !notRun[holder] {
+				if !settled[holder] {
 					queue = append(queue, state.ClaimOp{Key: key, Holder: holder, Request: "r"})
 				}
 			case 1:
-				if mine && !notRun[holder] {
-					ran++
-					notRun[holder] = true
+				if isHolder && !settled[holder] {
+					executions++
+					settled[holder] = true
 					queue = append(queue, state.ClaimOp{Key: key, Holder: holder, Result: &state.Result{Status: 200}})
 				}
 			case 2:
-				if !notRun[holder] {
-					notRun[holder] = true
+				if !settled[holder] {
+					settled[holder] = true
 					queue = append(queue, state.ClaimOp{Key: key, Holder: holder, NotRun: true})
 				}
 			default:
@@ -399,26 +398,26 @@
 				}
 			}
 		}
-		if ran > 1 {
-			t.Fatalf("call executed %d times, expected at most 1", ran)
+		if executions > 1 {
+			t.Fatalf("call executed %d times, expected at most 1", executions)
 		}
 	})
 }
 
-// TestGivenBackKeyIsFreeForOthers checks that another holder can claim a released key, also if a
+// TestReleasedKeyCanBeClaimedByOthers checks that another holder can claim a released key, also if a
 // delayed or duplicated claim of the first holder is applied after its release.
-func TestGivenBackKeyIsFreeForOthers(t *testing.T) {
+func TestReleasedKeyCanBeClaimedByOthers(t *testing.T) {
 	key := state.ClaimKey{Team: "t", Service: "s", Key: idAt(start, 1)}
 	claim := func(holder string) state.ClaimOp { return state.ClaimOp{Key: key, Holder: holder, Request: "r"} }
-	back := state.ClaimOp{Key: key, Holder: "first", NotRun: true}
+	release := state.ClaimOp{Key: key, Holder: "first", NotRun: true}
 	cases := []struct {
 		name string
 		ops  []state.ClaimOp
 	}{
-		{"claim, release", []state.ClaimOp{claim("first"), back}},
-		{"the claim is late", []state.ClaimOp{back, claim("first")}},
-		{"the claim comes twice", []state.ClaimOp{claim("first"), back, claim("first")}},
-		{"all twice", []state.ClaimOp{claim("first"), back, claim("first"), back}},
+		{"claim, release", []state.ClaimOp{claim("first"), release}},
+		{"claim after release", []state.ClaimOp{release, claim("first")}},
+		{"duplicate claim after release", []state.ClaimOp{claim("first"), release, claim("first")}},
+		{"claim and release duplicated", []state.ClaimOp{claim("first"), release, claim("first"), release}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -428,30 +427,30 @@
 				_, err := apply(s, start, encode(&state.Record{Version: 1, ID: idAt(start, i), Kind: state.KindClaims, By: "t", Claims: []state.ClaimOp{op}}))
 				g.Expect(err).NotTo(HaveOccurred())
 			}
-			held, _ := s.Claim(key)
-			g.Expect(held.Holder).To(Equal("second"))
-			g.Expect(held.Released).To(BeFalse())
+			got, _ := s.Claim(key)
+			g.Expect(got.Holder).To(Equal("second"))
+			g.Expect(got.Released).To(BeFalse())
 		})
 	}
 }
 
-// TestSourcesOfCoarserTimesAgree checks that an entry read from the log and the same entry from a peer,
-// which passes on times in microseconds, lead to the same digest.
-func TestSourcesOfCoarserTimesAgree(t *testing.T) {
+// TestTimePrecisionOfSourceDoesNotAffectState checks that an entry read from the log and the same
+// entry from a peer, which passes on times in microseconds, lead to the same digest.
+func TestTimePrecisionOfSourceDoesNotAffectState(t *testing.T) {
 	g := NewWithT(t)
 	data := command(idAt(start, 1), state.Op{CreateTeam: &state.CreateTeam{Name: "t", KeyHashes: []string{"x"}}})
-	fine := start.Add(123456789 * time.Nanosecond)
+	precise := start.Add(123456789 * time.Nanosecond)
 	fromLog, fromPeer := state.New(), state.New()
-	_, err := apply(fromLog, fine.In(time.FixedZone("far", 3600)), data)
+	_, err := apply(fromLog, precise.In(time.FixedZone("far", 3600)), data)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = apply(fromPeer, time.UnixMicro(fine.UnixMicro()), data)
+	_, err = apply(fromPeer, time.UnixMicro(precise.UnixMicro()), data)
 	g.Expect(err).NotTo(HaveOccurred())
 	a, _ := fromLog.Digest()
 	b, _ := fromPeer.Digest()
 	g.Expect(a).To(Equal(b))
 }
 
-func TestSnapshotRefusesDamage(t *testing.T) {
+func TestRestoreRejectsDamagedSnapshot(t *testing.T) {
 	g := NewWithT(t)
 	s := state.New()
 	_, err := apply(s, start, command(idAt(start, 1), state.Op{CreateTeam: &state.CreateTeam{Name: "t", KeyHashes: []string{"x"}}}))
@@ -464,10 +463,10 @@
 		func(x *state.Snapshot) { x.At++ },
 		func(x *state.Snapshot) { x.Data = nil },
 	} {
-		bad := *snap
-		bad.Data = slices.Clone(snap.Data)
-		damage(&bad)
-		_, err := state.Restore(&bad)
+		damaged := *snap
+		damaged.Data = slices.Clone(snap.Data)
+		damage(&damaged)
+		_, err := state.Restore(&damaged)
 		g.Expect(errors.Is(err, state.ErrSnapshot)).To(BeTrue())
 	}
 }
--- a/state/group_op.go
+++ b/state/group_op.go
@@ -101,8 +101,8 @@
 	return g, nil
 }
 
-// reassign sets the epoch of a group and of the assignments of all its members to at.
-func (s *State) reassign(t *tx, g *Group, at Epoch) {
+// setEpoch sets the epoch of a group and of the assignments of all its members to at.
+func (s *State) setEpoch(t *tx, g *Group, at Epoch) {
 	g.Epoch = at
 	for rank, id := range g.Members {
 		if id == "" {
@@ -138,7 +138,7 @@
 	}
 	g := *old
 	g.Model = c.Model
-	s.reassign(t, &g, at)
+	s.setEpoch(t, &g, at)
 	return nil
 }
 
@@ -154,7 +154,7 @@
 
 // apply implements change.
 func (c *ReplaceMember) apply(s *State, t *tx, at Offset) *Refusal {
-	g, r := s.openSeat(c.Group, c.Epoch, c.Rank, c.Out)
+	g, r := s.copyForMemberChange(c.Group, c.Epoch, c.Rank, c.Out)
 	if r != nil {
 		return r
 	}
@@ -165,12 +165,13 @@
 		s.releaseInstance(t, c.Out, at)
 	}
 	g.Members[c.Rank] = c.In.Instance
-	s.reassign(t, g, at)
+	s.setEpoch(t, g, at)
 	return nil
 }
 
-// openSeat returns a copy of a group that is not being released and has the instance out at rank.
-func (s *State) openSeat(name GroupName, epoch Epoch, rank int, out InstanceID) (*Group, *Refusal) {
+// copyForMemberChange returns a copy of a group that is not being released and has the instance out
+// at rank.
+func (s *State) copyForMemberChange(name GroupName, epoch Epoch, rank int, out InstanceID) (*Group, *Refusal) {
 	old, r := s.groupAt(name, epoch)
 	if r != nil {
 		return nil, r
@@ -197,7 +198,7 @@
 
 // apply implements change.
 func (c *VacateMember) apply(s *State, t *tx, at Offset) *Refusal {
-	g, r := s.openSeat(c.Group, c.Epoch, c.Rank, c.Out)
+	g, r := s.copyForMemberChange(c.Group, c.Epoch, c.Rank, c.Out)
 	if r != nil {
 		return r
 	}
@@ -206,7 +207,7 @@
 	}
 	s.releaseInstance(t, c.Out, at)
 	g.Members[c.Rank] = ""
-	s.reassign(t, g, at)
+	s.setEpoch(t, g, at)
 	return nil
 }
 
--- a/state/op.go
+++ b/state/op.go
@@ -30,10 +30,10 @@
 
 // change returns the one change of the Op, or ErrUnknownRecord if it has none or several.
 func (o *Op) change() (change, error) {
-	var found []change
+	var changes []change
 	add := func(c change, set bool) {
 		if set {
-			found = append(found, c)
+			changes = append(changes, c)
 		}
 	}
 	add(o.CreateGroup, o.CreateGroup != nil)
@@ -49,10 +49,10 @@
 	add(o.DenyTeam, o.DenyTeam != nil)
 	add(o.CreateService, o.CreateService != nil)
 	add(o.SetPolicy, o.SetPolicy != nil)
-	if len(found) != 1 {
-		return nil, fmt.Errorf("%w: operation has %d changes, expected 1", ErrUnknownRecord, len(found))
+	if len(changes) != 1 {
+		return nil, fmt.Errorf("%w: operation has %d changes, expected 1", ErrUnknownRecord, len(changes))
 	}
-	return found[0], nil
+	return changes[0], nil
 }
 
 // tx is the undo log of a command.
@@ -70,12 +70,12 @@
 // put stores a value in a map, or deletes the key if v is nil, and records the undo in t.
 func put[K comparable, V any](t *tx, m map[K]*V, k K, v *V) {
 	old := m[k]
-	t.undo = append(t.undo, func() { assign(m, k, old) })
-	assign(m, k, v)
+	t.undo = append(t.undo, func() { setOrDelete(m, k, old) })
+	setOrDelete(m, k, v)
 }
 
-// assign stores a value in a map, or deletes the key if v is nil.
-func assign[K comparable, V any](m map[K]*V, k K, v *V) {
+// setOrDelete stores a value in a map, or deletes the key if v is nil.
+func setOrDelete[K comparable, V any](m map[K]*V, k K, v *V) {
 	if v == nil {
 		delete(m, k)
 		return
--- a/state/past_test.go
+++ b/state/past_test.go
@@ -12,7 +12,7 @@
 
 // Records written by earlier builds must decode without loss. A record with an unknown field stops a
 // node from applying the log, so no field may be removed or renamed.
-func TestRecordsOfEarlierBuildsAreRead(t *testing.T) {
+func TestDecodeRecordsOfEarlierBuilds(t *testing.T) {
 	g := NewWithT(t)
 	paths, err := filepath.Glob("testdata/records/*/record.json")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -24,9 +24,9 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			r, err := state.DecodeRecord(raw)
 			g.Expect(err).NotTo(HaveOccurred())
-			again, err := r.Encode()
+			encoded, err := r.Encode()
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(again).To(MatchJSON(raw))
+			g.Expect(encoded).To(MatchJSON(raw))
 		})
 	}
 }
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -23,9 +23,9 @@
 	Data   []byte `json:"data"`
 }
 
-// content is the uncompressed form of a snapshot. The order of every slice is deterministic, so that
-// equal states have equal digests.
-type content struct {
+// snapshotContent is the uncompressed form of a snapshot. The order of every slice is deterministic,
+// so that equal states have equal digests.
+type snapshotContent struct {
 	Offset       Offset        `json:"offset"`
 	LastAccepted Offset        `json:"last_accepted"`
 	Now          time.Time     `json:"now"`
@@ -35,14 +35,14 @@
 	Services     []*Service    `json:"services"`
 	Policy       Policy        `json:"policy"`
 	Outcomes     []Outcome     `json:"outcomes"`
-	IDs          []expiring    `json:"ids"`
+	IDs          []expiringID  `json:"ids"`
 	Claims       []Claim       `json:"claims"`
 	Keys         []expiringKey `json:"keys"`
 }
 
 // encodeContent returns the uncompressed content of the state.
 func (s *State) encodeContent() ([]byte, error) {
-	c := content{
+	c := snapshotContent{
 		Offset:       s.offset,
 		LastAccepted: s.lastAccepted,
 		Now:          s.now.UTC(),
@@ -52,18 +52,18 @@
 		Services:     s.Services(),
 		Policy:       s.policy,
 		Outcomes:     s.Outcomes(),
-		IDs:          append([]expiring{}, s.idQueue...),
+		IDs:          append([]expiringID{}, s.idQueue...),
 		Keys:         append([]expiringKey{}, s.keyQueue...),
 	}
 	for _, claim := range s.claims {
 		c.Claims = append(c.Claims, claim)
 	}
-	slices.SortFunc(c.Claims, func(a, b Claim) int { return compareKeys(a.ClaimKey, b.ClaimKey) })
+	slices.SortFunc(c.Claims, func(a, b Claim) int { return compareClaimKeys(a.ClaimKey, b.ClaimKey) })
 	return json.Marshal(c)
 }
 
-// compareKeys orders claim keys by key, then by team and service.
-func compareKeys(a, b ClaimKey) int {
+// compareClaimKeys orders claim keys by key, then by team and service.
+func compareClaimKeys(a, b ClaimKey) int {
 	if a.Key != b.Key {
 		return bytes.Compare([]byte(a.Key), []byte(b.Key))
 	}
@@ -115,18 +115,18 @@
 	if digestOf(data) != snap.Digest {
 		return nil, fmt.Errorf("%w: content does not match its digest", ErrSnapshot)
 	}
-	var c content
+	var c snapshotContent
 	if err := json.Unmarshal(data, &c); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	if c.Offset != snap.At {
 		return nil, fmt.Errorf("%w: content has offset %d, expected %d", ErrSnapshot, c.Offset, snap.At)
 	}
-	return c.state(), nil
+	return c.toState(), nil
 }
 
-// state returns the State with this content.
-func (c *content) state() *State {
+// toState returns the State with this content.
+func (c *snapshotContent) toState() *State {
 	s := New()
 	s.offset, s.lastAccepted, s.now, s.policy = c.Offset, c.LastAccepted, c.Now, c.Policy
 	s.idQueue, s.keyQueue = c.IDs, c.Keys
--- a/state/state.go
+++ b/state/state.go
@@ -161,7 +161,7 @@
 	services     map[ServiceName]*Service
 	policy       Policy
 	outcomes     map[string]Outcome
-	idQueue      []expiring
+	idQueue      []expiringID
 	claims       map[ClaimKey]Claim
 	keyQueue     []expiringKey
 }
