--- a/state/fold.go
+++ b/state/fold.go
@@ -19,11 +19,11 @@
 
 // Apply folds the next entry of the log into the state.
 //
-// It returns the outcome of the record. On an error, ErrGap or ErrUnknownRecord,
+// It returns the outcome of the record. On an error, ErrOffsetGap or ErrUnknownRecord,
 // the entry has not been applied and the state is unchanged.
 func (s *State) Apply(e Entry) (Outcome, error) {
 	if e.Offset != s.offset+1 {
-		return Outcome{}, fmt.Errorf("%w: got offset %d after offset %d", ErrGap, e.Offset, s.offset)
+		return Outcome{}, fmt.Errorf("%w: got offset %d after offset %d", ErrOffsetGap, e.Offset, s.offset)
 	}
 	r, err := DecodeRecord(e.Data)
 	if err != nil {
@@ -83,7 +83,7 @@
 	if errors.As(err, &refusal) {
 		o.Reason, o.Detail = refusal.Reason, refusal.Detail
 	}
-	if o.Reason == ReasonBadID || o.Reason == ReasonExpired {
+	if o.Reason == ReasonBadID || o.Reason == ReasonIDExpired {
 		return o
 	}
 	s.storeOutcome(o)
@@ -103,7 +103,7 @@
 		return refuse(ReasonBadID, "%q is no UUIDv7", id)
 	}
 	if !isWithinHorizon(at, s.now, IDHorizon) {
-		return refuse(ReasonExpired, "the id is of %s, the log's time is %s", at.UTC(), s.now.UTC())
+		return refuse(ReasonIDExpired, "the id is of %s, the log's time is %s", at.UTC(), s.now.UTC())
 	}
 	return nil
 }
@@ -131,10 +131,10 @@
 		return refusal
 	}
 	if len(changes) == 0 {
-		return refuse(ReasonEmpty, "the command changes nothing")
+		return refuse(ReasonEmptyCommand, "the command changes nothing")
 	}
 	if r.Unchanged != 0 && s.lastAccepted > r.Unchanged {
-		return refuse(ReasonOffset, "the state changed at %d, after %d", s.lastAccepted, r.Unchanged)
+		return refuse(ReasonStateChanged, "the state changed at %d, after %d", s.lastAccepted, r.Unchanged)
 	}
 	t := &tx{}
 	for i, c := range changes {
--- a/state/fold_test.go
+++ b/state/fold_test.go
@@ -249,17 +249,17 @@
 		reason state.Reason
 	}{
 		{"accepted", nil, []state.Op{create("g", 0, 2)}, ""},
-		{"instance in use", []state.Op{create("g", 0, 2)}, []state.Op{create("h", 2, 4)}, state.ReasonInUse},
-		{"same instance twice", nil, []state.Op{create("g", 2, 2)}, state.ReasonInUse},
-		{"two domains", nil, []state.Op{create("g", 0, 1)}, state.ReasonDomain},
+		{"instance in use", []state.Op{create("g", 0, 2)}, []state.Op{create("h", 2, 4)}, state.ReasonInstanceInUse},
+		{"same instance twice", nil, []state.Op{create("g", 2, 2)}, state.ReasonInstanceInUse},
+		{"two domains", nil, []state.Op{create("g", 0, 1)}, state.ReasonDomainMismatch},
 		{"group exists", []state.Op{create("g", 0)}, []state.Op{create("g", 2)}, state.ReasonGroupExists},
-		{"no members", nil, []state.Op{create("g")}, state.ReasonSize},
-		{"empty", nil, nil, state.ReasonEmpty},
-		{"second operation refused", nil, []state.Op{create("g", 0), create("h", 0)}, state.ReasonInUse},
+		{"no members", nil, []state.Op{create("g")}, state.ReasonGroupSize},
+		{"empty", nil, nil, state.ReasonEmptyCommand},
+		{"second operation refused", nil, []state.Op{create("g", 0), create("h", 0)}, state.ReasonInstanceInUse},
 		{"stale epoch", []state.Op{create("g", 0)}, []state.Op{{ReleaseGroup: &state.ReleaseGroup{Group: "g", Epoch: 7}}}, state.ReasonEpochChanged},
 		{"dissolve without release", []state.Op{create("g", 0)}, []state.Op{{DissolveGroup: &state.DissolveGroup{Group: "g", Epoch: 1}}}, state.ReasonNotReleasing},
 		{"free instance not being released", []state.Op{create("g", 0)}, []state.Op{{FreeInstance: &state.FreeInstance{Instance: "i0", Epoch: 1}}}, state.ReasonNotReleasing},
-		{"replacement still assigned", []state.Op{create("g", 0), create("h", 2)}, []state.Op{{ReplaceMember: &state.ReplaceMember{Group: "g", Rank: 0, Out: "i0", In: place(2)}}}, state.ReasonInUse},
+		{"replacement still assigned", []state.Op{create("g", 0), create("h", 2)}, []state.Op{{ReplaceMember: &state.ReplaceMember{Group: "g", Rank: 0, Out: "i0", In: place(2)}}}, state.ReasonInstanceInUse},
 		{"no places", []state.Op{{CreateTeam: &state.CreateTeam{Name: "t", KeyHashes: []string{"x"}}}}, []state.Op{{AllowTeam: &state.AllowTeam{Team: "t", Hall: "h"}}}, state.ReasonBadValue},
 	}
 	for _, c := range cases {
@@ -467,7 +467,7 @@
 		damaged.Data = slices.Clone(snap.Data)
 		damage(&damaged)
 		_, err := state.Restore(&damaged)
-		g.Expect(errors.Is(err, state.ErrSnapshot)).To(BeTrue())
+		g.Expect(errors.Is(err, state.ErrInvalidSnapshot)).To(BeTrue())
 	}
 }
 
--- a/state/group_op.go
+++ b/state/group_op.go
@@ -38,7 +38,7 @@
 		return refuse(ReasonGroupExists, "group %s exists since %d", c.Name, s.groups[c.Name].Epoch)
 	}
 	if len(c.Members) < MinGroupSize || len(c.Members) > MaxGroupSize {
-		return refuse(ReasonSize, "%d members; a group has %d to %d", len(c.Members), MinGroupSize, MaxGroupSize)
+		return refuse(ReasonGroupSize, "%d members; a group has %d to %d", len(c.Members), MinGroupSize, MaxGroupSize)
 	}
 	g := &Group{Name: c.Name, Epoch: at, Hall: c.Members[0].Hall, Domain: c.Members[0].Domain, Model: c.Model, Gate: c.Gate}
 	for rank, p := range c.Members {
@@ -59,13 +59,13 @@
 		return refuse(ReasonBadValue, "a member needs an id, a hall and a domain")
 	}
 	if p.Hall != hall || p.Domain != domain {
-		return refuse(ReasonDomain, "%s is in %s/%s, not in %s/%s", p.Instance, p.Hall, p.Domain, hall, domain)
+		return refuse(ReasonDomainMismatch, "%s is in %s/%s, not in %s/%s", p.Instance, p.Hall, p.Domain, hall, domain)
 	}
 	if a := s.instances[p.Instance]; a != nil {
-		return refuse(ReasonInUse, "%s", a.describe())
+		return refuse(ReasonInstanceInUse, "%s", a.describe())
 	}
 	if svc := s.serviceOf(p.Instance); svc != "" {
-		return refuse(ReasonInUse, "%s serves %s", p.Instance, svc)
+		return refuse(ReasonInstanceInUse, "%s serves %s", p.Instance, svc)
 	}
 	return nil
 }
@@ -177,7 +177,7 @@
 		return nil, r
 	}
 	if old.Releasing {
-		return nil, refuse(ReasonDraining, "group %s is being released", name)
+		return nil, refuse(ReasonGroupDraining, "group %s is being released", name)
 	}
 	if rank < 0 || rank >= len(old.Members) || old.Members[rank] != out {
 		return nil, refuse(ReasonNotMember, "%q is not rank %d of group %s", out, rank, name)
@@ -226,10 +226,10 @@
 		return r
 	}
 	if old.Releasing {
-		return refuse(ReasonDraining, "group %s is being released", c.Group)
+		return refuse(ReasonGroupDraining, "group %s is being released", c.Group)
 	}
 	if c.For != "" && old.Drained != 0 {
-		return refuse(ReasonDraining, "group %s is drained since %d", c.Group, old.Drained)
+		return refuse(ReasonGroupDraining, "group %s is drained since %d", c.Group, old.Drained)
 	}
 	g := *old
 	g.Drained, g.DrainedFor = at, c.For
@@ -253,7 +253,7 @@
 		return r
 	}
 	if old.Releasing {
-		return refuse(ReasonDraining, "group %s is being released", c.Group)
+		return refuse(ReasonGroupDraining, "group %s is being released", c.Group)
 	}
 	g := *old
 	g.Drained = at
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -102,25 +102,25 @@
 	return &Snapshot{At: s.offset, Digest: digestOf(data), Data: buf.Bytes()}, nil
 }
 
-// Restore returns the state in a snapshot, or ErrSnapshot if it is damaged.
+// Restore returns the state in a snapshot, or ErrInvalidSnapshot if it is damaged.
 func Restore(snap *Snapshot) (*State, error) {
 	r, err := gzip.NewReader(bytes.NewReader(snap.Data))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	data, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	if digestOf(data) != snap.Digest {
-		return nil, fmt.Errorf("%w: content does not match its digest", ErrSnapshot)
+		return nil, fmt.Errorf("%w: content does not match its digest", ErrInvalidSnapshot)
 	}
 	var c snapshotContent
 	if err := json.Unmarshal(data, &c); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	if c.Offset != snap.At {
-		return nil, fmt.Errorf("%w: content has offset %d, expected %d", ErrSnapshot, c.Offset, snap.At)
+		return nil, fmt.Errorf("%w: content has offset %d, expected %d", ErrInvalidSnapshot, c.Offset, snap.At)
 	}
 	return c.toState(), nil
 }
--- a/state/team_op.go
+++ b/state/team_op.go
@@ -89,10 +89,10 @@
 	}
 	for _, id := range c.Instances {
 		if a := s.instances[id]; a != nil {
-			return refuse(ReasonInUse, "%s", a.describe())
+			return refuse(ReasonInstanceInUse, "%s", a.describe())
 		}
 		if other := s.serviceOf(id); other != "" {
-			return refuse(ReasonInUse, "%s serves %s", id, other)
+			return refuse(ReasonInstanceInUse, "%s serves %s", id, other)
 		}
 	}
 	put(t, s.services, c.Name, &Service{Name: c.Name, Instances: c.Instances, Keys: c.Keys})
