--- a/coordination/localhealth/localhealth.go
+++ b/coordination/localhealth/localhealth.go
@@ -33,8 +33,8 @@
 	lateTimers []time.Time
 }
 
-// Observe records by how much a timer fired late.
-func (m *Monitor) Observe(delay time.Duration, now time.Time) {
+// RecordDelay records by how much a timer fired late.
+func (m *Monitor) RecordDelay(delay time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if delay < lateTimerDelay {
@@ -46,9 +46,9 @@
 	m.lateTimers = append(m.lateTimers, now)
 }
 
-// Delayed reports whether a timer fired late since the given time or less than
+// DelayedSince reports whether a timer fired late since the given time or less than
 // inconclusivePeriod ago. If so, a timeout of this process since then is inconclusive.
-func (m *Monitor) Delayed(since, now time.Time) bool {
+func (m *Monitor) DelayedSince(since, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.lateTimers) == 0 {
@@ -58,9 +58,9 @@
 	return !newest.Before(since) || now.Sub(newest) < inconclusivePeriod
 }
 
-// Overran reports whether the end of a call was detected so long after its deadline that
+// DetectedLate reports whether the end of a call was detected so long after its deadline that
 // the response may have arrived and be waiting for this process.
-func Overran(deadline, now time.Time) bool { return now.Sub(deadline) >= lateCallDelay }
+func DetectedLate(deadline, now time.Time) bool { return now.Sub(deadline) >= lateCallDelay }
 
 // Overloaded reports whether the last overloadThreshold late timers fired within
 // overloadWindow.
--- a/coordination/localhealth/localhealth_test.go
+++ b/coordination/localhealth/localhealth_test.go
@@ -26,8 +26,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var m localhealth.Monitor
-			m.Observe(c.delay, start)
-			NewWithT(t).Expect(m.Delayed(start.Add(c.since), start.Add(c.now))).To(Equal(c.delayed))
+			m.RecordDelay(c.delay, start)
+			NewWithT(t).Expect(m.DelayedSince(start.Add(c.since), start.Add(c.now))).To(Equal(c.delayed))
 		})
 	}
 }
@@ -37,16 +37,16 @@
 	var m localhealth.Monitor
 	now := start
 	for range 5 {
-		m.Observe(60*time.Millisecond, now)
+		m.RecordDelay(60*time.Millisecond, now)
 		now = now.Add(100 * time.Millisecond)
 	}
 	g.Expect(m.Overloaded(now)).To(BeFalse())
-	m.Observe(60*time.Millisecond, now)
+	m.RecordDelay(60*time.Millisecond, now)
 	g.Expect(m.Overloaded(now)).To(BeTrue())
 	g.Expect(m.Overloaded(now.Add(3 * time.Second))).To(BeFalse())
 }
 
-func TestOverranAfterLateDetection(t *testing.T) {
+func TestDetectedLate(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		after   time.Duration
@@ -57,7 +57,7 @@
 		{"long after its deadline", 20 * time.Millisecond, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			NewWithT(t).Expect(localhealth.Overran(start, start.Add(c.after))).To(Equal(c.overran))
+			NewWithT(t).Expect(localhealth.DetectedLate(start, start.Add(c.after))).To(Equal(c.overran))
 		})
 	}
 }
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -172,7 +172,7 @@
 		return false
 	}
 	now := n.clock.Now()
-	return n.health.Delayed(began, now) || localhealth.Overran(began.Add(timeout), now)
+	return n.health.DelayedSince(began, now) || localhealth.DetectedLate(began.Add(timeout), now)
 }
 
 // watchHealth measures how late the node's own timers are.
@@ -184,7 +184,7 @@
 		}
 		now := n.clock.Now()
 		delay := now.Sub(began) - n.policy.HealthInterval
-		n.health.Observe(delay, now)
+		n.health.RecordDelay(delay, now)
 		n.load.timer(delay)
 		n.gate.Watch.Look()
 		n.dealLimits(now)
--- a/transport/entry/peers_test.go
+++ b/transport/entry/peers_test.go
@@ -93,7 +93,7 @@
 	n := ableNode(g)
 	mayPlace := func() bool { return n.peers.mayPlace(n.clock.Now()) }
 	for range 8 {
-		n.health.Observe(100*time.Millisecond, n.clock.Now())
+		n.health.RecordDelay(100*time.Millisecond, n.clock.Now())
 	}
 	g.Expect(mayPlace()).To(BeTrue(), "no other node is known to do better")
 	n.peers.words["b"] = heardWord{word: Word{Late: true}, at: n.clock.Now()}
