--- a/coordination/control/control.go
+++ b/coordination/control/control.go
@@ -64,7 +64,7 @@
 
 // Proposals returns the changes that follow from what instances have reported:
 // released instances become free, and releasing groups without requests dissolve.
-func Proposals(v *statelog.View, get func(state.InstanceID) (evidence.Entry, bool), cleared Cleared) []state.Op {
+func Proposals(v *statelog.View, get func(state.InstanceID) (evidence.TimedReport, bool), cleared Cleared) []state.Op {
 	var ops []state.Op
 	for _, a := range v.Assignments {
 		e, ok := get(a.Instance)
--- a/coordination/control/control_test.go
+++ b/coordination/control/control_test.go
@@ -75,11 +75,11 @@
 func (w *world) wholeAt(v *statelog.View) map[state.GroupName][]state.InstanceID {
 	table := evidence.NewTable()
 	for _, i := range w.instances {
-		table.Observe(i.report(), w.now)
+		table.Record(i.report(), w.now)
 	}
 	whole := map[state.GroupName][]state.InstanceID{}
 	for _, g := range v.Groups {
-		if len(table.Judge(g, w.now, time.Second).Faults) == 0 {
+		if len(table.CheckGroup(g, w.now, time.Second).Mismatches) == 0 {
 			whole[g.Name] = g.Members
 		}
 	}
@@ -180,13 +180,13 @@
 
 // proposals appends what follows from the reports.
 func (w *world) proposals() {
-	get := func(id state.InstanceID) (evidence.Entry, bool) {
+	get := func(id state.InstanceID) (evidence.TimedReport, bool) {
 		for _, i := range w.instances {
 			if i.id == id {
-				return evidence.Entry{Report: i.report(), Asked: w.now}, true
+				return evidence.TimedReport{Report: i.report(), ProbedAt: w.now}, true
 			}
 		}
-		return evidence.Entry{}, false
+		return evidence.TimedReport{}, false
 	}
 	for _, op := range control.Proposals(w.views[len(w.views)-1], get, func(*state.Group) bool { return true }) {
 		w.apply(op)
--- a/coordination/evidence/evidence.go
+++ b/coordination/evidence/evidence.go
@@ -26,10 +26,10 @@
 
 // Load is the load that an instance reported. It may be out of date even when it is reported.
 type Load struct {
-	Held   int
-	Tokens int64
-	// Slots is the maximum number of requests in a batch of the engine.
-	Slots int
+	InFlight int
+	Tokens   int64
+	// BatchSlots is the maximum number of requests in a batch of the engine.
+	BatchSlots int
 }
 
 // Report is the state that an instance reports in answer to a probe.
@@ -45,10 +45,10 @@
 	Load        Load
 }
 
-// Entry is a report and the time at which its probe was sent.
-type Entry struct {
+// TimedReport is a report and the time at which its probe was sent.
+type TimedReport struct {
 	Report
-	Asked time.Time
+	ProbedAt time.Time
 }
 
 // shardCount is the number of shards of a Table.
@@ -63,14 +63,14 @@
 
 type shard struct {
 	mu      sync.RWMutex
-	entries map[state.InstanceID]Entry
+	entries map[state.InstanceID]TimedReport
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table {
 	t := &Table{}
 	for i := range t.shards {
-		t.shards[i].entries = map[state.InstanceID]Entry{}
+		t.shards[i].entries = map[state.InstanceID]TimedReport{}
 	}
 	return t
 }
@@ -80,20 +80,20 @@
 	return &t.shards[xxhash.Sum64String(string(id))%shardCount]
 }
 
-// Observe records a report whose probe was sent at probedAt. It is dropped unless it is newer
+// Record records a report whose probe was sent at probedAt. It is dropped unless it is newer
 // than the report held.
-func (t *Table) Observe(r Report, probedAt time.Time) {
+func (t *Table) Record(r Report, probedAt time.Time) {
 	s := t.shard(r.Instance)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.entries[r.Instance]; ok && !probedAt.After(old.Asked) {
+	if old, ok := s.entries[r.Instance]; ok && !probedAt.After(old.ProbedAt) {
 		return
 	}
-	s.entries[r.Instance] = Entry{Report: r, Asked: probedAt}
+	s.entries[r.Instance] = TimedReport{Report: r, ProbedAt: probedAt}
 }
 
 // Get returns the newest report of an instance.
-func (t *Table) Get(id state.InstanceID) (Entry, bool) {
+func (t *Table) Get(id state.InstanceID) (TimedReport, bool) {
 	s := t.shard(id)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -101,8 +101,8 @@
 	return e, ok
 }
 
-// SetListed sets the instances that are leaving according to the platform's list.
-func (t *Table) SetListed(leaving []state.InstanceID) {
+// SetLeavingByList sets the instances that are leaving according to the platform's list.
+func (t *Table) SetLeavingByList(leaving []state.InstanceID) {
 	m := make(map[state.InstanceID]bool, len(leaving))
 	for _, id := range leaving {
 		m[id] = true
@@ -112,8 +112,8 @@
 	t.leavingByList = m
 }
 
-// Leaving reports whether an instance is leaving according to the list or its own report.
-func (t *Table) Leaving(id state.InstanceID) bool {
+// IsLeaving reports whether an instance is leaving according to the list or its own report.
+func (t *Table) IsLeaving(id state.InstanceID) bool {
 	t.mu.Lock()
 	listed := t.leavingByList[id]
 	t.mu.Unlock()
@@ -124,76 +124,76 @@
 	return ok && e.Leaving
 }
 
-// Fault is the reason why a member does not match its group.
-type Fault struct {
+// MemberMismatch is the reason why a member does not match its group.
+type MemberMismatch struct {
 	Instance state.InstanceID
 	Detail   string
 }
 
 // Error returns the instance and the reason.
-func (f *Fault) Error() string { return fmt.Sprintf("%s: %s", f.Instance, f.Detail) }
-
-// Wholeness is the result of judging a group by the evidence.
-type Wholeness struct {
-	// Until is when the oldest evidence expires. It is zero if a member does not match.
-	Until time.Time
-	// Faults lists every member that does not match or whose evidence has expired.
-	Faults []Fault
+func (f *MemberMismatch) Error() string { return fmt.Sprintf("%s: %s", f.Instance, f.Detail) }
+
+// GroupEvidence is the result of judging a group by the evidence.
+type GroupEvidence struct {
+	// Expires is when the oldest evidence expires. It is zero if a member does not match.
+	Expires time.Time
+	// Mismatches lists every member that does not match or whose evidence has expired.
+	Mismatches []MemberMismatch
 	// Leaving is set if a member is leaving. The group must not get new requests then.
 	Leaving bool
-	// Identity changes whenever a member restarts.
-	Identity uint64
-	// Leader is the report of rank 0.
-	Leader Report
+	// IncarnationHash changes whenever a member restarts.
+	IncarnationHash uint64
+	// Head is the report of rank 0.
+	Head Report
 }
 
-// Judge decides whether every member has reported the group and its epoch, and
+// CheckGroup decides whether every member has reported the group and its epoch, and
 // until when that evidence is valid. It does not allocate while the group is
 // complete.
-func (t *Table) Judge(g *state.Group, now time.Time, window time.Duration) Wholeness {
-	w := Wholeness{Identity: uint64(g.Epoch)}
+func (t *Table) CheckGroup(g *state.Group, now time.Time, window time.Duration) GroupEvidence {
+	w := GroupEvidence{IncarnationHash: uint64(g.Epoch)}
 	for rank, id := range g.Members {
 		e, ok := t.Get(id)
 		if detail := memberMismatch(g, rank, e, ok, now, window); detail != "" {
-			w.Faults = append(w.Faults, Fault{Instance: id, Detail: detail})
+			w.Mismatches = append(w.Mismatches, MemberMismatch{Instance: id, Detail: detail})
 			continue
 		}
-		until := e.Asked.Add(window)
-		if w.Until.IsZero() || until.Before(w.Until) {
-			w.Until = until
+		until := e.ProbedAt.Add(window)
+		if w.Expires.IsZero() || until.Before(w.Expires) {
+			w.Expires = until
 		}
-		w.Identity = w.Identity*identityMultiplier + xxhash.Sum64String(e.Incarnation)
-		w.Leaving = w.Leaving || t.Leaving(id)
+		w.IncarnationHash = w.IncarnationHash*identityMultiplier + xxhash.Sum64String(e.Incarnation)
+		w.Leaving = w.Leaving || t.IsLeaving(id)
 		if rank == 0 {
-			w.Leader = e.Report
+			w.Head = e.Report
 		}
 	}
-	if len(w.Faults) > 0 {
-		w.Until = time.Time{}
+	if len(w.Mismatches) > 0 {
+		w.Expires = time.Time{}
 	}
 	return w
 }
 
-// JudgeInstance decides whether an instance outside any group has reported that it is ready.
-func (t *Table) JudgeInstance(id state.InstanceID, now time.Time, window time.Duration) Wholeness {
+// CheckInstance decides whether an instance outside any group has reported that it is ready.
+func (t *Table) CheckInstance(id state.InstanceID, now time.Time, window time.Duration) GroupEvidence {
 	e, ok := t.Get(id)
 	var detail string
 	switch {
 	case !ok:
 		detail = "has never reported"
-	case now.Sub(e.Asked) >= window:
-		detail = fmt.Sprintf("has not reported for %s", now.Sub(e.Asked).Round(time.Millisecond))
+	case now.Sub(e.ProbedAt) >= window:
+		detail = fmt.Sprintf("has not reported for %s", now.Sub(e.ProbedAt).Round(time.Millisecond))
 	case e.Phase != PhaseReady || e.Group != "":
 		detail = fmt.Sprintf("is %s, group %q", e.Phase, e.Group)
 	}
 	if detail != "" {
-		return Wholeness{Faults: []Fault{{Instance: id, Detail: detail}}}
+		return GroupEvidence{Mismatches: []MemberMismatch{{Instance: id, Detail: detail}}}
 	}
-	return Wholeness{
-		Until:    e.Asked.Add(window),
-		Leaving:  t.Leaving(id),
-		Identity: xxhash.Sum64String(e.Incarnation),
-		Leader:   e.Report,
+	return GroupEvidence{
+		Expires:         e.ProbedAt.Add(window),
+		Leaving:         t.IsLeaving(id),
+		IncarnationHash: xxhash.Sum64String(e.Incarnation),
+		Head:            e.Report,
 	}
 }
 
@@ -201,14 +201,14 @@
 const identityMultiplier = 1099511628211
 
 // memberMismatch describes why a member does not match the group, or returns "".
-func memberMismatch(g *state.Group, rank int, e Entry, ok bool, now time.Time, window time.Duration) string {
+func memberMismatch(g *state.Group, rank int, e TimedReport, ok bool, now time.Time, window time.Duration) string {
 	if g.Members[rank] == "" {
 		return "the seat is vacant"
 	}
 	if !ok {
 		return "has never reported"
 	}
-	if age := now.Sub(e.Asked); age >= window {
+	if age := now.Sub(e.ProbedAt); age >= window {
 		return fmt.Sprintf("has not reported for %s", age.Round(time.Millisecond))
 	}
 	return Mismatch(g, rank, e.Report)
--- a/coordination/evidence/evidence_test.go
+++ b/coordination/evidence/evidence_test.go
@@ -53,16 +53,16 @@
 			g := NewWithT(t)
 			table := evidence.NewTable()
 			now := start.Add(time.Hour)
-			table.Observe(ready("a", 0), now)
-			table.Observe(c.b, now.Add(-c.age))
-			w := table.Judge(pair, now, window)
-			g.Expect(len(w.Faults) == 0).To(Equal(c.complete))
+			table.Record(ready("a", 0), now)
+			table.Record(c.b, now.Add(-c.age))
+			w := table.CheckGroup(pair, now, window)
+			g.Expect(len(w.Mismatches) == 0).To(Equal(c.complete))
 			if !c.complete {
-				g.Expect(w.Until.IsZero()).To(BeTrue())
-				g.Expect(w.Faults[0].Instance).To(Equal(state.InstanceID("b")))
+				g.Expect(w.Expires.IsZero()).To(BeTrue())
+				g.Expect(w.Mismatches[0].Instance).To(Equal(state.InstanceID("b")))
 				return
 			}
-			g.Expect(w.Until).To(Equal(now.Add(window - c.age)))
+			g.Expect(w.Expires).To(Equal(now.Add(window - c.age)))
 		})
 	}
 }
@@ -70,22 +70,22 @@
 func TestIdentityChangesWithEveryRestart(t *testing.T) {
 	g := NewWithT(t)
 	table := evidence.NewTable()
-	table.Observe(ready("a", 0), start)
-	table.Observe(ready("b", 1), start)
-	before := table.Judge(pair, start, window).Identity
+	table.Record(ready("a", 0), start)
+	table.Record(ready("b", 1), start)
+	before := table.CheckGroup(pair, start, window).IncarnationHash
 	again := ready("b", 1)
 	again.Incarnation = "2"
-	table.Observe(again, start.Add(time.Second))
-	g.Expect(table.Judge(pair, start.Add(time.Second), window).Identity).NotTo(Equal(before))
+	table.Record(again, start.Add(time.Second))
+	g.Expect(table.CheckGroup(pair, start.Add(time.Second), window).IncarnationHash).NotTo(Equal(before))
 }
 
 func TestOlderReportIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	table := evidence.NewTable()
-	table.Observe(ready("a", 0), start.Add(time.Second))
+	table.Record(ready("a", 0), start.Add(time.Second))
 	late := ready("a", 0)
 	late.Epoch = 4
-	table.Observe(late, start)
+	table.Record(late, start)
 	e, _ := table.Get("a")
 	g.Expect(e.Epoch).To(Equal(state.Epoch(5)))
 }
@@ -98,24 +98,24 @@
 	for n := range 16 {
 		id := state.InstanceID(fmt.Sprint(n))
 		big.Members = append(big.Members, id)
-		table.Observe(ready(id, n), start)
+		table.Record(ready(id, n), start)
 	}
-	g.Expect(testing.AllocsPerRun(100, func() { table.Judge(big, start, window) })).To(BeZero())
+	g.Expect(testing.AllocsPerRun(100, func() { table.CheckGroup(big, start, window) })).To(BeZero())
 }
 
 func TestLeavingByListOrOwnReport(t *testing.T) {
 	g := NewWithT(t)
 	table := evidence.NewTable()
-	table.SetListed([]state.InstanceID{"a"})
+	table.SetLeavingByList([]state.InstanceID{"a"})
 	own := ready("b", 1)
 	own.Leaving = true
-	table.Observe(own, start)
-	g.Expect(table.Leaving("a")).To(BeTrue())
-	g.Expect(table.Leaving("b")).To(BeTrue())
-	g.Expect(table.Leaving("c")).To(BeFalse())
-	table.SetListed(nil)
-	g.Expect(table.Leaving("a")).To(BeFalse())
-	g.Expect(table.Judge(pair, start, window).Leaving).To(BeTrue())
+	table.Record(own, start)
+	g.Expect(table.IsLeaving("a")).To(BeTrue())
+	g.Expect(table.IsLeaving("b")).To(BeTrue())
+	g.Expect(table.IsLeaving("c")).To(BeFalse())
+	table.SetLeavingByList(nil)
+	g.Expect(table.IsLeaving("a")).To(BeFalse())
+	g.Expect(table.CheckGroup(pair, start, window).Leaving).To(BeTrue())
 }
 
 // One node probes and another one merges its feed, with delays at any point between request
@@ -127,7 +127,7 @@
 		pause := func(name string) { now = now.Add(time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, name))) }
 		feed, table, mirror := evidence.NewFeed(), evidence.NewTable(), &evidence.Mirror{}
 		incarnation := "n1"
-		probed := map[state.InstanceID][]evidence.Entry{}
+		probed := map[state.InstanceID][]evidence.TimedReport{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := state.InstanceID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "instance"))
 			switch rapid.IntRange(0, 4).Draw(t, "act") {
@@ -135,24 +135,24 @@
 				probedAt := now
 				pause("probe")
 				r := evidence.Report{Instance: id, Incarnation: "1", Group: "g", Epoch: state.Epoch(rapid.IntRange(1, 3).Draw(t, "epoch")), Phase: evidence.PhaseReady}
-				feed.Observe(r, probedAt)
-				probed[id] = append(probed[id], evidence.Entry{Report: r, Asked: probedAt})
+				feed.Record(r, probedAt)
+				probed[id] = append(probed[id], evidence.TimedReport{Report: r, ProbedAt: probedAt})
 			case 2:
 				feed.Expire(now.Add(-window))
 			case 3:
 				requestedAt := now
 				pause("to the peer")
-				d := feed.Since(mirror.Version)
+				d := feed.DeltaSince(mirror.Version)
 				var oldestAge time.Duration
-				if !d.Confirmed.IsZero() {
-					oldestAge = now.Sub(d.Confirmed)
+				if !d.OldestProbe.IsZero() {
+					oldestAge = now.Sub(d.OldestProbe)
 				}
 				ages := make([]time.Duration, len(d.Changed))
 				for i, e := range d.Changed {
-					ages[i] = now.Sub(e.Asked)
+					ages[i] = now.Sub(e.ProbedAt)
 				}
 				pause("back")
-				mirror.Merge(table, incarnation, d, requestedAt, oldestAge, ages)
+				mirror.Apply(table, incarnation, d, requestedAt, oldestAge, ages)
 			default:
 				if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
 					feed, incarnation = evidence.NewFeed(), incarnation+"'"
@@ -165,7 +165,7 @@
 }
 
 // checkAges fails if an entry is newer than every probe that returned its report.
-func checkAges(t *rapid.T, table *evidence.Table, probed map[state.InstanceID][]evidence.Entry) {
+func checkAges(t *rapid.T, table *evidence.Table, probed map[state.InstanceID][]evidence.TimedReport) {
 	for id, list := range probed {
 		e, ok := table.Get(id)
 		if !ok {
@@ -173,7 +173,7 @@
 		}
 		found := false
 		for _, entry := range list {
-			found = found || (entry.Report == e.Report && !e.Asked.After(entry.Asked))
+			found = found || (entry.Report == e.Report && !e.ProbedAt.After(entry.ProbedAt))
 		}
 		if !found {
 			t.Fatalf("%s: table has %+v, probes returned %+v", id, e, list)
@@ -186,16 +186,16 @@
 	g := NewWithT(t)
 	feed := evidence.NewFeed()
 	for n := range 100 {
-		feed.Observe(ready(state.InstanceID(fmt.Sprint(n)), n+1), start)
+		feed.Record(ready(state.InstanceID(fmt.Sprint(n)), n+1), start)
 	}
-	all := feed.Since(0)
+	all := feed.DeltaSince(0)
 	g.Expect(all.Changed).To(HaveLen(100))
 	for n := range 100 {
-		feed.Observe(ready(state.InstanceID(fmt.Sprint(n)), n+1), start.Add(time.Second))
+		feed.Record(ready(state.InstanceID(fmt.Sprint(n)), n+1), start.Add(time.Second))
 	}
-	d := feed.Since(all.Version)
+	d := feed.DeltaSince(all.Version)
 	g.Expect(d.Changed).To(BeEmpty())
-	g.Expect(d.Confirmed).To(Equal(start.Add(time.Second)))
+	g.Expect(d.OldestProbe).To(Equal(start.Add(time.Second)))
 	feed.Expire(start.Add(2 * time.Second))
-	g.Expect(feed.Since(all.Version).Lost).To(HaveLen(100))
+	g.Expect(feed.DeltaSince(all.Version).Expired).To(HaveLen(100))
 }
--- a/coordination/evidence/feed.go
+++ b/coordination/evidence/feed.go
@@ -27,17 +27,17 @@
 // Delta holds the changes of a Feed since a version.
 type Delta struct {
 	Version uint64
-	// Confirmed is the send time of the oldest probe behind any report that has not expired.
-	Confirmed time.Time
-	Changed   []Entry
-	Lost      []state.InstanceID
+	// OldestProbe is the send time of the oldest probe behind any report that has not expired.
+	OldestProbe time.Time
+	Changed     []TimedReport
+	Expired     []state.InstanceID
 }
 
 // NewFeed returns an empty Feed.
 func NewFeed() *Feed { return &Feed{entries: map[state.InstanceID]*feedEntry{}} }
 
-// Observe records a report whose probe this node sent at probedAt.
-func (f *Feed) Observe(r Report, probedAt time.Time) {
+// Record records a report whose probe this node sent at probedAt.
+func (f *Feed) Record(r Report, probedAt time.Time) {
 	if r.Rank != 0 || r.Group == "" {
 		r.Load = Load{}
 	}
@@ -67,23 +67,23 @@
 	}
 }
 
-// Since returns the changes after a version. Version 0 returns everything.
-func (f *Feed) Since(version uint64) Delta {
+// DeltaSince returns the changes after a version. Version 0 returns everything.
+func (f *Feed) DeltaSince(version uint64) Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := Delta{Version: f.version}
 	for id, e := range f.entries {
 		if e.expired {
 			if e.version > version {
-				d.Lost = append(d.Lost, id)
+				d.Expired = append(d.Expired, id)
 			}
 			continue
 		}
-		if d.Confirmed.IsZero() || e.probedAt.Before(d.Confirmed) {
-			d.Confirmed = e.probedAt
+		if d.OldestProbe.IsZero() || e.probedAt.Before(d.OldestProbe) {
+			d.OldestProbe = e.probedAt
 		}
 		if e.version > version {
-			d.Changed = append(d.Changed, Entry{Report: e.report, Asked: e.probedAt})
+			d.Changed = append(d.Changed, TimedReport{Report: e.report, ProbedAt: e.probedAt})
 		}
 	}
 	return d
@@ -93,28 +93,28 @@
 type Mirror struct {
 	Incarnation string
 	Version     uint64
-	// Ledger is the version of the peer's ledger of instance endings that this node has.
-	Ledger  uint64
-	reports map[state.InstanceID]Report
+	// LedgerVersion is the version of the peer's ledger of instance endings that this node has.
+	LedgerVersion uint64
+	reports       map[state.InstanceID]Report
 }
 
-// Follow resets the mirror if the peer has another incarnation than the mirrored one.
-func (m *Mirror) Follow(incarnation string) {
+// ResetIfRestarted resets the mirror if the peer has another incarnation than the mirrored one.
+func (m *Mirror) ResetIfRestarted(incarnation string) {
 	if m.reports == nil || m.Incarnation != incarnation {
 		*m = Mirror{Incarnation: incarnation, reports: map[state.InstanceID]Report{}}
 	}
 }
 
-// Merge applies a Delta to the mirror and the table and returns the reports that it applied.
+// Apply applies a Delta to the mirror and the table and returns the reports that it applied.
 //
 // requestedAt is when this node sent its request to the peer, by its own clock. ages are
 // the ages of the changed reports at the peer, and oldestAge is the age of the oldest
 // evidence there. The ages are subtracted from the time of the request, not of the
 // response: evidence can only look older than it is, never newer.
-func (m *Mirror) Merge(t *Table, incarnation string, d Delta, requestedAt time.Time, oldestAge time.Duration, ages []time.Duration) []Report {
-	m.Follow(incarnation)
+func (m *Mirror) Apply(t *Table, incarnation string, d Delta, requestedAt time.Time, oldestAge time.Duration, ages []time.Duration) []Report {
+	m.ResetIfRestarted(incarnation)
 	m.Version = d.Version
-	for _, id := range d.Lost {
+	for _, id := range d.Expired {
 		delete(m.reports, id)
 	}
 	applied := make([]Report, 0, len(m.reports)+len(d.Changed))
@@ -122,12 +122,12 @@
 	for i, e := range d.Changed {
 		m.reports[e.Instance] = e.Report
 		changed[e.Instance] = true
-		t.Observe(e.Report, requestedAt.Add(-ages[i]))
+		t.Record(e.Report, requestedAt.Add(-ages[i]))
 		applied = append(applied, e.Report)
 	}
 	for id, r := range m.reports {
 		if !changed[id] {
-			t.Observe(r, requestedAt.Add(-oldestAge))
+			t.Record(r, requestedAt.Add(-oldestAge))
 			applied = append(applied, r)
 		}
 	}
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -121,7 +121,7 @@
 // stale reports whether the evidence of an instance is about to expire or has expired.
 func (p *Prober) stale(id state.InstanceID, now time.Time) bool {
 	e, ok := p.table.Get(id)
-	return !ok || now.Sub(e.Asked) > p.cfg.Window*2/3
+	return !ok || now.Sub(e.ProbedAt) > p.cfg.Window*2/3
 }
 
 // markInFlight marks an instance as being probed and reports whether it was not marked before.
@@ -166,9 +166,9 @@
 
 // recordReport records a report, also in the feed to peers if this node owns the instance.
 func (p *Prober) recordReport(r evidence.Report, probedAt time.Time, owned bool) {
-	p.table.Observe(r, probedAt)
+	p.table.Record(r, probedAt)
 	if owned {
-		p.feed.Observe(r, probedAt)
+		p.feed.Record(r, probedAt)
 	}
 	p.src.Observed(r)
 }
--- a/coordination/routing/pick_test.go
+++ b/coordination/routing/pick_test.go
@@ -43,10 +43,10 @@
 	}
 	table.Update([]*state.Group{group("open", 0), group("drained", 9), group("leaving", 0), group("old", 0), group("failed", 0)})
 	for _, c := range table.All() {
-		c.Rejudge(func(*state.Group) evidence.Wholeness {
-			w := evidence.Wholeness{Until: now.Add(time.Second), Leaving: c.Name == "leaving"}
+		c.Rejudge(func(*state.Group) evidence.GroupEvidence {
+			w := evidence.GroupEvidence{Expires: now.Add(time.Second), Leaving: c.Name == "leaving"}
 			if c.Name == "old" {
-				w.Until = now
+				w.Expires = now
 			}
 			return w
 		})
@@ -65,7 +65,7 @@
 func TestDispatchEndsWithItsGroup(t *testing.T) {
 	now := time.Unix(1000, 0)
 	group := &state.Group{Name: "g", Epoch: 1, Model: state.Model{Name: "m"}, Members: []state.InstanceID{"i"}}
-	whole := evidence.Wholeness{Until: now.Add(time.Second), Identity: 1}
+	whole := evidence.GroupEvidence{Expires: now.Add(time.Second), IncarnationHash: 1}
 	cases := []struct {
 		name   string
 		change func(table *routing.Table, c *routing.Candidate)
@@ -75,18 +75,18 @@
 		{"nothing happens", func(*routing.Table, *routing.Candidate) {}, now, true},
 		{"the evidence runs out", func(*routing.Table, *routing.Candidate) {}, now.Add(time.Second), false},
 		{"a member no longer matches", func(_ *routing.Table, c *routing.Candidate) {
-			c.Rejudge(func(*state.Group) evidence.Wholeness { return evidence.Wholeness{Identity: 1} })
+			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return evidence.GroupEvidence{IncarnationHash: 1} })
 		}, now, false},
 		{"a member was started anew and is ready again", func(_ *routing.Table, c *routing.Candidate) {
-			c.Rejudge(func(*state.Group) evidence.Wholeness {
-				return evidence.Wholeness{Until: now.Add(time.Second), Identity: 2}
+			c.Rejudge(func(*state.Group) evidence.GroupEvidence {
+				return evidence.GroupEvidence{Expires: now.Add(time.Second), IncarnationHash: 2}
 			})
 		}, now, false},
 		{"the group is assigned anew", func(table *routing.Table, c *routing.Candidate) {
 			next := *group
 			next.Epoch = 2
 			table.Update([]*state.Group{&next})
-			c.Rejudge(func(*state.Group) evidence.Wholeness { return whole })
+			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return whole })
 		}, now, false},
 		{"the group is dissolved", func(table *routing.Table, _ *routing.Candidate) { table.Update(nil) }, now, false},
 		{"the group is drained", func(table *routing.Table, _ *routing.Candidate) {
@@ -101,7 +101,7 @@
 			table := routing.NewTable()
 			table.Update([]*state.Group{group})
 			cand := table.Get("g")
-			cand.Rejudge(func(*state.Group) evidence.Wholeness { return whole })
+			cand.Rejudge(func(*state.Group) evidence.GroupEvidence { return whole })
 			d := cand.Begin(request)
 			c.change(table, cand)
 			g.Expect(d.Valid(c.at)).To(Equal(c.valid))
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -59,18 +59,18 @@
 //
 // judge runs under the candidate's lock: of two calls, the one that stores last
 // has also read the evidence last, so that a judgement never outlives newer evidence.
-func (c *Candidate) Rejudge(judge func(g *state.Group) evidence.Wholeness) {
+func (c *Candidate) Rejudge(judge func(g *state.Group) evidence.GroupEvidence) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := judge(c.group.Load())
-	c.identity.Store(w.Identity)
+	c.identity.Store(w.IncarnationHash)
 	c.leaving.Store(w.Leaving)
-	if w.Until.IsZero() {
+	if w.Expires.IsZero() {
 		c.until.Store(nil)
 		return
 	}
-	c.slots.Store(int64(w.Leader.Load.Slots))
-	c.until.Store(&w.Until)
+	c.slots.Store(int64(w.Head.Load.BatchSlots))
+	c.until.Store(&w.Expires)
 }
 
 // setGroup takes in a new state of the group; a new epoch must be judged anew.
@@ -92,7 +92,7 @@
 
 // Report takes in a new load report of the group's leader.
 func (c *Candidate) Report(l evidence.Load) {
-	c.reported.Store(int64(l.Held))
+	c.reported.Store(int64(l.InFlight))
 	c.repToken.Store(l.Tokens)
 	c.since.Store(0)
 	c.recent.Store(0)
--- a/coordination/routing/sweep_test.go
+++ b/coordination/routing/sweep_test.go
@@ -157,7 +157,7 @@
 		t := routing.NewTable()
 		t.Update(groups)
 		for _, c := range t.Pool("m") {
-			c.Rejudge(func(*state.Group) evidence.Wholeness { return evidence.Wholeness{Until: time.Unix(1<<32, 0)} })
+			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return evidence.GroupEvidence{Expires: time.Unix(1<<32, 0)} })
 		}
 		w.tables = append(w.tables, t)
 	}
@@ -169,7 +169,7 @@
 	for _, t := range w.tables {
 		for n, c := range t.Pool("m") {
 			e := w.engines[n]
-			c.Report(evidence.Load{Held: len(e.running) + len(e.queue), Tokens: int64(e.tokens())})
+			c.Report(evidence.Load{InFlight: len(e.running) + len(e.queue), Tokens: int64(e.tokens())})
 		}
 	}
 }
--- a/protocol/peer/convert.go
+++ b/protocol/peer/convert.go
@@ -68,9 +68,9 @@
 		Rank:        uint32(r.Rank),
 		Phase:       string(r.Phase),
 		Leaving:     r.Leaving,
-		Held:        uint32(r.Load.Held),
+		Held:        uint32(r.Load.InFlight),
 		Tokens:      uint64(r.Load.Tokens),
-		Slots:       uint32(r.Load.Slots),
+		Slots:       uint32(r.Load.BatchSlots),
 		AgeMs:       Milliseconds(age),
 	}
 }
@@ -85,7 +85,7 @@
 		Rank:        int(m.GetRank()),
 		Phase:       evidence.Phase(m.GetPhase()),
 		Leaving:     m.GetLeaving(),
-		Load:        evidence.Load{Held: int(m.GetHeld()), Tokens: int64(m.GetTokens()), Slots: int(m.GetSlots())},
+		Load:        evidence.Load{InFlight: int(m.GetHeld()), Tokens: int64(m.GetTokens()), BatchSlots: int(m.GetSlots())},
 	}
 }
 
@@ -94,11 +94,11 @@
 	d := evidence.Delta{Version: m.GetVersion()}
 	ages := make([]time.Duration, 0, len(m.GetChanged()))
 	for _, r := range m.GetChanged() {
-		d.Changed = append(d.Changed, evidence.Entry{Report: decodeReport(r)})
+		d.Changed = append(d.Changed, evidence.TimedReport{Report: decodeReport(r)})
 		ages = append(ages, Duration(r.GetAgeMs()))
 	}
 	for _, id := range m.GetLost() {
-		d.Lost = append(d.Lost, state.InstanceID(id))
+		d.Expired = append(d.Expired, state.InstanceID(id))
 	}
 	return d, ages
 }
--- a/protocol/target/target.go
+++ b/protocol/target/target.go
@@ -169,7 +169,7 @@
 		Rank:        w.Rank,
 		Phase:       w.Phase,
 		Leaving:     w.Leaving,
-		Load:        evidence.Load{Held: w.Held, Tokens: w.Tokens, Slots: w.Slots},
+		Load:        evidence.Load{InFlight: w.Held, Tokens: w.Tokens, BatchSlots: w.Slots},
 	}, nil
 }
 
--- a/transport/caller/attempt.go
+++ b/transport/caller/attempt.go
@@ -179,6 +179,6 @@
 	if err != nil {
 		return err
 	}
-	s.c.Evidence.Observe(r, asked)
+	s.c.Evidence.Record(r, asked)
 	return nil
 }
--- a/transport/core/capacity.go
+++ b/transport/core/capacity.go
@@ -51,11 +51,11 @@
 
 // JudgeGroup takes the evidence of a candidate into the routing table.
 func (c *Core) JudgeGroup(cand *routing.Candidate) {
-	cand.Rejudge(func(g *state.Group) evidence.Wholeness {
+	cand.Rejudge(func(g *state.Group) evidence.GroupEvidence {
 		now := c.Clock.Now()
 		if g.Epoch == 0 {
-			return c.Evidence.JudgeInstance(g.Members[0], now, c.Settings.EvidenceWindow)
+			return c.Evidence.CheckInstance(g.Members[0], now, c.Settings.EvidenceWindow)
 		}
-		return c.Evidence.Judge(g, now, c.Settings.EvidenceWindow)
+		return c.Evidence.CheckGroup(g, now, c.Settings.EvidenceWindow)
 	})
 }
--- a/transport/core/resolve.go
+++ b/transport/core/resolve.go
@@ -53,7 +53,7 @@
 	}
 	var free []state.Place
 	for id, p := range c.Places.All() {
-		if p.Hall != hall || p.Leaving || busy[id] || view.Assignments[id] != nil || c.Evidence.Leaving(id) {
+		if p.Hall != hall || p.Leaving || busy[id] || view.Assignments[id] != nil || c.Evidence.IsLeaving(id) {
 			continue
 		}
 		if hall == c.Settings.Hall && !c.idle(id, now) {
@@ -68,5 +68,5 @@
 // idle reports whether an instance has lately reported that it holds nothing.
 func (c *Core) idle(id state.InstanceID, now time.Time) bool {
 	e, ok := c.Evidence.Get(id)
-	return ok && now.Sub(e.Asked) < c.Settings.EvidenceWindow && e.Phase == evidence.PhaseIdle && e.Group == ""
+	return ok && now.Sub(e.ProbedAt) < c.Settings.EvidenceWindow && e.Phase == evidence.PhaseIdle && e.Group == ""
 }
--- a/transport/node/control.go
+++ b/transport/node/control.go
@@ -87,8 +87,8 @@
 		return false
 	}
 	e, ok := n.Evidence.Get(g.Members[0])
-	fresh := ok && now.Sub(e.Asked) < n.Settings.EvidenceWindow
-	return !fresh || e.Group != g.Name || e.Load.Held == 0
+	fresh := ok && now.Sub(e.ProbedAt) < n.Settings.EvidenceWindow
+	return !fresh || e.Group != g.Name || e.Load.InFlight == 0
 }
 
 // proposalMine reports whether a proposal falls to this node.
@@ -192,11 +192,11 @@
 
 // isMissing reports whether a member is silent, or leaving while nothing is left at its group.
 func (n *Node) isMissing(g *state.Group, id state.InstanceID, now time.Time) bool {
-	if n.Evidence.Leaving(id) {
+	if n.Evidence.IsLeaving(id) {
 		return n.cleared(g, now)
 	}
 	e, ok := n.Evidence.Get(id)
-	return !ok || e.Phase == evidence.PhaseDown || now.Sub(e.Asked) > missingWindows*n.Settings.EvidenceWindow
+	return !ok || e.Phase == evidence.PhaseDown || now.Sub(e.ProbedAt) > missingWindows*n.Settings.EvidenceWindow
 }
 
 // since returns for how long a member has been missing.
--- a/transport/node/exchange.go
+++ b/transport/node/exchange.go
@@ -105,7 +105,7 @@
 		From:            peer.EncodeNode(n.Self(), 0),
 		SeenIncarnation: mirror.Incarnation,
 		SeenVersion:     mirror.Version,
-		SeenLedger:      mirror.Ledger,
+		SeenLedger:      mirror.LedgerVersion,
 		WantNodes:       n.wantNodes(asked),
 	})
 	if err != nil {
@@ -118,9 +118,9 @@
 		return
 	}
 	n.Directory.Learn(self)
-	mirror.Follow(self.Incarnation)
+	mirror.ResetIfRestarted(self.Incarnation)
 	n.Quarantine.Merge(peer.DecodeLedger(resp, n.Clock.Now()), quarantine.Peer)
-	mirror.Ledger = resp.GetLedgerVersion()
+	mirror.LedgerVersion = resp.GetLedgerVersion()
 	for _, m := range resp.GetNodes() {
 		if other, err := peer.DecodeNode(m, asked); err == nil {
 			n.Directory.Learn(other)
@@ -150,7 +150,7 @@
 	n.Directory.LearnHeld(self, held)
 	delta, ages := peer.DecodeDelta(resp)
 	confirmed := peer.Duration(resp.GetConfirmedAgeMs())
-	for _, r := range mirror.Merge(n.Evidence, self.Incarnation, delta, self.SaidAt, confirmed, ages) {
+	for _, r := range mirror.Apply(n.Evidence, self.Incarnation, delta, self.SaidAt, confirmed, ages) {
 		n.observed(r)
 	}
 }
--- a/transport/node/lives_test.go
+++ b/transport/node/lives_test.go
@@ -31,7 +31,7 @@
 	}}
 	f := quarantine.NewFingerprint(quarantine.Content{Body: []byte("deadly")})
 	observe := func(r evidence.Report, asked time.Time) {
-		n.Evidence.Observe(r, asked)
+		n.Evidence.Record(r, asked)
 		n.observed(r)
 	}
 	for i := range quarantine.DefaultPolicy().Endings {
--- a/transport/node/loops.go
+++ b/transport/node/loops.go
@@ -226,7 +226,7 @@
 	if down {
 		requests = n.Quarantine.Down(id, now)
 	} else {
-		requests = n.Quarantine.Current(fleet.Incarnation{ID: id, Life: e.Incarnation}, e.Asked, now)
+		requests = n.Quarantine.Current(fleet.Incarnation{ID: id, Life: e.Incarnation}, e.ProbedAt, now)
 	}
 	if len(requests) > 0 {
 		n.Count("quarantine.endings")
@@ -267,7 +267,7 @@
 			leaving = append(leaving, i.ID)
 		}
 	}
-	n.Evidence.SetListed(leaving)
+	n.Evidence.SetLeavingByList(leaving)
 	n.prober.AskUnseen(ctx)
 	select {
 	case n.refresh <- struct{}{}:
--- a/transport/operator/show.go
+++ b/transport/operator/show.go
@@ -113,9 +113,9 @@
 		}
 		reports, phase, age := "", "", "never"
 		if e, ok := s.c.Evidence.Get(id); ok {
-			reports, phase, age = string(e.Group), string(e.Phase), now.Sub(e.Asked).Round(time.Millisecond).String()
+			reports, phase, age = string(e.Group), string(e.Phase), now.Sub(e.ProbedAt).Round(time.Millisecond).String()
 		}
-		t.add(id, p.Hall, p.Domain, p.Address, s.c.Evidence.Leaving(id), ordered, epoch, reports, phase, age)
+		t.add(id, p.Hall, p.Domain, p.Address, s.c.Evidence.IsLeaving(id), ordered, epoch, reports, phase, age)
 	}
 	t.sort()
 	return t
--- a/transport/operator/why.go
+++ b/transport/operator/why.go
@@ -44,12 +44,12 @@
 	}
 	now := s.c.Clock.Now()
 	t.add(name, fmt.Sprintf("assigned at offset %d, %d members in %s/%s", g.Epoch, len(g.Members), g.Hall, g.Domain))
-	w := s.c.Evidence.Judge(g, now, s.c.Settings.EvidenceWindow)
-	for _, f := range w.Faults {
+	w := s.c.Evidence.CheckGroup(g, now, s.c.Settings.EvidenceWindow)
+	for _, f := range w.Mismatches {
 		t.add(name, "not whole: "+f.Error())
 	}
-	if len(w.Faults) == 0 {
-		t.add(name, fmt.Sprintf("whole, by reports that count for another %s", w.Until.Sub(now).Round(time.Millisecond)))
+	if len(w.Mismatches) == 0 {
+		t.add(name, fmt.Sprintf("whole, by reports that count for another %s", w.Expires.Sub(now).Round(time.Millisecond)))
 	}
 	if w.Leaving {
 		t.add(name, "takes no new request: a member is leaving")
@@ -57,7 +57,7 @@
 	if g.Drained != 0 {
 		t.add(name, fmt.Sprintf("takes no new request: drained at offset %d", g.Drained))
 	}
-	if d, ok := s.c.Repairs.Get(name); ok && len(w.Faults) > 0 {
+	if d, ok := s.c.Repairs.Get(name); ok && len(w.Mismatches) > 0 {
 		t.add(name, fmt.Sprintf("repair %s, decided %s ago: %s (waiting costs %.0f, acting %.0f)",
 			d.Action, now.Sub(d.At).Round(time.Millisecond), d.Reason, d.WaitCost, d.ActCost))
 	}
@@ -91,7 +91,7 @@
 	default:
 		t.add(id, fmt.Sprintf("rank %d of group %s since offset %d", a.Rank, a.Group, a.Epoch))
 	}
-	if s.c.Evidence.Leaving(id) {
+	if s.c.Evidence.IsLeaving(id) {
 		t.add(id, "leaving")
 	}
 	e, ok := s.c.Evidence.Get(id)
@@ -100,7 +100,7 @@
 		return nil
 	}
 	t.add(id, fmt.Sprintf("reported %s ago: group %q epoch %d rank %d, %s, incarnation %s",
-		now.Sub(e.Asked).Round(time.Millisecond), e.Group, e.Epoch, e.Rank, e.Phase, e.Incarnation))
+		now.Sub(e.ProbedAt).Round(time.Millisecond), e.Group, e.Epoch, e.Rank, e.Phase, e.Incarnation))
 	return nil
 }
 
--- a/transport/peerapi/peerapi.go
+++ b/transport/peerapi/peerapi.go
@@ -57,15 +57,15 @@
 	if req.Msg.GetSeenIncarnation() != s.c.Directory.Self().Incarnation {
 		seen, seenLedger = 0, 0
 	}
-	d := s.c.Feed.Since(seen)
+	d := s.c.Feed.DeltaSince(seen)
 	resp := &rpc.ExchangeResponse{Self: peer.EncodeNode(s.c.Self(), 0), Version: d.Version}
-	if !d.Confirmed.IsZero() {
-		resp.ConfirmedAgeMs = peer.Milliseconds(now.Sub(d.Confirmed))
+	if !d.OldestProbe.IsZero() {
+		resp.ConfirmedAgeMs = peer.Milliseconds(now.Sub(d.OldestProbe))
 	}
 	for _, e := range d.Changed {
-		resp.Changed = append(resp.Changed, peer.EncodeReport(e.Report, now.Sub(e.Asked)))
+		resp.Changed = append(resp.Changed, peer.EncodeReport(e.Report, now.Sub(e.ProbedAt)))
 	}
-	for _, id := range d.Lost {
+	for _, id := range d.Expired {
 		resp.Lost = append(resp.Lost, string(id))
 	}
 	for _, c := range s.c.Routing.All() {
