--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -23,16 +23,16 @@
 	Applied     state.Offset
 	Ready       bool
 	Stopping    bool
-	// LogAge is how long before SaidAt the node was last up to date with the log.
-	LogAge time.Duration
-	// Held is the number of requests in flight.
-	Held int
-	// Demand is the smoothed rate of incoming requests per second.
-	Demand int
+	// LogLag is how long before SaidAt the node was last up to date with the log.
+	LogLag time.Duration
+	// InFlight is the number of requests in flight.
+	InFlight int
+	// RequestRate is the smoothed rate of incoming requests per second.
+	RequestRate int
 	// Models are the models and services that the node can serve in its own hall.
 	Models []string
-	// SaidAt is when the request for this report was sent, by the receiver's clock.
-	SaidAt time.Time
+	// RequestedAt is when the request for this report was sent, by the receiver's clock.
+	RequestedAt time.Time
 }
 
 // Directory holds the known nodes. Use NewDirectory to create one.
@@ -67,41 +67,41 @@
 // Self returns the node's own name, hall, address and incarnation.
 func (d *Directory) Self() Node { return d.self }
 
-// Learn records a status report unless a newer one of the same node is known.
-func (d *Directory) Learn(n Node) {
+// Update records a status report unless a newer one of the same node is known.
+func (d *Directory) Update(n Node) {
 	if n.Name == "" || n.Name == d.self.Name {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if old, ok := d.nodes[n.Name]; ok && !n.SaidAt.After(old.SaidAt) {
+	if old, ok := d.nodes[n.Name]; ok && !n.RequestedAt.After(old.RequestedAt) {
 		return
 	}
 	d.nodes[n.Name] = n
 }
 
-// Introduce adds a node that called this one, so that its status can be requested.
+// AddCaller adds a node that called this one, so that its status can be requested.
 //
 // The caller's data has no request time by this node's clock, so it neither
 // refreshes a known node nor makes a new one count as live.
-func (d *Directory) Introduce(n Node) {
-	n.SaidAt = time.Time{}
+func (d *Directory) AddCaller(n Node) {
+	n.RequestedAt = time.Time{}
 	n.Applied, n.Ready, n.Models = 0, false, nil
-	d.Learn(n)
+	d.Update(n)
 }
 
-// LearnHeld records a status report that came from the node itself, with its requests in flight by group.
-func (d *Directory) LearnHeld(n Node, inFlight map[state.GroupName]int) {
-	d.Learn(n)
+// UpdateInFlight records a status report that came from the node itself, with its requests in flight by group.
+func (d *Directory) UpdateInFlight(n Node, inFlight map[state.GroupName]int) {
+	d.Update(n)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if old, ok := d.inFlight[n.Name]; !ok || n.SaidAt.After(old.node.SaidAt) {
+	if old, ok := d.inFlight[n.Name]; !ok || n.RequestedAt.After(old.node.RequestedAt) {
 		d.inFlight[n.Name] = inFlightReport{node: n, inFlight: inFlight}
 	}
 }
 
-// Known returns all known nodes except the node itself, sorted by name.
-func (d *Directory) Known() []Node {
+// Peers returns all known nodes except the node itself, sorted by name.
+func (d *Directory) Peers() []Node {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	list := make([]Node, 0, len(d.nodes))
@@ -116,19 +116,19 @@
 // another hall: its status reports arrive less often, relayed by one node of this hall.
 const remoteLivenessFactor = 3
 
-// Live returns the live peers of a hall, or of all halls if hall is empty.
-func (d *Directory) Live(hall state.HallName, now time.Time) []Node {
-	return slices.DeleteFunc(d.Known(), func(n Node) bool {
+// LivePeers returns the live peers of a hall, or of all halls if hall is empty.
+func (d *Directory) LivePeers(hall state.HallName, now time.Time) []Node {
+	return slices.DeleteFunc(d.Peers(), func(n Node) bool {
 		limit := d.livenessTimeout
 		if n.Hall != d.self.Hall {
 			limit *= remoteLivenessFactor
 		}
-		return (hall != "" && n.Hall != hall) || now.Sub(n.SaidAt) > limit || d.suspected(n)
+		return (hall != "" && n.Hall != hall) || now.Sub(n.RequestedAt) > limit || d.suspected(n)
 	})
 }
 
-// Suspect records that a node could not be reached. It does not count as live until a newer status report.
-func (d *Directory) Suspect(name string, now time.Time) {
+// MarkSuspected records that a node could not be reached. It does not count as live until a newer status report.
+func (d *Directory) MarkSuspected(name string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.suspectedAt[name] = now
@@ -138,40 +138,40 @@
 func (d *Directory) suspected(n Node) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return !n.SaidAt.After(d.suspectedAt[n.Name])
+	return !n.RequestedAt.After(d.suspectedAt[n.Name])
 }
 
 // LiveHallNodes returns the names of the node itself and its live peers in its own hall.
 func (d *Directory) LiveHallNodes(now time.Time) []string {
 	names := []string{d.self.Name}
-	for _, n := range d.Live(d.self.Hall, now) {
+	for _, n := range d.LivePeers(d.self.Hall, now) {
 		names = append(names, n.Name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Mine reports whether this node owns a piece of the hall's work.
-func (d *Directory) Mine(key string, now time.Time) bool {
+// Owns reports whether this node owns a piece of the hall's work.
+func (d *Directory) Owns(key string, now time.Time) bool {
 	return Owner(key, d.LiveHallNodes(now)) == d.self.Name
 }
 
-// ClearedOf reports whether every other node of the group's hall has applied the group's drain
+// IsDrained reports whether every other node of the group's hall has applied the group's drain
 // and has no request of the group in flight.
 //
 // Only a report from the node itself counts, with the offset that it had applied at
 // that time: a relayed report may be newer than the count of its requests. A silent
 // node blocks for as long as goneAfter, since it may still be working on a request. After
 // that its connections count as closed.
-func (d *Directory) ClearedOf(g *state.Group, now time.Time, goneAfter time.Duration) bool {
+func (d *Directory) IsDrained(g *state.Group, now time.Time, goneAfter time.Duration) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for name, n := range d.nodes {
-		if n.Hall != g.Hall || now.Sub(n.SaidAt) > goneAfter {
+		if n.Hall != g.Hall || now.Sub(n.RequestedAt) > goneAfter {
 			continue
 		}
 		last := d.inFlight[name]
-		if last.node.Applied < g.Drained || now.Sub(last.node.SaidAt) > d.livenessTimeout || last.inFlight[g.Name] > 0 {
+		if last.node.Applied < g.Drained || now.Sub(last.node.RequestedAt) > d.livenessTimeout || last.inFlight[g.Name] > 0 {
 			return false
 		}
 	}
@@ -195,13 +195,13 @@
 	return best
 }
 
-// Split divides places among nodes by their demand and returns the share of one node.
+// ShareOf divides places among nodes by their demand and returns the share of one node.
 //
 // Every node computes the same division from the same demands, and the shares add up
 // to places exactly. If there are enough places, every node gets at least one, and at
 // least about half of an equal share: the load balancer may send the next burst to a
 // node that had no demand before.
-func Split(places int, demand map[string]int, name string) int {
+func ShareOf(places int, demand map[string]int, name string) int {
 	names := make([]string, 0, len(demand))
 	total := 0
 	for n, d := range demand {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -22,7 +22,7 @@
 		places := rapid.IntRange(0, 500).Draw(t, "whole")
 		sum, withoutPlace := 0, 0
 		for name := range demand {
-			share := membership.Split(places, demand, name)
+			share := membership.ShareOf(places, demand, name)
 			sum += share
 			if share == 0 {
 				withoutPlace++
@@ -70,12 +70,12 @@
 		inFlight int
 		cleared  bool
 	}{
-		{"applied and idle", membership.Node{Applied: 10, SaidAt: now}, 0, true},
-		{"request in flight", membership.Node{Applied: 10, SaidAt: now}, 1, false},
-		{"has not applied the drain", membership.Node{Applied: 9, SaidAt: now}, 0, false},
-		{"silent, may still be working on a request", membership.Node{Applied: 10, SaidAt: now.Add(-3 * time.Second)}, 0, false},
-		{"gone", membership.Node{Applied: 9, SaidAt: now.Add(-time.Minute)}, 1, true},
-		{"of another hall", membership.Node{Hall: "other", Applied: 0, SaidAt: now}, 0, true},
+		{"applied and idle", membership.Node{Applied: 10, RequestedAt: now}, 0, true},
+		{"request in flight", membership.Node{Applied: 10, RequestedAt: now}, 1, false},
+		{"has not applied the drain", membership.Node{Applied: 9, RequestedAt: now}, 0, false},
+		{"silent, may still be working on a request", membership.Node{Applied: 10, RequestedAt: now.Add(-3 * time.Second)}, 0, false},
+		{"gone", membership.Node{Applied: 9, RequestedAt: now.Add(-time.Minute)}, 1, true},
+		{"of another hall", membership.Node{Hall: "other", Applied: 0, RequestedAt: now}, 0, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -84,8 +84,8 @@
 			if c.node.Hall == "" {
 				c.node.Hall = "h"
 			}
-			d.LearnHeld(c.node, map[state.GroupName]int{"g": c.inFlight})
-			NewWithT(t).Expect(d.ClearedOf(group, now, 30*time.Second)).To(Equal(c.cleared))
+			d.UpdateInFlight(c.node, map[state.GroupName]int{"g": c.inFlight})
+			NewWithT(t).Expect(d.IsDrained(group, now, 30*time.Second)).To(Equal(c.cleared))
 		})
 	}
 }
@@ -97,33 +97,33 @@
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	group := &state.Group{Name: "g", Hall: "h", Drained: 10}
 	d := membership.NewDirectory(membership.Node{Name: "self", Hall: "h"}, 2*time.Second)
-	d.LearnHeld(membership.Node{Name: "n", Hall: "h", Applied: 9, SaidAt: now.Add(-time.Second)}, nil)
-	d.Learn(membership.Node{Name: "n", Hall: "h", Applied: 10, SaidAt: now})
-	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeFalse())
-	d.LearnHeld(membership.Node{Name: "n", Hall: "h", Applied: 10, SaidAt: now}, nil)
-	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeTrue())
-	d.Learn(membership.Node{Name: "m", Hall: "h", Applied: 10, SaidAt: now})
-	g.Expect(d.ClearedOf(group, now, 30*time.Second)).To(BeFalse(), "m has not reported its requests in flight")
+	d.UpdateInFlight(membership.Node{Name: "n", Hall: "h", Applied: 9, RequestedAt: now.Add(-time.Second)}, nil)
+	d.Update(membership.Node{Name: "n", Hall: "h", Applied: 10, RequestedAt: now})
+	g.Expect(d.IsDrained(group, now, 30*time.Second)).To(BeFalse())
+	d.UpdateInFlight(membership.Node{Name: "n", Hall: "h", Applied: 10, RequestedAt: now}, nil)
+	g.Expect(d.IsDrained(group, now, 30*time.Second)).To(BeTrue())
+	d.Update(membership.Node{Name: "m", Hall: "h", Applied: 10, RequestedAt: now})
+	g.Expect(d.IsDrained(group, now, 30*time.Second)).To(BeFalse(), "m has not reported its requests in flight")
 }
 
 func TestLearnKeepsNewestReport(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	d := membership.NewDirectory(membership.Node{Name: "self", Hall: "h"}, 2*time.Second)
-	d.Learn(membership.Node{Name: "n", Hall: "h", Applied: 9, SaidAt: now})
-	d.Learn(membership.Node{Name: "n", Hall: "h", Applied: 4, SaidAt: now.Add(-time.Second)})
-	d.Introduce(membership.Node{Name: "n", Hall: "h", Applied: 99})
-	d.Learn(membership.Node{Name: "self", Hall: "h", Applied: 1, SaidAt: now})
-	g.Expect(d.Known()).To(HaveLen(1))
-	g.Expect(d.Known()[0].Applied).To(Equal(state.Offset(9)))
-	g.Expect(d.Live("h", now.Add(3*time.Second))).To(BeEmpty())
-	d.Learn(membership.Node{Name: "far", Hall: "other", SaidAt: now})
-	g.Expect(d.Live("", now.Add(3*time.Second))).To(HaveLen(1))
-	g.Expect(d.Live("", now.Add(7*time.Second))).To(BeEmpty())
-	d.Suspect("far", now.Add(time.Second))
-	g.Expect(d.Live("other", now.Add(3*time.Second))).To(BeEmpty())
-	d.Learn(membership.Node{Name: "far", Hall: "other", SaidAt: now.Add(time.Second / 2)})
-	g.Expect(d.Live("other", now.Add(3*time.Second))).To(BeEmpty(), "a report from before the suspicion does not clear it")
-	d.Learn(membership.Node{Name: "far", Hall: "other", SaidAt: now.Add(2 * time.Second)})
-	g.Expect(d.Live("other", now.Add(3*time.Second))).To(HaveLen(1))
+	d.Update(membership.Node{Name: "n", Hall: "h", Applied: 9, RequestedAt: now})
+	d.Update(membership.Node{Name: "n", Hall: "h", Applied: 4, RequestedAt: now.Add(-time.Second)})
+	d.AddCaller(membership.Node{Name: "n", Hall: "h", Applied: 99})
+	d.Update(membership.Node{Name: "self", Hall: "h", Applied: 1, RequestedAt: now})
+	g.Expect(d.Peers()).To(HaveLen(1))
+	g.Expect(d.Peers()[0].Applied).To(Equal(state.Offset(9)))
+	g.Expect(d.LivePeers("h", now.Add(3*time.Second))).To(BeEmpty())
+	d.Update(membership.Node{Name: "far", Hall: "other", RequestedAt: now})
+	g.Expect(d.LivePeers("", now.Add(3*time.Second))).To(HaveLen(1))
+	g.Expect(d.LivePeers("", now.Add(7*time.Second))).To(BeEmpty())
+	d.MarkSuspected("far", now.Add(time.Second))
+	g.Expect(d.LivePeers("other", now.Add(3*time.Second))).To(BeEmpty())
+	d.Update(membership.Node{Name: "far", Hall: "other", RequestedAt: now.Add(time.Second / 2)})
+	g.Expect(d.LivePeers("other", now.Add(3*time.Second))).To(BeEmpty(), "a report from before the suspicion does not clear it")
+	d.Update(membership.Node{Name: "far", Hall: "other", RequestedAt: now.Add(2 * time.Second)})
+	g.Expect(d.LivePeers("other", now.Add(3*time.Second))).To(HaveLen(1))
 }
--- a/protocol/peer/convert.go
+++ b/protocol/peer/convert.go
@@ -28,9 +28,9 @@
 		Applied:     uint64(n.Applied),
 		Ready:       n.Ready,
 		Stopping:    n.Stopping,
-		LogAgeMs:    Milliseconds(n.LogAge),
-		Held:        uint32(max(0, n.Held)),
-		Demand:      uint32(max(0, n.Demand)),
+		LogAgeMs:    Milliseconds(n.LogLag),
+		Held:        uint32(max(0, n.InFlight)),
+		Demand:      uint32(max(0, n.RequestRate)),
 		AgeMs:       Milliseconds(age),
 		Models:      n.Models,
 	}
@@ -50,11 +50,11 @@
 		Applied:     state.Offset(m.GetApplied()),
 		Ready:       m.GetReady(),
 		Stopping:    m.GetStopping(),
-		LogAge:      Duration(m.GetLogAgeMs()),
-		Held:        int(m.GetHeld()),
-		Demand:      int(m.GetDemand()),
+		LogLag:      Duration(m.GetLogAgeMs()),
+		InFlight:    int(m.GetHeld()),
+		RequestRate: int(m.GetDemand()),
 		Models:      m.GetModels(),
-		SaidAt:      asked.Add(-Duration(m.GetAgeMs())),
+		RequestedAt: asked.Add(-Duration(m.GetAgeMs())),
 	}, nil
 }
 
--- a/protocol/peer/peer.go
+++ b/protocol/peer/peer.go
@@ -137,7 +137,7 @@
 // Addresses returns where peers are: the live ones, else every address known.
 func (c *Client) Addresses() []netip.AddrPort {
 	var list []netip.AddrPort
-	for _, n := range c.dir.Live("", c.now()) {
+	for _, n := range c.dir.LivePeers("", c.now()) {
 		list = append(list, n.Address)
 	}
 	if len(list) > 0 {
--- a/transport/caller/caller.go
+++ b/transport/caller/caller.go
@@ -128,7 +128,7 @@
 		return
 	}
 	names := s.c.OpenModels()
-	for _, n := range s.c.Directory.Live("", s.c.Clock.Now()) {
+	for _, n := range s.c.Directory.LivePeers("", s.c.Clock.Now()) {
 		names = append(names, n.Models...)
 	}
 	slices.Sort(names)
--- a/transport/caller/forward.go
+++ b/transport/caller/forward.go
@@ -41,7 +41,7 @@
 		}
 		s.note(q, "%s failed: %v", n.Name, err)
 		if ctx.Err() == nil {
-			s.c.Directory.Suspect(n.Name, s.c.Clock.Now())
+			s.c.Directory.MarkSuspected(n.Name, s.c.Clock.Now())
 		}
 		worst = worse(worst, outcome)
 		f := withOutcome(worst, CodePeerFailed, "the node that the request was passed on to failed")
@@ -55,11 +55,11 @@
 // helpers returns the nodes of other halls that the team may use and that can serve the pool, the least loaded first.
 func (s *Server) helpers(q *request, pool string) []membership.Node {
 	own := s.c.Directory.Self().Hall
-	nodes := s.c.Directory.Live("", s.c.Clock.Now())
+	nodes := s.c.Directory.LivePeers("", s.c.Clock.Now())
 	nodes = slices.DeleteFunc(nodes, func(n membership.Node) bool {
 		return n.Hall == own || !n.Ready || n.Stopping || q.team.Halls[n.Hall].Places == 0 || !slices.Contains(n.Models, pool)
 	})
-	slices.SortStableFunc(nodes, func(a, b membership.Node) int { return a.Held - b.Held })
+	slices.SortStableFunc(nodes, func(a, b membership.Node) int { return a.InFlight - b.InFlight })
 	return nodes
 }
 
--- a/transport/caller/ticket.go
+++ b/transport/caller/ticket.go
@@ -79,7 +79,7 @@
 	if q.forwarded {
 		return false, gone
 	}
-	for _, n := range s.c.Directory.Known() {
+	for _, n := range s.c.Directory.Peers() {
 		if n.Name != node || n.Incarnation != incarnation {
 			continue
 		}
--- a/transport/core/capacity.go
+++ b/transport/core/capacity.go
@@ -13,9 +13,9 @@
 // HallDemand returns the demand of each live node of the hall, this one included.
 func (c *Core) HallDemand() map[string]int {
 	demand := map[string]int{c.Directory.Self().Name: int(c.Demand.Load())}
-	for _, n := range c.Directory.Live(c.Directory.Self().Hall, c.Clock.Now()) {
+	for _, n := range c.Directory.LivePeers(c.Directory.Self().Hall, c.Clock.Now()) {
 		if !n.Stopping {
-			demand[n.Name] = n.Demand
+			demand[n.Name] = n.RequestRate
 		}
 	}
 	return demand
@@ -23,7 +23,7 @@
 
 // TeamLimit returns how many places of a team's share fall to this node.
 func (c *Core) TeamLimit(share state.Share) int {
-	return membership.Split(share.Places, c.HallDemand(), c.Directory.Self().Name)
+	return membership.ShareOf(share.Places, c.HallDemand(), c.Directory.Self().Name)
 }
 
 // UpdateCapacity sets the places of every pool from the slots of its open groups.
@@ -37,7 +37,7 @@
 				slots += slotsOf(cand)
 			}
 		}
-		c.Pools.Get(name).SetCapacity(membership.Split(slots, demand, c.Directory.Self().Name))
+		c.Pools.Get(name).SetCapacity(membership.ShareOf(slots, demand, c.Directory.Self().Name))
 	}
 }
 
--- a/transport/core/core.go
+++ b/transport/core/core.go
@@ -74,12 +74,12 @@
 	n.Applied = c.InForce()
 	n.Ready = c.Ready() == nil
 	n.Stopping = c.Stopping.Load()
-	n.Held = int(c.Held.Load())
-	n.Demand = int(c.Demand.Load())
-	n.SaidAt = c.Clock.Now()
-	n.LogAge = time.Hour
+	n.InFlight = int(c.Held.Load())
+	n.RequestRate = int(c.Demand.Load())
+	n.RequestedAt = c.Clock.Now()
+	n.LogLag = time.Hour
 	if age, ok := c.Follower.HeadAge(); ok {
-		n.LogAge = age
+		n.LogLag = age
 	}
 	n.Models = c.OpenModels()
 	return n
--- a/transport/core/ready.go
+++ b/transport/core/ready.go
@@ -44,8 +44,8 @@
 		return nil
 	}
 	mine := c.Follower.Applied()
-	for _, n := range c.Directory.Live("", c.Clock.Now()) {
-		if n.Applied > mine && n.LogAge < c.Settings.Behind {
+	for _, n := range c.Directory.LivePeers("", c.Clock.Now()) {
+		if n.Applied > mine && n.LogLag < c.Settings.Behind {
 			return fmt.Errorf("at offset %d, %s is at %d", mine, n.Name, n.Applied)
 		}
 	}
--- a/transport/node/control.go
+++ b/transport/node/control.go
@@ -83,7 +83,7 @@
 	if c := n.Routing.Get(g.Name); c != nil && c.Held() > 0 {
 		return false
 	}
-	if n.InForce() < g.Drained || !n.Directory.ClearedOf(g, now, goneAfter) {
+	if n.InForce() < g.Drained || !n.Directory.IsDrained(g, now, goneAfter) {
 		return false
 	}
 	e, ok := n.Evidence.Get(g.Members[0])
@@ -101,7 +101,7 @@
 	case op.DissolveGroup != nil:
 		hall, key = view.ByName[op.DissolveGroup.Group].Hall, string(op.DissolveGroup.Group)
 	}
-	return hall == n.Settings.Hall && n.Directory.Mine("propose/"+key, now)
+	return hall == n.Settings.Hall && n.Directory.Owns("propose/"+key, now)
 }
 
 // propose appends operations as one command of the node itself.
@@ -158,7 +158,7 @@
 		}
 		one := repair.Group{Group: g, Seats: n.missingSeats(g, now, seen), Weight: 1}
 		c := n.Routing.Get(g.Name)
-		mine := n.Directory.Mine("repair/"+g.Domain, now)
+		mine := n.Directory.Owns("repair/"+g.Domain, now)
 		switch whole := c != nil && c.Whole(now); {
 		case len(one.Seats) > 0 && mine:
 			in.Broken = append(in.Broken, one)
--- a/transport/node/exchange.go
+++ b/transport/node/exchange.go
@@ -74,9 +74,9 @@
 	now := n.Clock.Now()
 	known := map[netip.AddrPort]bool{}
 	var hall, others []netip.AddrPort
-	for _, p := range n.Directory.Known() {
+	for _, p := range n.Directory.Peers() {
 		known[p.Address] = true
-		live := now.Sub(p.SaidAt) < liveness*n.Settings.ExchangeInterval
+		live := now.Sub(p.RequestedAt) < liveness*n.Settings.ExchangeInterval
 		switch {
 		case p.Hall == n.Settings.Hall && live:
 			hall = append(hall, p.Address)
@@ -91,7 +91,7 @@
 	}
 	rand.Shuffle(len(hall), func(i, j int) { hall[i], hall[j] = hall[j], hall[i] })
 	list := hall[:min(hallFanout, len(hall))]
-	if len(others) > 0 && (len(hall) == 0 || len(n.Directory.Known()) < len(n.Settings.Peers) || n.Directory.Mine("speaker", now)) {
+	if len(others) > 0 && (len(hall) == 0 || len(n.Directory.Peers()) < len(n.Settings.Peers) || n.Directory.Owns("speaker", now)) {
 		list = append(list, others[rand.IntN(len(others))])
 	}
 	return list
@@ -117,13 +117,13 @@
 		n.Count("exchanges.unusable")
 		return
 	}
-	n.Directory.Learn(self)
+	n.Directory.Update(self)
 	mirror.ResetIfRestarted(self.Incarnation)
 	n.Quarantine.Merge(peer.DecodeLedger(resp, n.Clock.Now()), quarantine.Peer)
 	mirror.LedgerVersion = resp.GetLedgerVersion()
 	for _, m := range resp.GetNodes() {
 		if other, err := peer.DecodeNode(m, asked); err == nil {
-			n.Directory.Learn(other)
+			n.Directory.Update(other)
 		}
 	}
 	if self.Hall == n.Settings.Hall {
@@ -147,10 +147,10 @@
 	for _, h := range resp.GetHeld() {
 		held[state.GroupName(h.GetGroup())] = int(h.GetHeld())
 	}
-	n.Directory.LearnHeld(self, held)
+	n.Directory.UpdateInFlight(self, held)
 	delta, ages := peer.DecodeDelta(resp)
 	confirmed := peer.Duration(resp.GetConfirmedAgeMs())
-	for _, r := range mirror.Apply(n.Evidence, self.Incarnation, delta, self.SaidAt, confirmed, ages) {
+	for _, r := range mirror.Apply(n.Evidence, self.Incarnation, delta, self.RequestedAt, confirmed, ages) {
 		n.observed(r)
 	}
 }
--- a/transport/node/loops.go
+++ b/transport/node/loops.go
@@ -166,7 +166,7 @@
 	return probe.Sources{
 		Instances: n.hallInstances,
 		Mine: func(id state.InstanceID) bool {
-			return n.Directory.Mine("probe/"+string(id), n.Clock.Now())
+			return n.Directory.Owns("probe/"+string(id), n.Clock.Now())
 		},
 		View:     n.Follower.View,
 		MayOrder: n.LogFresh,
@@ -281,7 +281,7 @@
 	arrived := float64(n.Arrived.Swap(0)) / capacityInterval.Seconds()
 	n.Demand.Store(int64(keep*float64(n.Demand.Load()) + (1-keep)*arrived))
 	n.UpdateCapacity()
-	n.Claims.SetRate(n.Settings.AppendRate / float64(1+len(n.Directory.Live("", n.Clock.Now()))))
+	n.Claims.SetRate(n.Settings.AppendRate / float64(1+len(n.Directory.LivePeers("", n.Clock.Now()))))
 }
 
 // snapshotRound appends a snapshot when one is due and it falls to this node.
@@ -291,7 +291,7 @@
 		return
 	}
 	names := []string{n.Settings.Name}
-	for _, p := range n.Directory.Live("", n.Clock.Now()) {
+	for _, p := range n.Directory.LivePeers("", n.Clock.Now()) {
 		names = append(names, p.Name)
 	}
 	late := due > state.Offset(2*n.Settings.SnapshotEvery)
--- a/transport/operator/operator.go
+++ b/transport/operator/operator.go
@@ -162,8 +162,8 @@
 	} else {
 		behind = append(behind, s.c.Settings.Name)
 	}
-	for _, n := range s.c.Directory.Known() {
-		age := now.Sub(n.SaidAt)
+	for _, n := range s.c.Directory.Peers() {
+		age := now.Sub(n.RequestedAt)
 		switch {
 		case n.Applied >= at:
 			inForce = append(inForce, n.Name)
--- a/transport/operator/question.go
+++ b/transport/operator/question.go
@@ -80,7 +80,7 @@
 func (s *Server) gather(ctx context.Context, t *table, text string) {
 	col := slices.Index(t.columns, hallColumn)
 	asked := map[state.HallName]bool{s.c.Settings.Hall: true}
-	for _, n := range s.c.Directory.Live("", s.c.Clock.Now()) {
+	for _, n := range s.c.Directory.LivePeers("", s.c.Clock.Now()) {
 		if asked[n.Hall] {
 			continue
 		}
--- a/transport/operator/show.go
+++ b/transport/operator/show.go
@@ -168,9 +168,9 @@
 	t := &table{columns: []string{"node", hallColumn, "address", "applied", "ready", "stopping", "held", "demand", "log-age", "heard"}}
 	now := s.c.Clock.Now()
 	self := s.c.Self()
-	t.add(self.Name, self.Hall, self.Address, self.Applied, self.Ready, self.Stopping, self.Held, self.Demand, self.LogAge.Round(time.Millisecond), "self")
-	for _, n := range s.c.Directory.Known() {
-		t.add(n.Name, n.Hall, n.Address, n.Applied, n.Ready, n.Stopping, n.Held, n.Demand, n.LogAge.Round(time.Millisecond), now.Sub(n.SaidAt).Round(time.Millisecond))
+	t.add(self.Name, self.Hall, self.Address, self.Applied, self.Ready, self.Stopping, self.InFlight, self.RequestRate, self.LogLag.Round(time.Millisecond), "self")
+	for _, n := range s.c.Directory.Peers() {
+		t.add(n.Name, n.Hall, n.Address, n.Applied, n.Ready, n.Stopping, n.InFlight, n.RequestRate, n.LogLag.Round(time.Millisecond), now.Sub(n.RequestedAt).Round(time.Millisecond))
 	}
 	t.sort()
 	return t
--- a/transport/operator/why.go
+++ b/transport/operator/why.go
@@ -66,7 +66,7 @@
 
 // askHall passes a question on to a live node of a hall.
 func (s *Server) askHall(ctx context.Context, hall state.HallName, text string) (*rpc.ExecuteResponse, error) {
-	for _, n := range s.c.Directory.Live(hall, s.c.Clock.Now()) {
+	for _, n := range s.c.Directory.LivePeers(hall, s.c.Clock.Now()) {
 		resp, err := s.c.Peers.At(n.Address).Ask(ctx, connect.NewRequest(&rpc.ExecuteRequest{Text: text}))
 		if err == nil {
 			return resp.Msg, nil
@@ -129,7 +129,7 @@
 	}
 	resp := t.message()
 	if everywhere {
-		for _, n := range s.c.Directory.Live("", s.c.Clock.Now()) {
+		for _, n := range s.c.Directory.LivePeers("", s.c.Clock.Now()) {
 			more, err := s.c.Peers.At(n.Address).Ask(ctx, connect.NewRequest(&rpc.ExecuteRequest{Text: text}))
 			if err == nil {
 				resp.Table.Rows = append(resp.Table.Rows, more.Msg.GetTable().GetRows()...)
--- a/transport/peerapi/peerapi.go
+++ b/transport/peerapi/peerapi.go
@@ -51,7 +51,7 @@
 func (s *Server) Exchange(_ context.Context, req *connect.Request[rpc.ExchangeRequest]) (*connect.Response[rpc.ExchangeResponse], error) {
 	now := s.c.Clock.Now()
 	if from, err := peer.DecodeNode(req.Msg.GetFrom(), now); err == nil {
-		s.c.Directory.Introduce(from)
+		s.c.Directory.AddCaller(from)
 	}
 	seen, seenLedger := req.Msg.GetSeenVersion(), req.Msg.GetSeenLedger()
 	if req.Msg.GetSeenIncarnation() != s.c.Directory.Self().Incarnation {
@@ -84,8 +84,8 @@
 // nodes returns what this node knows of the others.
 func (s *Server) nodes(now time.Time) []*rpc.Node {
 	var list []*rpc.Node
-	for _, n := range s.c.Directory.Known() {
-		if age := now.Sub(n.SaidAt); age < maxNodeAge {
+	for _, n := range s.c.Directory.Peers() {
+		if age := now.Sub(n.RequestedAt); age < maxNodeAge {
 			list = append(list, peer.EncodeNode(n, age))
 		}
 	}
