--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -18,11 +18,11 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// ErrDown is returned when nothing listens at an instance's address: its process is not running.
-var ErrDown = errors.New("probe: nothing listens at the instance's address")
+// ErrNotListening is returned when nothing listens at an instance's address: its process is not running.
+var ErrNotListening = errors.New("probe: nothing listens at the instance's address")
 
-// Target sends probes and orders to instances.
-type Target interface {
+// InstanceClient sends probes and orders to instances.
+type InstanceClient interface {
 	// Probe returns an instance's report. ErrDown means that the instance is certainly not running.
 	Probe(ctx context.Context, addr netip.AddrPort) (evidence.Report, error)
 	Order(ctx context.Context, addr netip.AddrPort, o control.Order) error
@@ -31,31 +31,31 @@
 // Config holds the settings of a Prober.
 type Config struct {
 	Interval time.Duration
-	// Window is the evidence window. A probe times out after half of it.
-	Window time.Duration
+	// EvidenceWindow is the evidence window. A probe times out after half of it.
+	EvidenceWindow time.Duration
 }
 
-// Sources holds the functions through which a Prober reads the node's state and reports to it.
-type Sources struct {
+// Hooks holds the functions through which a Prober reads the node's state and reports to it.
+type Hooks struct {
 	// Instances returns the addresses of the hall's instances.
 	Instances func() map[state.InstanceID]netip.AddrPort
-	// Mine reports whether this node owns the probing of an instance.
-	Mine func(id state.InstanceID) bool
-	View func() *statelog.View
+	// Owns reports whether this node owns the probing of an instance.
+	Owns      func(id state.InstanceID) bool
+	StateView func() *statelog.View
 	// MayOrder reports whether the node's state is fresh enough to give orders.
 	MayOrder func() bool
-	// Observed is called after a report of an instance was recorded.
-	Observed func(r evidence.Report)
-	// Count increments a counter.
-	Count func(name string)
+	// OnReport is called after a report of an instance was recorded.
+	OnReport func(r evidence.Report)
+	// IncrementCounter increments a counter.
+	IncrementCounter func(name string)
 }
 
 // Prober probes the instances that its node owns, and those whose evidence is about to expire
 // because their owner has not probed them.
 type Prober struct {
 	cfg    Config
-	target Target
-	src    Sources
+	target InstanceClient
+	src    Hooks
 	table  *evidence.Table
 	feed   *evidence.Feed
 	clock  clockwork.Clock
@@ -65,7 +65,7 @@
 }
 
 // New returns a Prober that records reports in a table and a feed.
-func New(cfg Config, target Target, src Sources, table *evidence.Table, feed *evidence.Feed, clock clockwork.Clock) *Prober {
+func New(cfg Config, target InstanceClient, src Hooks, table *evidence.Table, feed *evidence.Feed, clock clockwork.Clock) *Prober {
 	return &Prober{cfg: cfg, target: target, src: src, table: table, feed: feed, clock: clock, inFlight: map[state.InstanceID]bool{}}
 }
 
@@ -78,25 +78,25 @@
 		case <-ctx.Done():
 			return
 		case <-tick.Chan():
-			p.Round(ctx)
+			p.ProbeDue(ctx)
 		}
 	}
 }
 
-// Round starts one probe of every instance that needs one.
-func (p *Prober) Round(ctx context.Context) {
+// ProbeDue starts one probe of every instance that needs one.
+func (p *Prober) ProbeDue(ctx context.Context) {
 	now := p.clock.Now()
 	for id, addr := range p.src.Instances() {
-		owned := p.src.Mine(id)
+		owned := p.src.Owns(id)
 		if (owned || p.stale(id, now)) && p.markInFlight(id) {
 			go p.probe(ctx, id, addr, owned)
 		}
 	}
-	p.feed.Expire(now.Add(-p.cfg.Window))
+	p.feed.Expire(now.Add(-p.cfg.EvidenceWindow))
 }
 
-// Ask probes an instance of the hall now, unless a probe of it is in flight.
-func (p *Prober) Ask(ctx context.Context, id state.InstanceID) {
+// ProbeInstance probes an instance of the hall now, unless a probe of it is in flight.
+func (p *Prober) ProbeInstance(ctx context.Context, id state.InstanceID) {
 	if addr, ok := p.src.Instances()[id]; ok {
 		p.probeNow(ctx, id, addr)
 	}
@@ -105,12 +105,12 @@
 // probeNow probes an instance at an address now, unless a probe of it is in flight.
 func (p *Prober) probeNow(ctx context.Context, id state.InstanceID, addr netip.AddrPort) {
 	if p.markInFlight(id) {
-		go p.probe(ctx, id, addr, p.src.Mine(id))
+		go p.probe(ctx, id, addr, p.src.Owns(id))
 	}
 }
 
-// AskUnseen probes the instances of the hall that have no report yet.
-func (p *Prober) AskUnseen(ctx context.Context) {
+// ProbeUnreported probes the instances of the hall that have no report yet.
+func (p *Prober) ProbeUnreported(ctx context.Context) {
 	for id, addr := range p.src.Instances() {
 		if _, known := p.table.Get(id); !known {
 			p.probeNow(ctx, id, addr)
@@ -121,7 +121,7 @@
 // stale reports whether the evidence of an instance is about to expire or has expired.
 func (p *Prober) stale(id state.InstanceID, now time.Time) bool {
 	e, ok := p.table.Get(id)
-	return !ok || now.Sub(e.ProbedAt) > p.cfg.Window*2/3
+	return !ok || now.Sub(e.ProbedAt) > p.cfg.EvidenceWindow*2/3
 }
 
 // markInFlight marks an instance as being probed and reports whether it was not marked before.
@@ -145,19 +145,19 @@
 // probe probes one instance and sends it an order if its report calls for one.
 func (p *Prober) probe(ctx context.Context, id state.InstanceID, addr netip.AddrPort, owned bool) {
 	defer p.clearInFlight(id)
-	ctx, cancel := context.WithTimeout(ctx, p.cfg.Window/2)
+	ctx, cancel := context.WithTimeout(ctx, p.cfg.EvidenceWindow/2)
 	defer cancel()
 	probedAt := p.clock.Now()
-	p.src.Count("probes")
+	p.src.IncrementCounter("probes")
 	r, err := p.target.Probe(ctx, addr)
 	switch {
-	case errors.Is(err, ErrDown):
-		p.src.Count("probes.down")
+	case errors.Is(err, ErrNotListening):
+		p.src.IncrementCounter("probes.down")
 		p.recordReport(evidence.Report{Instance: id, Phase: evidence.PhaseDown}, probedAt, owned)
 	case err != nil:
-		p.src.Count("probes.failed")
+		p.src.IncrementCounter("probes.failed")
 	case r.Instance != id:
-		p.src.Count("probes.wrong-instance")
+		p.src.IncrementCounter("probes.wrong-instance")
 	default:
 		p.recordReport(r, probedAt, owned)
 		p.order(ctx, addr, r)
@@ -170,7 +170,7 @@
 	if owned {
 		p.feed.Record(r, probedAt)
 	}
-	p.src.Observed(r)
+	p.src.OnReport(r)
 }
 
 // order sends the order that a report calls for.
@@ -178,14 +178,14 @@
 	if !p.src.MayOrder() {
 		return
 	}
-	o, needed := control.Need(p.src.View(), r)
+	o, needed := control.Need(p.src.StateView(), r)
 	if !needed {
 		return
 	}
-	p.src.Count("orders")
+	p.src.IncrementCounter("orders")
 	fields := log.Fields{"instance": r.Instance, "group": o.Group, "epoch": o.Epoch}
 	if err := p.target.Order(ctx, addr, o); err != nil {
-		p.src.Count("orders.failed")
+		p.src.IncrementCounter("orders.failed")
 		log.WithError(err).WithFields(fields).Warn("order to instance failed")
 		return
 	}
--- a/protocol/target/target.go
+++ b/protocol/target/target.go
@@ -119,7 +119,7 @@
 	resp, _, err := c.control.Do(req)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return evidence.Report{}, fmt.Errorf("%w: %w", probe.ErrDown, err)
+		return evidence.Report{}, fmt.Errorf("%w: %w", probe.ErrNotListening, err)
 	case err != nil:
 		return evidence.Report{}, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
--- a/transport/node/loops.go
+++ b/transport/node/loops.go
@@ -104,7 +104,7 @@
 		case <-tick.Chan():
 		}
 		for _, in := range n.Quarantine.Due(n.Clock.Now()) {
-			n.prober.Ask(ctx, in.ID)
+			n.prober.ProbeInstance(ctx, in.ID)
 		}
 	}
 }
@@ -162,16 +162,16 @@
 }
 
 // sources returns what the prober works on.
-func (n *Node) sources() probe.Sources {
-	return probe.Sources{
+func (n *Node) sources() probe.Hooks {
+	return probe.Hooks{
 		Instances: n.hallInstances,
-		Mine: func(id state.InstanceID) bool {
+		Owns: func(id state.InstanceID) bool {
 			return n.Directory.Owns("probe/"+string(id), n.Clock.Now())
 		},
-		View:     n.Follower.View,
-		MayOrder: n.LogFresh,
-		Observed: n.observed,
-		Count:    n.Count,
+		StateView:        n.Follower.View,
+		MayOrder:         n.LogFresh,
+		OnReport:         n.observed,
+		IncrementCounter: n.Count,
 	}
 }
 
@@ -268,7 +268,7 @@
 		}
 	}
 	n.Evidence.SetLeavingByList(leaving)
-	n.prober.AskUnseen(ctx)
+	n.prober.ProbeUnreported(ctx)
 	select {
 	case n.refresh <- struct{}{}:
 	default:
--- a/transport/node/node.go
+++ b/transport/node/node.go
@@ -117,7 +117,7 @@
 		Cooldowns:  cooldown.NewBook(cooldown.DefaultPolicy()),
 	}
 	n := &Node{Core: c, meter: meter, mirrors: newMirrors(), missing: newMissingSince(), refresh: make(chan struct{}, 1)}
-	n.prober = probe.New(probe.Config{Interval: set.ProbeInterval, Window: set.EvidenceWindow}, c.Targets, n.sources(), c.Evidence, c.Feed, clock)
+	n.prober = probe.New(probe.Config{Interval: set.ProbeInterval, EvidenceWindow: set.EvidenceWindow}, c.Targets, n.sources(), c.Evidence, c.Feed, clock)
 	n.caller = caller.NewServer(c, exchange.New(exchange.Options{
 		DialTimeout: dialTimeout, KeepAlive: true, IdleConns: 64, Source: set.Peer.Addr(), TLS: peerTLS,
 	}))
