--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -122,7 +122,7 @@
 		}
 		kept[v.Incarnation()] = l
 		service := c.Services[v.Service]
-		if service == nil || v.Lost || v.Draining {
+		if service == nil || v.Unreachable || v.Draining {
 			continue
 		}
 		cand := &Candidate{Instance: v.Instance, load: l, table: t}
@@ -158,7 +158,7 @@
 		c.readTime = cmp.Or(model.Pace, 1) * float64(time.Second) / engine.ReadPerSecond
 	}
 	for _, m := range members {
-		if m.Lost {
+		if m.Unreachable {
 			return false
 		}
 		c.Members = append(c.Members, m.Instance)
--- a/coordination/placement/world_test.go
+++ b/coordination/placement/world_test.go
@@ -153,7 +153,7 @@
 	n := &node{
 		number: number,
 		epochs: placement.NewEpochs(sim.era, int64(len(sim.registrationTimes))),
-		roster: roster.New(roster.Config{Beat: heartbeatInterval, Stall: stallTimeout, ReportLag: reportLag + 80*time.Millisecond, Policy: roster.DefaultPolicy()}),
+		roster: roster.New(roster.Config{HeartbeatInterval: heartbeatInterval, StallTimeout: stallTimeout, MaxReportLag: reportLag + 80*time.Millisecond, Policy: roster.DefaultPolicy()}),
 		cursor: &source.Cursor{Settle: settleTime},
 	}
 	n.cursor.Take(-1, source.Tail{Era: sim.era}, sim.now)
@@ -437,11 +437,11 @@
 	case source.Further:
 		sim.readFrom(n, from)
 	case source.All:
-		n.roster.Snapshot(sim.latestInstances(n), source.Position(sim.era, int64(len(sim.records))), sim.now)
+		n.roster.ApplySnapshot(sim.latestInstances(n), source.Position(sim.era, int64(len(sim.records))), sim.now)
 	case source.Restored:
-		n.roster.Restore(sim.latestInstances(n), sim.now)
+		n.roster.ApplyBackup(sim.latestInstances(n), sim.now)
 	}
-	n.roster.Confirm(sim.now)
+	n.roster.RecordListRead(sim.now)
 }
 
 // readFrom makes a node read the records of the list from an offset.
@@ -450,13 +450,13 @@
 		l := sim.records[offset]
 		position := source.Position(sim.era, offset)
 		if l.instance == nil {
-			n.roster.Unlisted(l.id, position, sim.now)
+			n.roster.MarkUnlisted(l.id, position, sim.now)
 			continue
 		}
 		in := *l.instance
 		in.Position = position
 		n.epochs.Observe(in.Membership.Epoch)
-		n.roster.Listed(in, sim.now)
+		n.roster.ApplyFreshEntry(in, sim.now)
 	}
 }
 
@@ -484,12 +484,12 @@
 	askedAt := sim.now
 	t := sim.targets[id]
 	if !sim.reaches(n, t) {
-		sim.schedule(160*time.Millisecond, func() { n.roster.Failed(id, askedAt) })
+		sim.schedule(160*time.Millisecond, func() { n.roster.RecordFailure(id, askedAt) })
 		return
 	}
 	p := t.stateAt(askedAt.Add(-time.Duration(sim.rng.Int64N(int64(reportLag)))))
 	rep := fleet.Report{Born: t.Born, Membership: p.membership, Model: t.Loaded, Staged: t.Staged, Orders: p.orders, Asked: askedAt}
-	sim.schedule(4*time.Millisecond, func() { n.roster.Reported(id, rep) })
+	sim.schedule(4*time.Millisecond, func() { n.roster.RecordReport(id, rep) })
 }
 
 // step runs one planning step of a node, and sends its orders and probes.
@@ -499,12 +499,12 @@
 	}
 	plan := n.planner.Step(sim.now, n.roster.Members("lm", n.leadingSince, sim.now))
 	for _, o := range plan.Orders {
-		sim.send(n, o, n.roster.Ordering(o.Instance))
+		sim.send(n, o, n.roster.BeginOrder(o.Instance))
 	}
 	for _, id := range plan.Ask {
 		sim.probe(n, id)
 	}
-	for _, in := range n.roster.Doubtful(sim.now) {
+	for _, in := range n.roster.ProbeCandidates(sim.now) {
 		sim.probe(n, in.ID)
 	}
 }
@@ -515,7 +515,7 @@
 }
 
 // send delivers an order to its target: promptly, late and without an answer, or with a lost answer.
-func (sim *simulation) send(n *node, o placement.Order, life roster.Life) {
+func (sim *simulation) send(n *node, o placement.Order, life roster.IncarnationNumber) {
 	sim.checkUnique(n, o)
 	if sim.onOrder != nil {
 		sim.onOrder(o)
@@ -526,22 +526,22 @@
 	t := sim.targets[o.Instance]
 	delay := time.Duration(1+sim.rng.IntN(8)) * time.Millisecond
 	if !sim.reaches(n, t) {
-		sim.schedule(400*time.Millisecond, func() { n.roster.Ordered(o, life, placement.Unanswered, sim.now) })
+		sim.schedule(400*time.Millisecond, func() { n.roster.RecordOrderReply(o, life, placement.Unanswered, sim.now) })
 		return
 	}
 	if sim.faultsEnabled && sim.rng.Float64() < sim.orderFaultProbability {
 		sim.schedule(2*time.Second+time.Duration(sim.rng.Int64N(int64(10*time.Second))), func() { sim.handleOrder(t, o) })
-		sim.schedule(800*time.Millisecond, func() { n.roster.Ordered(o, life, placement.Unanswered, sim.now) })
+		sim.schedule(800*time.Millisecond, func() { n.roster.RecordOrderReply(o, life, placement.Unanswered, sim.now) })
 		return
 	}
 	lost := sim.faultsEnabled && sim.rng.Float64() < sim.orderFaultProbability
 	sim.schedule(delay, func() {
 		reply := sim.handleOrder(t, o)
 		if lost {
-			sim.schedule(800*time.Millisecond, func() { n.roster.Ordered(o, life, placement.Unanswered, sim.now) })
+			sim.schedule(800*time.Millisecond, func() { n.roster.RecordOrderReply(o, life, placement.Unanswered, sim.now) })
 			return
 		}
-		n.roster.Ordered(o, life, reply, sim.now)
+		n.roster.RecordOrderReply(o, life, reply, sim.now)
 		if reply == placement.Superseded {
 			n.epochs.Behind()
 		}
--- a/coordination/roster/elsewhere.go
+++ b/coordination/roster/elsewhere.go
@@ -18,9 +18,9 @@
 	prober     string
 }
 
-// AskElsewhere reports whether an indirect probe of an instance that does not answer this node
+// IndirectProbeDue reports whether an indirect probe of an instance that does not answer this node
 // is due.
-func (r *Roster) AskElsewhere(id state.InstanceID, now time.Time) bool {
+func (r *Roster) IndirectProbeDue(id state.InstanceID, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
@@ -30,9 +30,9 @@
 	return e.indirect.requestedAt.Before(e.firstFailureAt) || now.Sub(e.indirect.requestedAt) >= r.cfg.Policy.IndirectInterval
 }
 
-// ReachedElsewhere records a report that another node got from an instance by an indirect probe
+// RecordIndirectReport records a report that another node got from an instance by an indirect probe
 // requested at rep.Asked. It does not reset this node's own probe failures.
-func (r *Roster) ReachedElsewhere(id state.InstanceID, rep fleet.Report, prober string) {
+func (r *Roster) RecordIndirectReport(id state.InstanceID, rep fleet.Report, prober string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
@@ -44,8 +44,8 @@
 	r.applyReport(e, rep)
 }
 
-// ReachedBy returns the name of the node whose indirect probe last reached an instance, or "".
-func (r *Roster) ReachedBy(id state.InstanceID) string {
+// LastIndirectProber returns the name of the node whose indirect probe last reached an instance, or "".
+func (r *Roster) LastIndirectProber(id state.InstanceID) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.entries[id]; e != nil {
@@ -54,9 +54,9 @@
 	return ""
 }
 
-// UnreachedElsewhere records that no other node reached an instance by the indirect probes
+// RecordIndirectFailure records that no other node reached an instance by the indirect probes
 // requested at the given time.
-func (r *Roster) UnreachedElsewhere(id state.InstanceID, requestedAt time.Time) {
+func (r *Roster) RecordIndirectFailure(id state.InstanceID, requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.entries[id]; e != nil {
@@ -80,7 +80,7 @@
 	if e.gone || e.unlistedAndSilent(now, e.lastAnswer()) {
 		return true
 	}
-	if !e.unreachable() || !r.cfg.Indirect {
+	if !e.unreachable() || !r.cfg.IndirectProbes {
 		return e.unreachable()
 	}
 	return !e.indirect.reached && !e.indirect.requestedAt.Before(e.firstFailureAt)
--- a/coordination/roster/elsewhere_test.go
+++ b/coordination/roster/elsewhere_test.go
@@ -15,7 +15,7 @@
 func TestInstanceReachedByOtherNodesIsFarNotLost(t *testing.T) {
 	failTwice := func(r *roster.Roster, now time.Time) {
 		for i := range 2 {
-			r.Failed("i1", now.Add(time.Duration(i)*100*time.Millisecond))
+			r.RecordFailure("i1", now.Add(time.Duration(i)*100*time.Millisecond))
 		}
 	}
 	report := func(probedAt time.Time) fleet.Report { return fleet.Report{Membership: member, Asked: probedAt} }
@@ -24,37 +24,37 @@
 		apply     func(r *roster.Roster, now time.Time)
 		lost, far bool
 	}{
-		{"it answers", func(r *roster.Roster, now time.Time) { r.Reported("i1", report(now)) }, false, false},
+		{"it answers", func(r *roster.Roster, now time.Time) { r.RecordReport("i1", report(now)) }, false, false},
 		{"no indirect probe yet", failTwice, false, true},
 		{"another node reaches it", func(r *roster.Roster, now time.Time) {
 			failTwice(r, now)
-			r.ReachedElsewhere("i1", report(now.Add(200*time.Millisecond)), "b")
+			r.RecordIndirectReport("i1", report(now.Add(200*time.Millisecond)), "b")
 		}, false, true},
 		{"no other node reaches it", func(r *roster.Roster, now time.Time) {
 			failTwice(r, now)
-			r.UnreachedElsewhere("i1", now.Add(200*time.Millisecond))
+			r.RecordIndirectFailure("i1", now.Add(200*time.Millisecond))
 		}, true, false},
 		{"another node reached it before, no node does now", func(r *roster.Roster, now time.Time) {
 			failTwice(r, now)
-			r.ReachedElsewhere("i1", report(now.Add(200*time.Millisecond)), "b")
-			r.UnreachedElsewhere("i1", now.Add(700*time.Millisecond))
+			r.RecordIndirectReport("i1", report(now.Add(200*time.Millisecond)), "b")
+			r.RecordIndirectFailure("i1", now.Add(700*time.Millisecond))
 		}, true, false},
 		{"no other node reached it before it last answered", func(r *roster.Roster, now time.Time) {
-			r.UnreachedElsewhere("i1", now.Add(-time.Second))
+			r.RecordIndirectFailure("i1", now.Add(-time.Second))
 			failTwice(r, now)
 		}, false, true},
 		{"it answers again", func(r *roster.Roster, now time.Time) {
 			failTwice(r, now)
-			r.UnreachedElsewhere("i1", now.Add(200*time.Millisecond))
-			r.Reported("i1", report(now.Add(300*time.Millisecond)))
+			r.RecordIndirectFailure("i1", now.Add(200*time.Millisecond))
+			r.RecordReport("i1", report(now.Add(300*time.Millisecond)))
 		}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			cfg := roster.Config{Beat: 1200 * time.Millisecond, Stall: 4 * time.Second, Indirect: true, Policy: roster.DefaultPolicy()}
+			cfg := roster.Config{HeartbeatInterval: 1200 * time.Millisecond, StallTimeout: 4 * time.Second, IndirectProbes: true, Policy: roster.DefaultPolicy()}
 			r := roster.New(cfg)
-			r.Listed(free, start)
-			r.Confirm(start)
+			r.ApplyFreshEntry(free, start)
+			r.RecordListRead(start)
 			c.apply(r, start.Add(10*time.Millisecond))
 			m := onlyMember(r, start.Add(800*time.Millisecond))
 			g.Expect(m.Lost).To(Equal(c.lost))
@@ -68,13 +68,13 @@
 	r := newRoster()
 	interval := roster.DefaultPolicy().IndirectInterval
 	now := start.Add(time.Second)
-	g.Expect(r.AskElsewhere("i1", now)).To(BeFalse(), "it answers")
-	r.Failed("i1", now)
-	g.Expect(r.AskElsewhere("i1", now)).To(BeTrue(), "it failed one probe")
-	r.UnreachedElsewhere("i1", now)
-	g.Expect(r.AskElsewhere("i1", now.Add(interval/2))).To(BeFalse(), "an indirect probe was just sent")
-	g.Expect(r.AskElsewhere("i1", now.Add(interval))).To(BeTrue(), "the interval has passed")
-	r.Reported("i1", fleet.Report{Asked: now.Add(10 * time.Millisecond)})
-	r.Failed("i1", now.Add(20*time.Millisecond))
-	g.Expect(r.AskElsewhere("i1", now.Add(20*time.Millisecond))).To(BeTrue(), "it answered and then failed again")
+	g.Expect(r.IndirectProbeDue("i1", now)).To(BeFalse(), "it answers")
+	r.RecordFailure("i1", now)
+	g.Expect(r.IndirectProbeDue("i1", now)).To(BeTrue(), "it failed one probe")
+	r.RecordIndirectFailure("i1", now)
+	g.Expect(r.IndirectProbeDue("i1", now.Add(interval/2))).To(BeFalse(), "an indirect probe was just sent")
+	g.Expect(r.IndirectProbeDue("i1", now.Add(interval))).To(BeTrue(), "the interval has passed")
+	r.RecordReport("i1", fleet.Report{Asked: now.Add(10 * time.Millisecond)})
+	r.RecordFailure("i1", now.Add(20*time.Millisecond))
+	g.Expect(r.IndirectProbeDue("i1", now.Add(20*time.Millisecond))).To(BeTrue(), "it answered and then failed again")
 }
--- a/coordination/roster/leaving.go
+++ b/coordination/roster/leaving.go
@@ -28,8 +28,8 @@
 	return true
 }
 
-// Leaving reports whether an incarnation of an instance is known to be leaving.
-func (r *Roster) Leaving(in fleet.Incarnation) bool {
+// IsLeaving reports whether an incarnation of an instance is known to be leaving.
+func (r *Roster) IsLeaving(in fleet.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[in.ID]
--- a/coordination/roster/list.go
+++ b/coordination/roster/list.go
@@ -10,9 +10,9 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Listed records a list entry that the instance wrote since the previous read of the
+// ApplyFreshEntry records a list entry that the instance wrote since the previous read of the
 // list. That read must be recent, so that the entry counts as freshly written.
-func (r *Roster) Listed(in fleet.Instance, now time.Time) {
+func (r *Roster) ApplyFreshEntry(in fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.applyListEntry(in, now); e != nil {
@@ -20,16 +20,16 @@
 	}
 }
 
-// Recalled records a list entry that may have been written long ago.
-func (r *Roster) Recalled(in fleet.Instance, now time.Time) {
+// ApplyOldEntry records a list entry that may have been written long ago.
+func (r *Roster) ApplyOldEntry(in fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.applyListEntry(in, now)
 }
 
-// Snapshot updates the roster from the whole list as of the records before position. Its entries
+// ApplySnapshot updates the roster from the whole list as of the records before position. Its entries
 // may have been written long ago: they count as read, but not as freshly written.
-func (r *Roster) Snapshot(entries []fleet.Instance, position int64, now time.Time) {
+func (r *Roster) ApplySnapshot(entries []fleet.Instance, position int64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	listed := make(map[state.InstanceID]bool, len(entries))
@@ -39,15 +39,15 @@
 	}
 	for id, e := range r.entries {
 		if !listed[id] && e.listed.Position < position {
-			r.markUnlisted(e, position-1, now) // the next record gets position itself
+			r.unlistEntry(e, position-1, now) // the next record gets position itself
 		}
 	}
 }
 
-// Restore updates the roster from the whole list after the store was restored from a backup. The
+// ApplyBackup updates the roster from the whole list after the store was restored from a backup. The
 // backup lacks what was written after it was made, so it neither removes an instance nor reverts
 // newer state of one.
-func (r *Roster) Restore(entries []fleet.Instance, now time.Time) {
+func (r *Roster) ApplyBackup(entries []fleet.Instance, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.entries {
@@ -131,8 +131,8 @@
 	return e
 }
 
-// Confirm records that the list was read up to its end by a request sent at the given time.
-func (r *Roster) Confirm(requestedAt time.Time) {
+// RecordListRead records that the list was read up to its end by a request sent at the given time.
+func (r *Roster) RecordListRead(requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if requestedAt.After(r.listAsOf) {
@@ -140,9 +140,9 @@
 	}
 }
 
-// Fed records that another node relayed all changes of the list as of the given time.
-func (r *Roster) Fed(asOf time.Time) {
-	r.Confirm(asOf)
+// RecordRelayedList records that another node relayed all changes of the list as of the given time.
+func (r *Roster) RecordRelayedList(asOf time.Time) {
+	r.RecordListRead(asOf)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if asOf.After(r.relayedAsOf) {
@@ -157,17 +157,17 @@
 	return now.Sub(r.listAsOf)
 }
 
-// Unlisted records that the list no longer contains an instance as of a position.
-func (r *Roster) Unlisted(id state.InstanceID, position int64, now time.Time) {
+// MarkUnlisted records that the list no longer contains an instance as of a position.
+func (r *Roster) MarkUnlisted(id state.InstanceID, position int64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.entries[id]; e != nil {
-		r.markUnlisted(e, position, now)
+		r.unlistEntry(e, position, now)
 	}
 }
 
-// markUnlisted marks an instance as no longer in the list. r.mu must be held.
-func (r *Roster) markUnlisted(e *entry, position int64, now time.Time) {
+// unlistEntry marks an instance as no longer in the list. r.mu must be held.
+func (r *Roster) unlistEntry(e *entry, position int64, now time.Time) {
 	e.listed.Position = max(e.listed.Position, position)
 	if e.inList {
 		e.inList, e.unlistedAt = false, now
@@ -186,8 +186,8 @@
 	Restored bool `json:",omitempty"`
 }
 
-// Changes returns the instances that changed after a version, sorted by ID, and the current version.
-func (r *Roster) Changes(after uint64) ([]Change, uint64) {
+// ChangesSince returns the instances that changed after a version, sorted by ID, and the current version.
+func (r *Roster) ChangesSince(after uint64) ([]Change, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if after == r.version {
@@ -203,11 +203,11 @@
 	return list, r.version
 }
 
-// Relayed applies a change relayed by another node unless this node has read a newer entry
+// ApplyRelayed applies a change relayed by another node unless this node has read a newer entry
 // itself. If this node has read the same entry, only the draining and leaving marks and the
 // membership are updated: a relayed change never lists again an instance that this node knows
 // to be unlisted at that position.
-func (r *Roster) Relayed(c Change, now time.Time) {
+func (r *Roster) ApplyRelayed(c Change, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[c.ID]
@@ -223,13 +223,13 @@
 		if e.listed.ID == "" {
 			e.listed = c.Instance
 		}
-		r.markUnlisted(e, c.Position, now)
+		r.unlistEntry(e, c.Position, now)
 	case c.Position == e.listed.Position && !e.inList:
 	case c.Restored && !e.inList && known && source.Era(c.Position) > source.Era(e.listed.Position):
 		// The backup contains an entry that this node knows to have been removed since.
 		r.retainKnown(e, c.Instance)
 	default:
-		r.applyRelayed(c.Instance, c.Restored, e, now)
+		r.applyRelayedEntry(c.Instance, c.Restored, e, now)
 	}
 	// Leaving is final for an incarnation, whatever this node has read from the list since.
 	if c.Leaving {
@@ -237,8 +237,8 @@
 	}
 }
 
-// applyRelayed applies a change relayed by another node for a listed instance. r.mu must be held.
-func (r *Roster) applyRelayed(in fleet.Instance, restored bool, e *entry, now time.Time) {
+// applyRelayedEntry applies a change relayed by another node for a listed instance. r.mu must be held.
+func (r *Roster) applyRelayedEntry(in fleet.Instance, restored bool, e *entry, now time.Time) {
 	if e.isLaterIncarnation(in.Born) {
 		r.startIncarnation(e, in, now)
 	}
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -14,16 +14,16 @@
 
 // Config holds the settings of a Roster.
 type Config struct {
-	// Beat is the interval at which an instance writes its entry into the list.
-	Beat time.Duration
-	// Stall is how long a group with a dead member stalls before it reports that it is broken.
-	Stall time.Duration
-	// ReportLag is how far the state in a report may lag behind the probe that asked for it.
-	ReportLag time.Duration
-	// Indirect is set if instances that this node does not reach are probed by other nodes
+	// HeartbeatInterval is the interval at which an instance writes its entry into the list.
+	HeartbeatInterval time.Duration
+	// StallTimeout is how long a group with a dead member stalls before it reports that it is broken.
+	StallTimeout time.Duration
+	// MaxReportLag is how far the state in a report may lag behind the probe that asked for it.
+	MaxReportLag time.Duration
+	// IndirectProbes is set if instances that this node does not reach are probed by other nodes
 	// before the planner treats them as lost.
-	Indirect bool
-	Policy   Policy
+	IndirectProbes bool
+	Policy         Policy
 }
 
 // entry is the state of one instance.
@@ -73,7 +73,7 @@
 	orderPending bool
 	orderedAt    time.Time
 	// incarnation numbers the incarnations seen; it is 0 for the first.
-	incarnation Life
+	incarnation IncarnationNumber
 	// superseded is the formation of the last order that the instance refused as superseded.
 	superseded fleet.GroupKey
 }
@@ -127,16 +127,16 @@
 // membershipKnown reports whether an instance's membership is known as of a recent time after
 // since, either from a freshly written list entry or from a report.
 func (r *Roster) membershipKnown(e *entry, since, now time.Time) bool {
-	freshlyWritten := now.Sub(e.freshEntryAt) < r.cfg.Beat+r.cfg.Beat/2
+	freshlyWritten := now.Sub(e.freshEntryAt) < r.cfg.HeartbeatInterval+r.cfg.HeartbeatInterval/2
 	if e.inList && freshlyWritten && r.listAsOf.After(since) && now.Sub(r.listAsOf) < r.cfg.Policy.MaxMembershipAge {
 		return true
 	}
-	asOf := e.reportProbedAt.Add(-r.cfg.ReportLag)
+	asOf := e.reportProbedAt.Add(-r.cfg.MaxReportLag)
 	return asOf.After(since) && now.Sub(asOf) < r.cfg.Policy.MaxMembershipAge
 }
 
-// Reported records an instance's answer to a probe sent at rep.Asked.
-func (r *Roster) Reported(id state.InstanceID, rep fleet.Report) {
+// RecordReport records an instance's answer to a probe sent at rep.Asked.
+func (r *Roster) RecordReport(id state.InstanceID, rep fleet.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
@@ -157,7 +157,7 @@
 
 // applyReport updates the state of an instance from its report. r.mu must be held.
 func (r *Roster) applyReport(e *entry, rep fleet.Report) {
-	asOf := rep.Asked.Add(-r.cfg.ReportLag)
+	asOf := rep.Asked.Add(-r.cfg.MaxReportLag)
 	if rep.Asked.After(e.reportProbedAt) {
 		e.reportProbedAt = rep.Asked
 	}
@@ -187,8 +187,8 @@
 	}
 }
 
-// Heard records that an instance answered a request sent at the given time.
-func (r *Roster) Heard(id state.InstanceID, sentAt time.Time) {
+// RecordResponse records that an instance answered a request sent at the given time.
+func (r *Roster) RecordResponse(id state.InstanceID, sentAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.entries[id]; e != nil {
@@ -196,8 +196,8 @@
 	}
 }
 
-// Failed records that an instance did not answer a probe or request sent at the given time.
-func (r *Roster) Failed(id state.InstanceID, sentAt time.Time) {
+// RecordFailure records that an instance did not answer a probe or request sent at the given time.
+func (r *Roster) RecordFailure(id state.InstanceID, sentAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
@@ -214,8 +214,8 @@
 	}
 }
 
-// Failures returns the number of consecutive failures of an instance.
-func (r *Roster) Failures(id state.InstanceID) int {
+// ConsecutiveFailures returns the number of consecutive failures of an instance.
+func (r *Roster) ConsecutiveFailures(id state.InstanceID) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.entries[id]; e != nil {
@@ -224,8 +224,8 @@
 	return 0
 }
 
-// Replaced records that another process answers at an instance's address.
-func (r *Roster) Replaced(id state.InstanceID, now time.Time) {
+// RecordReplaced records that another process answers at an instance's address.
+func (r *Roster) RecordReplaced(id state.InstanceID, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
@@ -248,9 +248,9 @@
 	}
 }
 
-// Ordering records that an order to an instance is in flight, and returns the
+// BeginOrder records that an order to an instance is in flight, and returns the
 // incarnation that the order is for.
-func (r *Roster) Ordering(id state.InstanceID) Life {
+func (r *Roster) BeginOrder(id state.InstanceID) IncarnationNumber {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
@@ -261,8 +261,8 @@
 	return e.incarnation
 }
 
-// Life numbers the incarnations of an instance that a Roster has seen.
-type Life int
+// IncarnationNumber numbers the incarnations of an instance that a Roster has seen.
+type IncarnationNumber int
 
 // isEarlierIncarnation reports whether data of a process that started at the given time belongs
 // to an earlier incarnation than the current one. Data without a start time counts as current.
@@ -286,10 +286,10 @@
 	r.markChanged(e)
 }
 
-// Ordered records an instance's reply to an order for one of its incarnations. The effect of
+// RecordOrderReply records an instance's reply to an order for one of its incarnations. The effect of
 // an accepted order is applied at once, since reports and the list show it only later. A
 // reply of an earlier incarnation is ignored.
-func (r *Roster) Ordered(o placement.Order, incarnation Life, reply placement.Reply, now time.Time) {
+func (r *Roster) RecordOrderReply(o placement.Order, incarnation IncarnationNumber, reply placement.Reply, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[o.Instance]
@@ -372,7 +372,7 @@
 	if answered := e.lastAnswer(); answered.After(last) {
 		last = answered
 	}
-	return e.unreachable() && now.Sub(last) > r.cfg.Stall+r.cfg.Policy.GoneMargin
+	return e.unreachable() && now.Sub(last) > r.cfg.StallTimeout+r.cfg.Policy.GoneMargin
 }
 
 // current returns the newest known state of an instance.
@@ -383,11 +383,11 @@
 	return in
 }
 
-// SetReportLag sets Config.ReportLag.
-func (r *Roster) SetReportLag(d time.Duration) {
+// SetMaxReportLag sets Config.MaxReportLag.
+func (r *Roster) SetMaxReportLag(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cfg.ReportLag = d
+	r.cfg.MaxReportLag = d
 }
 
 // updateLiveness marks an instance as gone after a long silence and removes one that has been
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -21,9 +21,9 @@
 
 // newRoster returns a roster with one free instance read from the list.
 func newRoster() *roster.Roster {
-	r := roster.New(roster.Config{Beat: 1200 * time.Millisecond, Stall: 4 * time.Second, ReportLag: 200 * time.Millisecond, Policy: roster.DefaultPolicy()})
-	r.Listed(free, start)
-	r.Confirm(start)
+	r := roster.New(roster.Config{HeartbeatInterval: 1200 * time.Millisecond, StallTimeout: 4 * time.Second, MaxReportLag: 200 * time.Millisecond, Policy: roster.DefaultPolicy()})
+	r.ApplyFreshEntry(free, start)
+	r.RecordListRead(start)
 	return r
 }
 
@@ -44,47 +44,47 @@
 		name  string
 		apply func(r *roster.Roster, now time.Time)
 	}{
-		{"from the list", func(r *roster.Roster, now time.Time) { r.Listed(next, now) }},
-		{"from the whole list", func(r *roster.Roster, now time.Time) { r.Snapshot([]fleet.Instance{next}, 10, now) }},
-		{"from another node", func(r *roster.Roster, now time.Time) { r.Relayed(roster.Change{Instance: next}, now) }},
-		{"from its own report", func(r *roster.Roster, now time.Time) { r.Reported("i1", fleet.Report{Born: second, Asked: now}) }},
+		{"from the list", func(r *roster.Roster, now time.Time) { r.ApplyFreshEntry(next, now) }},
+		{"from the whole list", func(r *roster.Roster, now time.Time) { r.ApplySnapshot([]fleet.Instance{next}, 10, now) }},
+		{"from another node", func(r *roster.Roster, now time.Time) { r.ApplyRelayed(roster.Change{Instance: next}, now) }},
+		{"from its own report", func(r *roster.Roster, now time.Time) { r.RecordReport("i1", fleet.Report{Born: second, Asked: now}) }},
 	}
 	stale := []struct {
 		name  string
-		apply func(r *roster.Roster, incarnation roster.Life, now time.Time)
+		apply func(r *roster.Roster, incarnation roster.IncarnationNumber, now time.Time)
 	}{
-		{"nothing", func(*roster.Roster, roster.Life, time.Time) {}},
-		{"an older entry, written later", func(r *roster.Roster, _ roster.Life, now time.Time) {
+		{"nothing", func(*roster.Roster, roster.IncarnationNumber, time.Time) {}},
+		{"an older entry, written later", func(r *roster.Roster, _ roster.IncarnationNumber, now time.Time) {
 			late := old
 			late.Position = 20
-			r.Listed(late, now)
+			r.ApplyFreshEntry(late, now)
 		}},
-		{"an older entry from another node", func(r *roster.Roster, _ roster.Life, now time.Time) {
+		{"an older entry from another node", func(r *roster.Roster, _ roster.IncarnationNumber, now time.Time) {
 			late := old
 			late.Position = 20
-			r.Relayed(roster.Change{Instance: late}, now)
+			r.ApplyRelayed(roster.Change{Instance: late}, now)
 		}},
-		{"an older report", func(r *roster.Roster, _ roster.Life, now time.Time) {
-			r.Reported("i1", fleet.Report{Born: first, Membership: member, Orders: 7, Asked: now})
+		{"an older report", func(r *roster.Roster, _ roster.IncarnationNumber, now time.Time) {
+			r.RecordReport("i1", fleet.Report{Born: first, Membership: member, Orders: 7, Asked: now})
 		}},
-		{"a late reply to an order", func(r *roster.Roster, incarnation roster.Life, now time.Time) {
-			r.Ordered(placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key()}, incarnation, placement.Begun, now)
+		{"a late reply to an order", func(r *roster.Roster, incarnation roster.IncarnationNumber, now time.Time) {
+			r.RecordOrderReply(placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key()}, incarnation, placement.Begun, now)
 		}},
-		{"a failed probe sent before it", func(r *roster.Roster, _ roster.Life, _ time.Time) {
-			r.Failed("i1", start.Add(4*time.Second))
-			r.Failed("i1", start.Add(4500*time.Millisecond))
+		{"a failed probe sent before it", func(r *roster.Roster, _ roster.IncarnationNumber, _ time.Time) {
+			r.RecordFailure("i1", start.Add(4*time.Second))
+			r.RecordFailure("i1", start.Add(4500*time.Millisecond))
 		}},
 	}
 	for _, l := range updates {
 		for _, s := range stale {
 			t.Run(l.name+", then "+s.name, func(t *testing.T) {
 				g := NewWithT(t)
-				r := roster.New(roster.Config{Beat: 1200 * time.Millisecond, Stall: 4 * time.Second, ReportLag: 200 * time.Millisecond, Policy: roster.DefaultPolicy()})
-				r.Listed(old, start)
-				r.Reported("i1", fleet.Report{Born: first, Membership: member, Orders: 3, Asked: start.Add(time.Second)})
-				r.Failed("i1", start.Add(2*time.Second))
-				r.Failed("i1", start.Add(3*time.Second))
-				incarnation := r.Ordering("i1")
+				r := roster.New(roster.Config{HeartbeatInterval: 1200 * time.Millisecond, StallTimeout: 4 * time.Second, MaxReportLag: 200 * time.Millisecond, Policy: roster.DefaultPolicy()})
+				r.ApplyFreshEntry(old, start)
+				r.RecordReport("i1", fleet.Report{Born: first, Membership: member, Orders: 3, Asked: start.Add(time.Second)})
+				r.RecordFailure("i1", start.Add(2*time.Second))
+				r.RecordFailure("i1", start.Add(3*time.Second))
+				incarnation := r.BeginOrder("i1")
 				g.Expect(onlyMember(r, start.Add(3*time.Second)).Lost).To(BeTrue())
 				now := start.Add(6 * time.Second)
 				l.apply(r, now)
@@ -104,8 +104,8 @@
 func TestRereadEntryKeepsNewerMembership(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
-	r.Reported("i1", fleet.Report{Membership: member, Orders: 1, Asked: start.Add(time.Second)})
-	r.Listed(free, start.Add(1100*time.Millisecond))
+	r.RecordReport("i1", fleet.Report{Membership: member, Orders: 1, Asked: start.Add(time.Second)})
+	r.ApplyFreshEntry(free, start.Add(1100*time.Millisecond))
 	m := onlyMember(r, start.Add(1100*time.Millisecond))
 	g.Expect(m.Membership).To(Equal(member))
 	g.Expect(m.Counted).To(BeTrue())
@@ -114,11 +114,11 @@
 func TestMembershipChangeInvalidatesOrderCount(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
-	r.Reported("i1", fleet.Report{Orders: 0, Asked: start.Add(time.Second)})
+	r.RecordReport("i1", fleet.Report{Orders: 0, Asked: start.Add(time.Second)})
 	g.Expect(onlyMember(r, start.Add(time.Second)).Counted).To(BeTrue())
 	joined := free
 	joined.Membership, joined.Position = member, 6
-	r.Listed(joined, start.Add(1100*time.Millisecond))
+	r.ApplyFreshEntry(joined, start.Add(1100*time.Millisecond))
 	g.Expect(onlyMember(r, start.Add(1100*time.Millisecond)).Counted).To(BeFalse())
 }
 
@@ -127,8 +127,8 @@
 	r := newRoster()
 	joined := free
 	joined.Membership, joined.Position = member, 6
-	r.Listed(joined, start.Add(time.Second))
-	r.Reported("i1", fleet.Report{Orders: 1, Asked: start.Add(1100 * time.Millisecond)})
+	r.ApplyFreshEntry(joined, start.Add(time.Second))
+	r.RecordReport("i1", fleet.Report{Orders: 1, Asked: start.Add(1100 * time.Millisecond)})
 	m := onlyMember(r, start.Add(1100*time.Millisecond))
 	g.Expect(m.Membership).To(Equal(member))
 	g.Expect(m.Counted).To(BeFalse())
@@ -146,7 +146,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRoster()
 			now := start.Add(c.at)
-			r.Confirm(now)
+			r.RecordListRead(now)
 			NewWithT(t).Expect(onlyMember(r, now).Known).To(Equal(c.known))
 		})
 	}
@@ -155,25 +155,25 @@
 func TestAcceptedOrderUpdatesMembershipAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
-	r.Reported("i1", fleet.Report{Asked: start.Add(time.Second)})
+	r.RecordReport("i1", fleet.Report{Asked: start.Add(time.Second)})
 	o := placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key(), Members: nil}
 	at := start.Add(1500 * time.Millisecond)
-	r.Ordered(o, r.Ordering("i1"), placement.Begun, at)
+	r.RecordOrderReply(o, r.BeginOrder("i1"), placement.Begun, at)
 	g.Expect(onlyMember(r, at).Membership.State).To(Equal(fleet.Joining))
 	g.Expect(onlyMember(r, at).Orders).To(Equal(int64(1)))
 	// A report of the state before the order does not undo it.
-	r.Reported("i1", fleet.Report{Asked: at.Add(50 * time.Millisecond)})
+	r.RecordReport("i1", fleet.Report{Asked: at.Add(50 * time.Millisecond)})
 	g.Expect(onlyMember(r, at.Add(50*time.Millisecond)).Membership.Key()).To(Equal(member.Key()))
 }
 
 func TestInstanceLostAfterTwoFailedProbes(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
-	r.Failed("i1", start.Add(time.Second))
+	r.RecordFailure("i1", start.Add(time.Second))
 	g.Expect(onlyMember(r, start.Add(time.Second)).Lost).To(BeFalse())
-	r.Failed("i1", start.Add(1200*time.Millisecond))
+	r.RecordFailure("i1", start.Add(1200*time.Millisecond))
 	g.Expect(onlyMember(r, start.Add(1200*time.Millisecond)).Lost).To(BeTrue())
-	r.Heard("i1", start.Add(1300*time.Millisecond))
+	r.RecordResponse("i1", start.Add(1300*time.Millisecond))
 	g.Expect(onlyMember(r, start.Add(1300*time.Millisecond)).Lost).To(BeFalse())
 }
 
@@ -191,8 +191,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRoster()
-			r.Unlisted("i1", 6, start)
-			r.Relayed(roster.Change{Instance: c.relayed()}, start.Add(time.Second))
+			r.MarkUnlisted("i1", 6, start)
+			r.ApplyRelayed(roster.Change{Instance: c.relayed()}, start.Add(time.Second))
 			NewWithT(t).Expect(r.All(start.Add(2 * time.Second))[0].Draining).To(Equal(c.leaving))
 		})
 	}
@@ -203,20 +203,20 @@
 	r := newRoster()
 	leaving := free
 	leaving.Draining = true
-	r.Relayed(roster.Change{Instance: leaving}, start.Add(time.Second))
+	r.ApplyRelayed(roster.Change{Instance: leaving}, start.Add(time.Second))
 	g.Expect(r.All(start.Add(time.Second))[0].Draining).To(BeTrue())
 }
 
 func TestPossiblyStaleEntryDoesNotConfirmMembership(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		read  func(r *roster.Roster, in fleet.Instance, now time.Time)
+		read  func(r *roster.Roster, i fleet.Instance, at time.Time)
 		known bool
 	}{
-		{"written since the last read", func(r *roster.Roster, in fleet.Instance, now time.Time) { r.Listed(in, now) }, true},
-		{"read after a pause", func(r *roster.Roster, in fleet.Instance, now time.Time) { r.Recalled(in, now) }, false},
-		{"read with the whole list", func(r *roster.Roster, in fleet.Instance, now time.Time) { r.Snapshot([]fleet.Instance{in}, 9, now) }, false},
-		{"relayed by another node", func(r *roster.Roster, in fleet.Instance, now time.Time) { r.Relayed(roster.Change{Instance: in}, now) }, false},
+		{"written since the last read", func(r *roster.Roster, i fleet.Instance, at time.Time) { r.ApplyFreshEntry(i, at) }, true},
+		{"read after a pause", func(r *roster.Roster, i fleet.Instance, at time.Time) { r.ApplyOldEntry(i, at) }, false},
+		{"read with the whole list", func(r *roster.Roster, i fleet.Instance, at time.Time) { r.ApplySnapshot([]fleet.Instance{i}, 9, at) }, false},
+		{"relayed by another node", func(r *roster.Roster, i fleet.Instance, at time.Time) { r.ApplyRelayed(roster.Change{Instance: i}, at) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRoster()
@@ -224,7 +224,7 @@
 			in := free
 			in.Position = 8
 			c.read(r, in, now)
-			r.Confirm(now)
+			r.RecordListRead(now)
 			NewWithT(t).Expect(onlyMember(r, now).Known).To(Equal(c.known))
 		})
 	}
@@ -232,14 +232,14 @@
 
 func TestChangesReturnsOnlyLaterChanges(t *testing.T) {
 	g := NewWithT(t)
-	from, to := newRoster(), roster.New(roster.Config{Beat: time.Second, Policy: roster.DefaultPolicy()})
+	from, to := newRoster(), roster.New(roster.Config{HeartbeatInterval: time.Second, Policy: roster.DefaultPolicy()})
 	second := fleet.Instance{ID: "i2", Service: "lm", Position: 6}
-	from.Listed(second, start)
+	from.ApplyFreshEntry(second, start)
 	relay := func(after uint64, expect int) uint64 {
-		changes, version := from.Changes(after)
+		changes, version := from.ChangesSince(after)
 		g.Expect(changes).To(HaveLen(expect))
 		for _, c := range changes {
-			to.Relayed(c, start.Add(time.Second))
+			to.ApplyRelayed(c, start.Add(time.Second))
 		}
 		return version
 	}
@@ -249,20 +249,20 @@
 
 	again := free
 	again.Position = 7 // a heartbeat without a change is not relayed
-	from.Listed(again, start.Add(time.Second))
+	from.ApplyFreshEntry(again, start.Add(time.Second))
 	version = relay(version, 0)
 
-	from.Unlisted("i1", 8, start.Add(time.Second))
+	from.MarkUnlisted("i1", 8, start.Add(time.Second))
 	joined := second
 	joined.Position, joined.Membership = 9, member
-	from.Listed(joined, start.Add(time.Second))
+	from.ApplyFreshEntry(joined, start.Add(time.Second))
 	version = relay(version, 2)
 	views := to.All(start.Add(time.Second))
 	g.Expect(views[0].Unlisted).To(BeTrue())
 	g.Expect(views[1].Membership).To(Equal(member))
 
 	again.Position = 10 // it is listed again
-	from.Listed(again, start.Add(2*time.Second))
+	from.ApplyFreshEntry(again, start.Add(2*time.Second))
 	relay(version, 1)
 	g.Expect(to.All(start.Add(2 * time.Second))[0].Unlisted).To(BeFalse())
 }
@@ -271,8 +271,8 @@
 	g := NewWithT(t)
 	r := newRoster()
 	newer := fleet.Instance{ID: "i2", Service: "lm", Position: 12}
-	r.Relayed(roster.Change{Instance: newer}, start)
-	r.Snapshot(nil, 10, start.Add(time.Second))
+	r.ApplyRelayed(roster.Change{Instance: newer}, start)
+	r.ApplySnapshot(nil, 10, start.Add(time.Second))
 	views := r.All(start.Add(time.Second))
 	g.Expect(views[0].Unlisted).To(BeTrue())
 	g.Expect(views[1].Unlisted).To(BeFalse())
@@ -284,13 +284,13 @@
 	g := NewWithT(t)
 	r := newRoster()
 	now := start.Add(20 * time.Second)
-	g.Expect(r.Doubtful(now)).To(HaveLen(1))
-	r.Fed(now.Add(-time.Second))
-	g.Expect(r.Doubtful(now)).To(BeEmpty())
-	r.Failed("i1", now.Add(-100*time.Millisecond))
-	r.Failed("i1", now)
+	g.Expect(r.ProbeCandidates(now)).To(HaveLen(1))
+	r.RecordRelayedList(now.Add(-time.Second))
+	g.Expect(r.ProbeCandidates(now)).To(BeEmpty())
+	r.RecordFailure("i1", now.Add(-100*time.Millisecond))
+	r.RecordFailure("i1", now)
 	g.Expect(onlyMember(r, now).Gone).To(BeFalse())
-	g.Expect(r.Doubtful(now)).To(HaveLen(1))
+	g.Expect(r.ProbeCandidates(now)).To(HaveLen(1))
 }
 
 // An instance that was silent for long behind a network partition counts as alive again with
@@ -307,15 +307,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := newRoster()
-			r.Failed("i1", start.Add(7*time.Second))
-			r.Failed("i1", start.Add(8*time.Second))
+			r.RecordFailure("i1", start.Add(7*time.Second))
+			r.RecordFailure("i1", start.Add(8*time.Second))
 			if c.replaced {
-				r.Replaced("i1", start.Add(8*time.Second))
+				r.RecordReplaced("i1", start.Add(8*time.Second))
 			}
 			g.Expect(onlyMember(r, start.Add(9*time.Second)).Gone).To(BeTrue())
 			again := free
 			again.Position = 9
-			r.Listed(again, start.Add(10*time.Second))
+			r.ApplyFreshEntry(again, start.Add(10*time.Second))
 			m := onlyMember(r, start.Add(10*time.Second))
 			g.Expect(m.Gone).To(Equal(!c.revived))
 			g.Expect(m.Lost).To(Equal(!c.revived))
@@ -342,31 +342,31 @@
 		{"nothing", old.Incarnation(), func(*roster.Roster, time.Time) {}, true},
 		{"an incarnation without a start time", fleet.Incarnation{ID: "i1"}, func(*roster.Roster, time.Time) {}, true},
 		{"an earlier incarnation", fleet.LifeSince("i1", born.Add(-time.Second)), func(*roster.Roster, time.Time) {}, false},
-		{"a newer entry", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Listed(newer, now) }, true},
-		{"the whole list", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Snapshot([]fleet.Instance{newer}, 10, now) }, true},
-		{"another node", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Relayed(roster.Change{Instance: newer}, now) }, true},
-		{"its report", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Reported("i1", fleet.Report{Born: born, Asked: now}) }, true},
+		{"a newer entry", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.ApplyFreshEntry(newer, now) }, true},
+		{"the whole list", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.ApplySnapshot([]fleet.Instance{newer}, 10, now) }, true},
+		{"another node", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.ApplyRelayed(roster.Change{Instance: newer}, now) }, true},
+		{"its report", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.RecordReport("i1", fleet.Report{Born: born, Asked: now}) }, true},
 		{"listed again after it was unlisted", old.Incarnation(), func(r *roster.Roster, now time.Time) {
-			r.Unlisted("i1", 8, now)
-			r.Listed(newer, now.Add(time.Minute))
+			r.MarkUnlisted("i1", 8, now)
+			r.ApplyFreshEntry(newer, now.Add(time.Minute))
 		}, true},
-		{"a later incarnation", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.Listed(next, now) }, false},
+		{"a later incarnation", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.ApplyFreshEntry(next, now) }, false},
 		{"a later incarnation, from its report", old.Incarnation(), func(r *roster.Roster, now time.Time) {
-			r.Reported("i1", fleet.Report{Born: next.Born, Asked: now})
+			r.RecordReport("i1", fleet.Report{Born: next.Born, Asked: now})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := newRoster()
-			r.Listed(old, start)
+			r.ApplyFreshEntry(old, start)
 			g.Expect(r.MarkLeaving(c.marked)).To(Equal(c.name != "an earlier incarnation"))
 			g.Expect(r.MarkLeaving(c.marked)).To(BeFalse(), "it is marked already")
 			now := start.Add(5 * time.Second)
 			c.apply(r, now)
 			g.Expect(onlyMember(r, now).Draining).To(Equal(c.leaving))
 			g.Expect(r.All(now)[0].Draining).To(Equal(c.leaving))
-			g.Expect(r.Leaving(old.Incarnation())).To(Equal(c.leaving))
-			g.Expect(r.Leaving(next.Incarnation())).To(BeFalse())
+			g.Expect(r.IsLeaving(old.Incarnation())).To(Equal(c.leaving))
+			g.Expect(r.IsLeaving(next.Incarnation())).To(BeFalse())
 		})
 	}
 }
@@ -377,13 +377,13 @@
 	r, other := newRoster(), newRoster()
 	newer := free
 	newer.Position = 9
-	other.Listed(newer, start)
-	_, before := r.Changes(0)
+	other.ApplyFreshEntry(newer, start)
+	_, before := r.ChangesSince(0)
 	r.MarkLeaving(free.Incarnation())
-	changes, _ := r.Changes(before)
+	changes, _ := r.ChangesSince(before)
 	g.Expect(changes).To(HaveLen(1))
-	other.Relayed(changes[0], start)
-	g.Expect(other.Leaving(free.Incarnation())).To(BeTrue())
+	other.ApplyRelayed(changes[0], start)
+	g.Expect(other.IsLeaving(free.Incarnation())).To(BeTrue())
 	g.Expect(other.All(start)[0].Draining).To(BeTrue())
 }
 
@@ -398,12 +398,12 @@
 			if c.leaving {
 				r.MarkLeaving(free.Incarnation())
 			}
-			r.Unlisted("i1", 6, start)
+			r.MarkUnlisted("i1", 6, start)
 			later := start.Add(2 * roster.DefaultPolicy().ForgetAfter)
 			r.All(later)
 			again := free
 			again.Position = 20
-			r.Listed(again, later)
+			r.ApplyFreshEntry(again, later)
 			NewWithT(t).Expect(r.All(later)[0].Draining).To(Equal(c.leaving))
 		})
 	}
@@ -412,7 +412,7 @@
 // The list was restored from a backup: an entry may be older than the known state of its
 // instance, and a missing entry may have been written after the backup was made.
 func TestRestoreKeepsNewerState(t *testing.T) {
-	entryAt := func(era, offset int64, change func(*fleet.Instance)) fleet.Instance {
+	entry := func(era, offset int64, change func(*fleet.Instance)) fleet.Instance {
 		in := free
 		in.Position = source.Position(era, offset)
 		if change != nil {
@@ -422,69 +422,69 @@
 	}
 	drain := func(in *fleet.Instance) { in.Draining = true }
 	join := func(in *fleet.Instance) { in.Membership = member }
-	known := entryAt(1, 20, join)
+	known := entry(1, 20, join)
 	for _, c := range []struct {
 		name string
 		// before sets the state before the backup is read, after applies what is read later.
 		before   func(r *roster.Roster)
 		backup   []fleet.Instance
-		after    func(r *roster.Roster, now time.Time)
+		after    func(r *roster.Roster, at time.Time)
 		want     fleet.Membership
 		draining bool
 		unlisted bool
 	}{
-		{name: "an older entry", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member},
-		{name: "the same entry", backup: []fleet.Instance{entryAt(2, 20, join)}, want: member},
+		{name: "an older entry", backup: []fleet.Instance{entry(2, 10, nil)}, want: member},
+		{name: "the same entry", backup: []fleet.Instance{entry(2, 20, join)}, want: member},
 		{name: "no entry", want: member},
-		{name: "an entry with a higher offset, written since", backup: []fleet.Instance{entryAt(2, 25, nil)}},
-		{name: "an older entry, then one written since at a lower offset", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: fleet.Membership{},
-			after: func(r *roster.Roster, now time.Time) { r.Listed(entryAt(2, 12, nil), now) }},
-		{name: "it was leaving, not leaving in the backup", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member, draining: true,
+		{name: "an entry with a higher offset, written since", backup: []fleet.Instance{entry(2, 25, nil)}},
+		{name: "an older entry, then one written since at a lower offset", backup: []fleet.Instance{entry(2, 10, nil)}, want: fleet.Membership{},
+			after: func(r *roster.Roster, at time.Time) { r.ApplyFreshEntry(entry(2, 12, nil), at) }},
+		{name: "it was leaving, not leaving in the backup", backup: []fleet.Instance{entry(2, 10, nil)}, want: member, draining: true,
 			before: func(r *roster.Roster) {
-				r.Listed(entryAt(1, 21, func(in *fleet.Instance) { join(in); drain(in) }), start)
+				r.ApplyFreshEntry(entry(1, 21, func(in *fleet.Instance) { join(in); drain(in) }), start)
 			}},
-		{name: "leaving in the backup", backup: []fleet.Instance{entryAt(2, 10, drain)}, want: member, draining: true},
-		{name: "it was unlisted, listed in the backup", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member, draining: true, unlisted: true,
-			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) }},
-		{name: "it was unlisted, listed in the backup, whole list read again", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member, draining: true, unlisted: true,
-			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) },
-			after: func(r *roster.Roster, now time.Time) {
-				r.Snapshot([]fleet.Instance{entryAt(2, 10, nil)}, source.Position(2, 11), now)
+		{name: "leaving in the backup", backup: []fleet.Instance{entry(2, 10, drain)}, want: member, draining: true},
+		{name: "it was unlisted, listed in the backup", backup: []fleet.Instance{entry(2, 10, nil)}, want: member, draining: true, unlisted: true,
+			before: func(r *roster.Roster) { r.MarkUnlisted("i1", source.Position(1, 21), start) }},
+		{name: "it was unlisted, listed in the backup, whole list read again", backup: []fleet.Instance{entry(2, 10, nil)}, want: member, draining: true, unlisted: true,
+			before: func(r *roster.Roster) { r.MarkUnlisted("i1", source.Position(1, 21), start) },
+			after: func(r *roster.Roster, at time.Time) {
+				r.ApplySnapshot([]fleet.Instance{entry(2, 10, nil)}, source.Position(2, 11), at)
 			}},
-		{name: "it was unlisted, then writes again", backup: []fleet.Instance{entryAt(2, 10, nil)},
-			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) },
-			after:  func(r *roster.Roster, now time.Time) { r.Listed(entryAt(2, 11, nil), now) }},
+		{name: "it was unlisted, then writes again", backup: []fleet.Instance{entry(2, 10, nil)},
+			before: func(r *roster.Roster) { r.MarkUnlisted("i1", source.Position(1, 21), start) },
+			after:  func(r *roster.Roster, at time.Time) { r.ApplyFreshEntry(entry(2, 11, nil), at) }},
 		{name: "no entry, whole list read again", want: member, draining: true, unlisted: true,
-			after: func(r *roster.Roster, now time.Time) { r.Snapshot(nil, source.Position(2, 11), now) }},
+			after: func(r *roster.Roster, at time.Time) { r.ApplySnapshot(nil, source.Position(2, 11), at) }},
 		{name: "no entry, then one at the next offset", want: fleet.Membership{},
-			after: func(r *roster.Roster, now time.Time) {
-				r.Snapshot(nil, source.Position(2, 11), now)
-				r.Listed(entryAt(2, 11, nil), now)
+			after: func(r *roster.Roster, at time.Time) {
+				r.ApplySnapshot(nil, source.Position(2, 11), at)
+				r.ApplyFreshEntry(entry(2, 11, nil), at)
 			}},
-		{name: "a second backup during the first", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member,
-			after: func(r *roster.Roster, now time.Time) { r.Restore([]fleet.Instance{entryAt(3, 8, nil)}, now) }},
+		{name: "a second backup during the first", backup: []fleet.Instance{entry(2, 10, nil)}, want: member,
+			after: func(r *roster.Roster, at time.Time) { r.ApplyBackup([]fleet.Instance{entry(3, 8, nil)}, at) }},
 		{name: "relayed by a node that knows only the backup", backup: nil, want: fleet.Membership{}, draining: true,
-			before: func(r *roster.Roster) { r.Listed(entryAt(1, 21, drain), start) },
-			after: func(r *roster.Roster, now time.Time) {
-				r.Relayed(roster.Change{Instance: entryAt(2, 10, nil), Restored: true}, now)
+			before: func(r *roster.Roster) { r.ApplyFreshEntry(entry(1, 21, drain), start) },
+			after: func(r *roster.Roster, at time.Time) {
+				r.ApplyRelayed(roster.Change{Instance: entry(2, 10, nil), Restored: true}, at)
 			}},
 		{name: "unlisted, relayed by a node that knows only the backup", backup: nil, want: member, draining: true, unlisted: true,
-			before: func(r *roster.Roster) { r.Unlisted("i1", source.Position(1, 21), start) },
-			after: func(r *roster.Roster, now time.Time) {
-				r.Relayed(roster.Change{Instance: entryAt(2, 10, nil), Restored: true}, now)
+			before: func(r *roster.Roster) { r.MarkUnlisted("i1", source.Position(1, 21), start) },
+			after: func(r *roster.Roster, at time.Time) {
+				r.ApplyRelayed(roster.Change{Instance: entry(2, 10, nil), Restored: true}, at)
 			}},
-		{name: "relayed by a node of the previous era", backup: []fleet.Instance{entryAt(2, 10, nil)}, want: member,
-			after: func(r *roster.Roster, now time.Time) { r.Relayed(roster.Change{Instance: entryAt(1, 30, drain)}, now) }},
+		{name: "relayed by a node of the previous era", backup: []fleet.Instance{entry(2, 10, nil)}, want: member,
+			after: func(r *roster.Roster, at time.Time) { r.ApplyRelayed(roster.Change{Instance: entry(1, 30, drain)}, at) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := newRoster()
-			r.Listed(known, start)
+			r.ApplyFreshEntry(known, start)
 			if c.before != nil {
 				c.before(r)
 			}
 			now := start.Add(time.Second)
-			r.Restore(c.backup, now)
+			r.ApplyBackup(c.backup, now)
 			if c.after != nil {
 				c.after(r, now)
 			}
--- a/coordination/roster/view.go
+++ b/coordination/roster/view.go
@@ -39,15 +39,15 @@
 	return list
 }
 
-// Doubtful returns the instances that should be probed: those whose heartbeats have stopped
+// ProbeCandidates returns the instances that should be probed: those whose heartbeats have stopped
 // and those with probe failures.
-func (r *Roster) Doubtful(now time.Time) []fleet.Instance {
+func (r *Roster) ProbeCandidates(now time.Time) []fleet.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []fleet.Instance
 	for _, e := range r.entries {
-		heartbeatsStopped := now.Sub(r.lastHeartbeat(e)) > 2*r.cfg.Beat+r.cfg.Beat/4 || !e.inList
-		if !e.gone && (e.failures > 0 || heartbeatsStopped && now.Sub(e.answeredAt) > r.cfg.Beat) {
+		heartbeatsStopped := now.Sub(r.lastHeartbeat(e)) > 2*r.cfg.HeartbeatInterval+r.cfg.HeartbeatInterval/4 || !e.inList
+		if !e.gone && (e.failures > 0 || heartbeatsStopped && now.Sub(e.answeredAt) > r.cfg.HeartbeatInterval) {
 			list = append(list, e.listed)
 		}
 	}
@@ -58,9 +58,9 @@
 // View is the state of one instance for request routing.
 type View struct {
 	fleet.Instance
-	// Lost is set if the instance does not answer, Unlisted if it is no longer in the list.
-	Lost     bool
-	Unlisted bool
+	// Unreachable is set if the instance does not answer, Unlisted if it is no longer in the list.
+	Unreachable bool
+	Unlisted    bool
 }
 
 // All returns every instance that has not ended, sorted by ID.
@@ -76,7 +76,7 @@
 		if e.gone {
 			continue
 		}
-		v := View{Instance: e.current(), Lost: e.lost(now), Unlisted: !e.inList}
+		v := View{Instance: e.current(), Unreachable: e.lost(now), Unlisted: !e.inList}
 		v.Draining = v.Draining || (v.Unlisted && now.Sub(e.unlistedAt) > e.policy.UnlistedGrace)
 		list = append(list, v)
 	}
@@ -92,5 +92,5 @@
 	if e == nil || e.gone {
 		return View{}, false
 	}
-	return View{Instance: e.current(), Lost: e.lost(now)}, true
+	return View{Instance: e.current(), Unreachable: e.lost(now)}, true
 }
--- a/transport/entry/backpressure.go
+++ b/transport/entry/backpressure.go
@@ -56,7 +56,7 @@
 }
 
 // Leaving implements gateway.Backpressure.
-func (n *Node) Leaving(in *fleet.Instance) bool { return n.roster.Leaving(in.Incarnation()) }
+func (n *Node) Leaving(in *fleet.Instance) bool { return n.roster.IsLeaving(in.Incarnation()) }
 
 // leaving records that a life of an instance said that it will end soon, to this node or to
 // the one named, and has the leader told at once.
--- a/transport/entry/backpressure_test.go
+++ b/transport/entry/backpressure_test.go
@@ -50,7 +50,7 @@
 	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: lines, Level: log.InfoLevel})
 	in := fleet.Instance{ID: "i", Born: time.UnixMilli(5000).UTC(), Service: "lm", Address: testAddress(9)}
-	n.roster.Listed(in, clock.Now())
+	n.roster.ApplyFreshEntry(in, clock.Now())
 	return &observed{n, in, clock, lines}
 }
 
@@ -77,7 +77,7 @@
 		{"to a question", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
 		{"to a question, with a failure", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrUnreadable},
 		{"to an order", func(n *observed) {
-			n.placer.order(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.Ordering("i"))
+			n.placer.order(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.BeginOrder("i"))
 		}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 			}
 			g.Expect(targets.asked).To(Equal(2))
 			v, _ := n.roster.Get("i", n.clock.Now())
-			g.Expect(v.Lost).To(Equal(c.lost))
+			g.Expect(v.Unreachable).To(Equal(c.lost))
 			n.clock.Advance(time.Second)
 			n.report(context.Background(), n.in, n.clock.Now())
 			g.Expect(targets.asked).To(Equal(3))
@@ -147,7 +147,7 @@
 	n.Told(&n.in, fleet.Notice{Cooldown: time.Minute, Leaving: true}, "r1", time.Time{})
 	next := n.in
 	next.Born, next.Position = next.Born.Add(time.Second), next.Position+1
-	n.roster.Listed(next, n.clock.Now())
+	n.roster.ApplyFreshEntry(next, n.clock.Now())
 	_, cooling := n.CoolingDown(&next)
 	g.Expect(cooling).To(BeFalse())
 	g.Expect(n.Leaving(&next)).To(BeFalse())
@@ -176,14 +176,14 @@
 	leader, a, b := numbered(g, "leader", 1), numbered(g, "a", 2), numbered(g, "b", 3)
 	in := fleet.Instance{ID: "i", Born: time.UnixMilli(5000).UTC(), Service: "lm", Position: 5, Address: testAddress(9)}
 	for _, n := range []*Node{leader, a, b} {
-		n.roster.Listed(in, n.clock.Now())
+		n.roster.ApplyFreshEntry(in, n.clock.Now())
 	}
 	exchange(g, b, leader)
 	a.Told(&in, fleet.Notice{Leaving: true}, "r1", time.Time{})
 	exchange(g, a, leader)
 	newer := in
 	newer.Position = 7
-	b.roster.Listed(newer, b.clock.Now())
+	b.roster.ApplyFreshEntry(newer, b.clock.Now())
 	exchange(g, b, leader)
 	for _, n := range []*Node{leader, a, b} {
 		g.Expect(n.Leaving(&in)).To(BeTrue(), n.set.Name)
--- a/transport/entry/beliefs.go
+++ b/transport/entry/beliefs.go
@@ -60,7 +60,7 @@
 	for i := range views {
 		v := &views[i]
 		seen[v.ID] = true
-		is := belief{lost: v.Lost, draining: v.Draining, unlisted: v.Unlisted, membership: v.Membership}
+		is := belief{lost: v.Unreachable, draining: v.Draining, unlisted: v.Unlisted, membership: v.Membership}
 		was, known := b.instances[v.ID]
 		if known && was == is {
 			continue
--- a/transport/entry/busyleader_test.go
+++ b/transport/entry/busyleader_test.go
@@ -60,13 +60,13 @@
 			set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
 			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: slowProbes{clock, c.late}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9)}
-			n.roster.Listed(in, clock.Now())
+			n.roster.ApplyFreshEntry(in, clock.Now())
 			for range set.Policy.Roster.LostFailures {
 				n.report(t.Context(), in, clock.Now())
 			}
 			v, known := n.roster.Get(in.ID, clock.Now())
 			g.Expect(known).To(BeTrue())
-			g.Expect(v.Lost).To(Equal(c.lost))
+			g.Expect(v.Unreachable).To(Equal(c.lost))
 		})
 	}
 }
@@ -91,7 +91,7 @@
 		n.rebuild(ctx)
 	}()
 	for i := range 100 {
-		n.roster.Listed(fleet.Instance{ID: "i", Position: int64(i), Membership: fleet.Membership{Group: "g", Epoch: state.Epoch(i + 1)}}, n.clock.Now())
+		n.roster.ApplyFreshEntry(fleet.Instance{ID: "i", Position: int64(i), Membership: fleet.Membership{Group: "g", Epoch: state.Epoch(i + 1)}}, n.clock.Now())
 		n.touch()
 		time.Sleep(time.Millisecond)
 	}
--- a/transport/entry/endings.go
+++ b/transport/entry/endings.go
@@ -33,7 +33,7 @@
 	for i := range instances {
 		// The members of a group that stands still have just been asked: only those that did
 		// not answer may have ended, one or two of 16.
-		if len(instances) == 1 || n.roster.Failures(instances[i].ID) > 0 {
+		if len(instances) == 1 || n.roster.ConsecutiveFailures(instances[i].ID) > 0 {
 			lives = append(lives, instances[i].Incarnation())
 		}
 	}
@@ -108,7 +108,7 @@
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	rank := func(m *fleet.Instance) int {
 		r := 0
-		if n.roster.Failures(m.ID) > 0 {
+		if n.roster.ConsecutiveFailures(m.ID) > 0 {
 			r += 2
 		}
 		if m.Domain == of.Domain {
--- a/transport/entry/follow.go
+++ b/transport/entry/follow.go
@@ -181,7 +181,7 @@
 			n.learnInstances(tail, reading, asked.Sub(last) < n.policy.RecentRead)
 			last = asked
 			if tail.Whole {
-				n.roster.Confirm(asked)
+				n.roster.RecordListRead(asked)
 			}
 			n.storeRead(asked)
 		}
@@ -247,7 +247,7 @@
 		id := state.InstanceID(item.Key)
 		position := source.Position(tail.Era, item.Offset)
 		if len(item.Value) == 0 {
-			n.roster.Unlisted(id, position, now)
+			n.roster.MarkUnlisted(id, position, now)
 			continue
 		}
 		in, err := n.ports.Decoder.Instance(item.Key, item.Value)
@@ -255,7 +255,7 @@
 			// The entry names no instance to use, whatever an earlier one said.
 			n.Count("instances.unreadable")
 			n.log.WithError(err).WithField("position", item.Offset).Warn("entry not read")
-			n.roster.Unlisted(id, position, now)
+			n.roster.MarkUnlisted(id, position, now)
 			entries = slices.DeleteFunc(entries, func(in fleet.Instance) bool { return in.ID == id })
 			continue
 		}
@@ -265,17 +265,17 @@
 		case whole:
 			entries = append(entries, in)
 		case recent:
-			n.roster.Listed(in, now)
+			n.roster.ApplyFreshEntry(in, now)
 		default:
-			n.roster.Recalled(in, now)
+			n.roster.ApplyOldEntry(in, now)
 		}
 	}
 	switch {
 	case whole && (reading == source.Restored || !n.eras.confirms(now)):
-		n.roster.Restore(entries, now)
+		n.roster.ApplyBackup(entries, now)
 		n.log.WithFields(log.Fields{"era": tail.Era, "entries": len(entries)}).Info("instance list read from an older copy")
 	case whole:
-		n.roster.Snapshot(entries, source.Position(tail.Era, tail.End), now)
+		n.roster.ApplySnapshot(entries, source.Position(tail.Era, tail.End), now)
 	}
 	if n.roster.Version() != before {
 		n.touch()
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -16,18 +16,18 @@
 )
 
 // Heard implements gateway.Health.
-func (n *Node) Heard(id state.InstanceID, at time.Time) { n.roster.Heard(id, at) }
+func (n *Node) Heard(id state.InstanceID, at time.Time) { n.roster.RecordResponse(id, at) }
 
 // Failed implements gateway.Health.
 func (n *Node) Failed(id state.InstanceID, at time.Time) {
-	n.roster.Failed(id, at)
+	n.roster.RecordFailure(id, at)
 	n.suspect(id, at)
 	n.touch()
 }
 
 // Replaced implements gateway.Health.
 func (n *Node) Replaced(id state.InstanceID) {
-	n.roster.Replaced(id, n.clock.Now())
+	n.roster.RecordReplaced(id, n.clock.Now())
 	n.touch()
 }
 
@@ -110,7 +110,7 @@
 // reported records the report of an instance, and then what it asks for: the roster knows of a
 // later life by then.
 func (n *Node) reported(m fleet.Instance, rep fleet.Report) {
-	n.roster.Reported(m.ID, rep)
+	n.roster.RecordReport(m.ID, rep)
 	n.told(m, rep)
 }
 
@@ -143,20 +143,20 @@
 		n.logFailedProbe(m.ID, asked, err)
 		return false
 	}
-	n.roster.Reported(m.ID, rep)
+	n.roster.RecordReport(m.ID, rep)
 	return true
 }
 
 // connectionTo returns over which connection an instance is called next: a new one if its
 // last call failed.
 func (n *Node) connectionTo(id state.InstanceID) Connection {
-	return Connection(n.roster.Failures(id) > 0)
+	return Connection(n.roster.ConsecutiveFailures(id) > 0)
 }
 
 // logFailedProbe logs a failed probe as long as the instance does not yet count as
 // lost for it, so that a dead instance is logged once or twice.
 func (n *Node) logFailedProbe(id state.InstanceID, asked time.Time, err error) {
-	failures := n.roster.Failures(id)
+	failures := n.roster.ConsecutiveFailures(id)
 	if failures > n.set.Policy.Roster.LostFailures {
 		return
 	}
@@ -205,7 +205,7 @@
 // known of it stays. The first such answer of an instance is logged.
 func (n *Node) unreadable(id state.InstanceID, asked time.Time, err error) {
 	n.Count("reports.unreadable")
-	n.roster.Heard(id, asked)
+	n.roster.RecordResponse(id, asked)
 	if _, known := n.garbled.LoadOrStore(id, true); !known {
 		n.log.WithError(err).WithField("instance", id).Warn("report not read")
 	}
--- a/transport/entry/limithistory_test.go
+++ b/transport/entry/limithistory_test.go
@@ -115,7 +115,7 @@
 	n.number.Store(h.number)
 	n.dealer = ratelimit.NewDealer(set.Policy.RateLimit, h.rng.Float64)
 	h.g.Expect(n.know.Learn([]byte("x"))).Error().NotTo(HaveOccurred())
-	n.roster.Listed(h.in, h.clock.Now())
+	n.roster.ApplyFreshEntry(h.in, h.clock.Now())
 	n.peers.setComplete()
 	for _, o := range h.nodes {
 		n.peers.learn(o.peers.self())
--- a/transport/entry/node.go
+++ b/transport/entry/node.go
@@ -102,7 +102,7 @@
 		clock:   clock,
 		ports:   ports,
 		know:    NewKnowledge(ports.Decoder, set.StrictKeys, set.KeysWithin, clock),
-		roster:  roster.New(roster.Config{Beat: set.BeatInterval, Stall: set.StallTime, Indirect: true, Policy: set.Policy.Roster}),
+		roster:  roster.New(roster.Config{HeartbeatInterval: set.BeatInterval, StallTimeout: set.StallTime, IndirectProbes: true, Policy: set.Policy.Roster}),
 		table:   dispatch.NewTable(set.Hall, set.Policy.Dispatch),
 		pool:    direct.NewPool(direct.Dialer{Timeout: dialTimeout, Silence: silence}, clock.Now),
 		metrics: metrics.NewRegistry(),
@@ -223,7 +223,7 @@
 // timed reports whether an instance may have come to count as lost by time alone.
 func (n *Node) timed(views []roster.View) bool {
 	for i := range views {
-		if views[i].Lost || views[i].Draining || views[i].Unlisted {
+		if views[i].Unreachable || views[i].Draining || views[i].Unlisted {
 			return true
 		}
 	}
--- a/transport/entry/placer.go
+++ b/transport/entry/placer.go
@@ -107,10 +107,10 @@
 		}
 		watch = watch || plan.Watch
 		p.tell(now, s.Name, plan, len(members))
-		p.n.roster.SetReportLag(s.Engine.ReportLag + p.n.policy.ReportMargin)
+		p.n.roster.SetMaxReportLag(s.Engine.ReportLag + p.n.policy.ReportMargin)
 		p.carryOut(ctx, members, plan)
 	}
-	for _, m := range p.n.roster.Doubtful(now) {
+	for _, m := range p.n.roster.ProbeCandidates(now) {
 		if s := c.Services[m.Service]; s != nil && s.Engine != nil {
 			p.askEvery(ctx, m, p.n.policy.DoubtInterval)
 		}
@@ -224,7 +224,7 @@
 		byID[members[i].ID] = &members[i]
 	}
 	for _, o := range plan.Orders {
-		life := p.n.roster.Ordering(o.Instance)
+		life := p.n.roster.BeginOrder(o.Instance)
 		go p.order(ctx, o, life)
 	}
 	for _, id := range plan.Ask {
@@ -235,7 +235,7 @@
 }
 
 // order sends one order to a life of an instance and records what it says of it.
-func (p *placer) order(ctx context.Context, o placement.Order, life roster.Life) {
+func (p *placer) order(ctx context.Context, o placement.Order, life roster.IncarnationNumber) {
 	callCtx, cancel := context.WithTimeout(ctx, p.n.policy.OrderTimeout)
 	defer cancel()
 	began := p.n.clock.Now()
@@ -245,7 +245,7 @@
 	ans, err := p.n.ports.Targets.Order(callCtx, o, p.n.connectionTo(o.Instance))
 	p.n.Told(&in, ans.Notice, "", began)
 	reply := ans.Reply
-	p.n.roster.Ordered(o, life, reply, p.n.clock.Now())
+	p.n.roster.RecordOrderReply(o, life, reply, p.n.clock.Now())
 	p.observe(0, reply == placement.Superseded)
 	p.n.Count("order." + string(o.Action) + "." + string(reply))
 	fields := log.Fields{
@@ -263,7 +263,7 @@
 	case errors.Is(err, placement.ErrReplaced):
 		p.n.Replaced(o.Instance)
 	case reply == placement.Unanswered && !p.n.delayed(callCtx, began, p.n.policy.OrderTimeout):
-		p.n.roster.Failed(o.Instance, began)
+		p.n.roster.RecordFailure(o.Instance, began)
 	}
 	p.stir()
 }
@@ -306,7 +306,7 @@
 // meanwhile whether they reach it: what one node alone does not reach is not lost.
 func (p *placer) askAround(ctx context.Context, m fleet.Instance, now time.Time) {
 	var wg sync.WaitGroup
-	if p.n.roster.AskElsewhere(m.ID, now) {
+	if p.n.roster.IndirectProbeDue(m.ID, now) {
 		wg.Go(func() { p.n.peers.askAbout(ctx, m, now) })
 	}
 	p.n.report(ctx, m, now)
@@ -319,10 +319,10 @@
 		return
 	}
 	v, ok := p.n.roster.Get(id, p.n.clock.Now())
-	if !ok || v.Lost {
+	if !ok || v.Unreachable {
 		return
 	}
-	p.n.roster.Failed(id, asked)
+	p.n.roster.RecordFailure(id, asked)
 	p.askOnce(context.Background(), v.Instance)
 }
 
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -193,7 +193,7 @@
 			set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
 			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: proofs{c.rep, c.err}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "i", Born: born, Service: "lm", Address: testAddress(9)}
-			n.roster.Listed(in, clock.Now())
+			n.roster.ApplyFreshEntry(in, clock.Now())
 			n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
 			clock.Advance(time.Millisecond)
 			n.report(t.Context(), in, clock.Now())
@@ -236,11 +236,11 @@
 			set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
 			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: halls{answering: c.answering}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "a0", Service: "lm", Address: testAddress(9), Hall: "near", Domain: "a"}
-			n.roster.Listed(in, clock.Now())
+			n.roster.ApplyFreshEntry(in, clock.Now())
 			for i, id := range near {
-				n.roster.Listed(fleet.Instance{ID: state.InstanceID(id), Service: "lm", Address: testAddress(10 + i), Hall: "near", Domain: id[:1]}, clock.Now())
+				n.roster.ApplyFreshEntry(fleet.Instance{ID: state.InstanceID(id), Service: "lm", Address: testAddress(10 + i), Hall: "near", Domain: id[:1]}, clock.Now())
 			}
-			n.roster.Listed(fleet.Instance{ID: "far", Service: "lm", Address: testAddress(20), Hall: "far", Domain: "c"}, clock.Now())
+			n.roster.ApplyFreshEntry(fleet.Instance{ID: "far", Service: "lm", Address: testAddress(20), Hall: "far", Domain: "c"}, clock.Now())
 			n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
 			clock.Advance(time.Millisecond)
 			n.report(t.Context(), in, clock.Now())
@@ -268,13 +268,13 @@
 	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: silentConnections{}}, clock, &log.Logger{Handler: discard.New()})
 	in := fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9)}
-	n.roster.Listed(in, clock.Now())
+	n.roster.ApplyFreshEntry(in, clock.Now())
 	for range 2 { // twice in a row
 		clock.Advance(time.Second)
 		g.Expect(n.ask(t.Context(), in)).To(BeTrue())
 		v, known := n.roster.Get(in.ID, clock.Now())
 		g.Expect(known).To(BeTrue())
-		g.Expect(v.Lost).To(BeFalse())
+		g.Expect(v.Unreachable).To(BeFalse())
 	}
 }
 
--- a/transport/entry/ratelimit.go
+++ b/transport/entry/ratelimit.go
@@ -30,7 +30,7 @@
 // asker returns who asks when this node puts a question to an instance.
 func (n *Node) asker(id state.InstanceID) ratelimit.Asker {
 	leading, _ := n.peers.isPlacing()
-	return ratelimit.Asker{Leading: leading, Failing: n.roster.Failures(id) > 0}
+	return ratelimit.Asker{Leading: leading, Failing: n.roster.ConsecutiveFailures(id) > 0}
 }
 
 // toldLimit records what an answer to this node, sent for at a time, said of its instance's rate limit.
--- a/transport/entry/ratelimit_test.go
+++ b/transport/entry/ratelimit_test.go
@@ -221,7 +221,7 @@
 			}
 			g.Expect(targets.asked).To(And(BeNumerically("<=", c.most), BeNumerically(">=", c.most/2)))
 			v, _ := n.roster.Get("i", n.clock.Now())
-			g.Expect(v.Lost).To(Equal(c.lost))
+			g.Expect(v.Unreachable).To(Equal(c.lost))
 		})
 	}
 }
--- a/transport/entry/reach.go
+++ b/transport/entry/reach.go
@@ -66,12 +66,12 @@
 	for range nodes {
 		if w := <-reports; w.rep != nil {
 			w.rep.Asked = asked
-			p.n.roster.ReachedElsewhere(m.ID, *w.rep, w.by)
+			p.n.roster.RecordIndirectReport(m.ID, *w.rep, w.by)
 			p.n.Count("instances.far")
 			return
 		}
 	}
-	p.n.roster.UnreachedElsewhere(m.ID, asked)
+	p.n.roster.RecordIndirectFailure(m.ID, asked)
 }
 
 // reportBy returns the report of an instance that another node got, or nil.
@@ -87,7 +87,7 @@
 // witnesses returns the nodes to ask about an instance: the one that last reached it, then others,
 // of all that lately reported to this one.
 func (p *peers) witnesses(m fleet.Instance, now time.Time) []NodeEntry {
-	last := p.n.roster.ReachedBy(m.ID)
+	last := p.n.roster.LastIndirectProber(m.ID)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []NodeEntry
--- a/transport/entry/reach_test.go
+++ b/transport/entry/reach_test.go
@@ -21,7 +21,7 @@
 func nodeBefore(name string, clock clockwork.Clock, targets Targets) *Node {
 	set := &Settings{Name: name, Hall: "hall", Peer: testAddress(1), Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: discard.New()})
-	n.roster.Listed(fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9), Hall: "far"}, clock.Now())
+	n.roster.ApplyFreshEntry(fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9), Hall: "far"}, clock.Now())
 	return n
 }
 
--- a/transport/entry/tell.go
+++ b/transport/entry/tell.go
@@ -104,7 +104,7 @@
 func (p *peers) takeChanges(a *Answer) {
 	now := p.n.clock.Now()
 	for _, c := range a.Changes {
-		p.n.roster.Relayed(c, now)
+		p.n.roster.ApplyRelayed(c, now)
 	}
 	p.mu.Lock()
 	p.feedFrom, p.feedVersion = a.Feed, a.Now
@@ -123,7 +123,7 @@
 		after = 0
 	}
 	a.ListAgeMS = age(n.roster.ListAge(n.clock.Now()))
-	a.Changes, a.Now = n.roster.Changes(after)
+	a.Changes, a.Now = n.roster.ChangesSince(after)
 }
 
 // take takes in what the placing node told; asked is when it was asked.
@@ -133,7 +133,7 @@
 	p.takeChanges(a)
 	config := asked.Add(-time.Duration(a.AgeMS) * time.Millisecond)
 	list := asked.Add(-time.Duration(a.ListAgeMS) * time.Millisecond)
-	n.roster.Fed(list)
+	n.roster.RecordRelayedList(list)
 	n.feed.take(config, list)
 	for _, e := range a.Nodes {
 		p.learn(e)
--- a/transport/entry/upgradesize_test.go
+++ b/transport/entry/upgradesize_test.go
@@ -76,7 +76,7 @@
 		leader.peers.learn(NodeEntry{Name: fmt.Sprint("front-hall-", i), Address: fmt.Sprintf("10.1.%d.%d:8229", i/250, i%250), Hall: "hall", Number: int64(i)})
 	}
 	for i := range instances {
-		leader.roster.Listed(fleet.Instance{
+		leader.roster.ApplyFreshEntry(fleet.Instance{
 			ID: state.InstanceID(fmt.Sprintf("i-%010x", i)), Service: "lm-service", Address: testAddress(i % 200), Hall: "some-hall", Domain: "some-hall-d0", Slots: 23,
 			Model: "model-name", Loaded: "model-name", Staged: []string{"model-name"}, Position: int64(i),
 			Membership: fleet.Membership{Group: "g1234567890", Epoch: 1234567890, Rank: i % 16, State: fleet.Ready},
--- a/transport/entry/version_test.go
+++ b/transport/entry/version_test.go
@@ -30,7 +30,7 @@
 		ID: id, Service: "lm", Address: testAddress(201), Slots: 4, Model: "m", Loaded: "m", Position: 9,
 		Membership: fleet.Membership{Group: "g", Epoch: 7, State: fleet.Open},
 	}
-	n.roster.Listed(in, n.clock.Now())
+	n.roster.ApplyFreshEntry(in, n.clock.Now())
 	return in
 }
 
@@ -117,7 +117,7 @@
 	r := newReporting(g)
 	member := limitedHead(r.leader, "member")
 	member.Membership.Rank, member.Position = 1, 10
-	r.leader.roster.Listed(member, r.clock.Now())
+	r.leader.roster.ApplyFreshEntry(member, r.clock.Now())
 	r.leader.Told(&member, limitedTo(2), "r", r.clock.Now())
 	g.Expect(askAsVersion(g, r.a, r.leader, 0).Avoid).To(BeEmpty())
 }
