--- a/coordination/quarantine/cuthistory_test.go
+++ b/coordination/quarantine/cuthistory_test.go
@@ -135,7 +135,7 @@
 	}
 	for i := range h.workers {
 		if h.reaches(0, i) && !h.now.Before(h.workers[i].backAt) {
-			h.ledgers[0].Alive(h.incarnation(i), h.now)
+			h.ledgers[0].RecordProbeResponse(h.incarnation(i), h.now)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 		return
 	}
 	for n := range h.ledgers {
-		held := h.ledgers[n].Verdict(request("deadly"), h.now).Held(h.now)
+		held := h.ledgers[n].Verdict(request("deadly"), h.now).Quarantined(h.now)
 		if h.quarantining[n] && !held {
 			h.out.released++
 		}
--- a/coordination/quarantine/doubt.go
+++ b/coordination/quarantine/doubt.go
@@ -27,9 +27,9 @@
 	retried bool
 }
 
-// Broken records that an attempt of a request, sent at began, got no complete response because one
+// RecordInterruption records that an attempt of a request, sent at began, got no complete response because one
 // of the members may have ended.
-func (l *Ledger) Broken(f Fingerprint, members []fleet.Incarnation, began, now time.Time) {
+func (l *Ledger) RecordInterruption(f Fingerprint, members []fleet.Incarnation, began, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := interruption{request: f, began: began, at: now, retried: l.interruptedJustBefore(f, began)}
@@ -74,10 +74,10 @@
 // sent. Such an attempt was interrupted for another reason than this ending.
 func (r *endingRecord) endedBefore(sent time.Time) bool { return r.isOver() || sent.After(r.last()) }
 
-// Alive records that an instance answered a probe sent at probedAt. Attempts interrupted before
+// RecordProbeResponse records that an instance answered a probe sent at probedAt. Attempts interrupted before
 // then have another cause than its ending. It reports whether the ending had been recorded as
 // proven.
-func (l *Ledger) Alive(in fleet.Incarnation, probedAt time.Time) (wasEnded bool) {
+func (l *Ledger) RecordProbeResponse(in fleet.Incarnation, probedAt time.Time) (wasEnded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.latestEpisode(in); r != nil {
@@ -106,9 +106,9 @@
 	return marked
 }
 
-// Ended records that an incarnation has provably ended. It returns the requests that were in
+// RecordEnding records that an incarnation has provably ended. It returns the requests that were in
 // progress on it and that no observation of the ending contains yet.
-func (l *Ledger) Ended(in fleet.Incarnation, now time.Time) []Fingerprint {
+func (l *Ledger) RecordEnding(in fleet.Incarnation, now time.Time) []Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.pending[in]
@@ -137,34 +137,34 @@
 	return added
 }
 
-// Current records that a probe sent at probedAt found the instance in the given incarnation, so
+// RecordIncarnation records that a probe sent at probedAt found the instance in the given incarnation, so
 // that all its other incarnations have ended. It returns the requests that were in progress on an
 // ended incarnation, as Ended does.
-func (l *Ledger) Current(in fleet.Incarnation, probedAt, now time.Time) []Fingerprint {
+func (l *Ledger) RecordIncarnation(in fleet.Incarnation, probedAt, now time.Time) []Fingerprint {
 	var added []Fingerprint
 	for _, other := range l.suspectedIncarnations(in.ID) {
 		if other != in {
-			added = append(added, l.Ended(other, now)...)
+			added = append(added, l.RecordEnding(other, now)...)
 		}
 	}
-	l.Alive(in, probedAt)
+	l.RecordProbeResponse(in, probedAt)
 	return added
 }
 
-// Down records that nothing listens at the address of an instance, so that all its incarnations
+// RecordDown records that nothing listens at the address of an instance, so that all its incarnations
 // have ended. It returns the same requests as Current.
-func (l *Ledger) Down(id state.InstanceID, now time.Time) []Fingerprint {
+func (l *Ledger) RecordDown(id state.InstanceID, now time.Time) []Fingerprint {
 	var added []Fingerprint
 	for _, in := range l.suspectedIncarnations(id) {
-		added = append(added, l.Ended(in, now)...)
+		added = append(added, l.RecordEnding(in, now)...)
 	}
 	return added
 }
 
-// Examine reports whether to investigate a refused connection to an instance: attempts were
+// BeginInvestigation reports whether to investigate a refused connection to an instance: attempts were
 // interrupted there, and no refusal was investigated within the check interval. If so, it records
 // the investigation.
-func (l *Ledger) Examine(in fleet.Incarnation, now time.Time) bool {
+func (l *Ledger) BeginInvestigation(in fleet.Incarnation, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.pending[in]
@@ -193,8 +193,8 @@
 // ended refuses the first one, and each probe of an unresponsive one costs every node a timeout.
 const maxProbes = 2
 
-// Due returns the incarnations to probe for liveness now, and schedules their next probes.
-func (l *Ledger) Due(now time.Time) []fleet.Incarnation {
+// NextProbes returns the incarnations to probe for liveness now, and schedules their next probes.
+func (l *Ledger) NextProbes(now time.Time) []fleet.Incarnation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var due []fleet.Incarnation
--- a/coordination/quarantine/fingerprint.go
+++ b/coordination/quarantine/fingerprint.go
@@ -49,8 +49,8 @@
 	return Fingerprint(h.Sum(nil)[:fingerprintSize])
 }
 
-// FingerprintOf returns the fingerprint with the given bytes, and false if their number is wrong.
-func FingerprintOf(raw []byte) (Fingerprint, bool) {
+// ParseFingerprint returns the fingerprint with the given bytes, and false if their number is wrong.
+func ParseFingerprint(raw []byte) (Fingerprint, bool) {
 	if len(raw) != fingerprintSize {
 		return Fingerprint{}, false
 	}
@@ -75,7 +75,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
-	read, ok := FingerprintOf(raw)
+	read, ok := ParseFingerprint(raw)
 	if err != nil || !ok {
 		return ErrBadFingerprint
 	}
--- a/coordination/quarantine/history_test.go
+++ b/coordination/quarantine/history_test.go
@@ -135,7 +135,7 @@
 	for _, b := range h.traffic {
 		h.out.nodeBytes = max(h.out.nodeBytes, b/historyLength.Seconds())
 	}
-	d, _ := h.ledgers[0].Since(0, 0)
+	d, _ := h.ledgers[0].ChangesSince(0, 0)
 	h.out.kept = len(d.Endings)
 	return h.out
 }
@@ -182,7 +182,7 @@
 
 // isQuarantined reports whether the node of an attempt quarantines its request.
 func (h *simulation) isQuarantined(a attempt) bool {
-	return h.quarantineEnabled && h.ledgers[a.node].Verdict(a.request, h.now).Held(h.now)
+	return h.quarantineEnabled && h.ledgers[a.node].Verdict(a.request, h.now).Quarantined(h.now)
 }
 
 // run sends an attempt to an instance, if the instance is up and reachable.
@@ -222,7 +222,7 @@
 				left, crashed = append(left, a), true
 			case a.lost:
 			default:
-				h.ledgers[a.node].Answered(a.request, h.now)
+				h.ledgers[a.node].RecordCompleteResponse(a.request, h.now)
 			}
 		}
 		w.work = left
@@ -267,7 +267,7 @@
 // interrupt records the interruption of an attempt at its node, and schedules the proof of the
 // ending.
 func (h *simulation) interrupt(a attempt, i int, in fleet.Incarnation) {
-	h.ledgers[a.node].Broken(a.request, []fleet.Incarnation{in}, a.began, h.now)
+	h.ledgers[a.node].RecordInterruption(a.request, []fleet.Incarnation{in}, a.began, h.now)
 	h.proofs = append(h.proofs, proof{a.node, i, in, h.now.Add(time.Duration(h.rng.Int64N(int64(maxProofDelay))))})
 }
 
@@ -295,7 +295,7 @@
 			continue
 		}
 		if h.refuses(p.node, p.worker, p.in) {
-			h.ledgers[p.node].Ended(p.in, h.now)
+			h.ledgers[p.node].RecordEnding(p.in, h.now)
 		}
 	}
 	h.proofs = left
@@ -310,9 +310,9 @@
 			continue
 		}
 		l, source := link{n, leader}, quarantine.Source(1000+leader)
-		own, version := h.ledgers[n].Since(h.sent[l], source)
+		own, version := h.ledgers[n].ChangesSince(h.sent[l], source)
 		h.ledgers[leader].Merge(h.delayed(own), quarantine.Source(n))
-		theirs, now := h.ledgers[leader].Since(h.received[l], quarantine.Source(n))
+		theirs, now := h.ledgers[leader].ChangesSince(h.received[l], quarantine.Source(n))
 		h.ledgers[n].Merge(h.delayed(theirs), source)
 		h.sent[l], h.received[l] = version, now
 		size := float64(sizeOf(own) + sizeOf(theirs))
@@ -452,7 +452,7 @@
 // BenchmarkJudge measures one evaluation of the maximum number of retained endings.
 func BenchmarkJudge(b *testing.B) {
 	p := quarantine.DefaultPolicy()
-	p.JudgeInterval = 0
+	p.EvaluationInterval = 0
 	l := quarantine.NewLedger(p)
 	const under = 30
 	for i := range p.MaxEndings {
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -42,27 +42,27 @@
 
 // Verdict is the conclusion about one request.
 type Verdict struct {
-	// Endings counts the consecutive endings during the request that no other request accounts for.
-	// Endings that coincide count once.
-	Endings int
+	// IndependentEndings counts the consecutive endings during the request that no other request accounts for.
+	// IndependentEndings that coincide count once.
+	IndependentEndings int
 	// Until is when the quarantine of the request ends; zero if it is not quarantined.
 	Until time.Time
-	// Under holds all these endings, including those that coincide, without the other requests in
+	// Evidence holds all these endings, including those that coincide, without the other requests in
 	// progress.
-	Under []Ending
+	Evidence []Ending
 }
 
 // Instances returns the ids of the instances that ended during the request.
 func (v Verdict) Instances() []state.InstanceID {
-	ids := make([]state.InstanceID, len(v.Under))
-	for i, e := range v.Under {
+	ids := make([]state.InstanceID, len(v.Evidence))
+	for i, e := range v.Evidence {
 		ids[i] = e.Instance.ID
 	}
 	return ids
 }
 
-// Held reports whether the request is quarantined at now.
-func (v Verdict) Held(now time.Time) bool { return now.Before(v.Until) }
+// Quarantined reports whether the request is quarantined at now.
+func (v Verdict) Quarantined(now time.Time) bool { return now.Before(v.Until) }
 
 // evaluate returns the verdicts on the requests that are to be quarantined, or may be after one
 // more ending. cleared holds the time of the last complete response to each request.
@@ -89,7 +89,7 @@
 	for f, list := range byRequest {
 		if _, decided := verdicts[f]; !decided {
 			b := h.evidenceAgainst(f, list)
-			verdicts[f] = Verdict{Endings: b.independent, Under: h.endingsOf(f, b.counted)}
+			verdicts[f] = Verdict{IndependentEndings: b.independent, Evidence: h.endingsOf(f, b.counted)}
 		}
 	}
 	return verdicts
@@ -140,12 +140,12 @@
 // quarantineVerdict returns the verdict on a request that accounts for its unexplained endings. The
 // quarantine doubles with each ending beyond the required number, up to the retention period.
 func (h *history) quarantineVerdict(f Fingerprint, b evidence, policy *Policy) Verdict {
-	v := Verdict{Endings: b.independent, Under: h.endingsOf(f, b.counted)}
+	v := Verdict{IndependentEndings: b.independent, Evidence: h.endingsOf(f, b.counted)}
 	hold := policy.Hold
 	for range b.independent - policy.Endings {
-		hold = min(2*hold, policy.Memory)
+		hold = min(2*hold, policy.Retention)
 	}
-	v.Until = v.Under[len(v.Under)-1].At.Add(hold)
+	v.Until = v.Evidence[len(v.Evidence)-1].At.Add(hold)
 	return v
 }
 
--- a/coordination/quarantine/ledger.go
+++ b/coordination/quarantine/ledger.go
@@ -123,11 +123,11 @@
 	}
 }
 
-// Answered records a complete response to a request. It clears the request if the next ending would
+// RecordCompleteResponse records a complete response to a request. It clears the request if the next ending would
 // quarantine it.
-func (l *Ledger) Answered(f Fingerprint, now time.Time) {
+func (l *Ledger) RecordCompleteResponse(f Fingerprint, now time.Time) {
 	l.lastAnswers.Add(f, now)
-	if l.Verdict(f, now).Endings >= max(l.policy.Endings-1, 1) {
+	if l.Verdict(f, now).IndependentEndings >= max(l.policy.Endings-1, 1) {
 		l.Clear(f, now)
 	}
 }
@@ -149,7 +149,7 @@
 		}
 		number = c.number + 1
 	}
-	l.mergeCleared(Cleared{Request: f, By: l.own, Number: number, At: now}, self)
+	l.mergeCleared(Clearing{Request: f, By: l.own, Number: number, At: now}, self)
 }
 
 // refreshVerdicts recomputes the verdicts if endings have changed or the verdicts are old, and
@@ -158,7 +158,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	since := now.Sub(l.evaluatedAt)
-	if !l.dirty && since < l.policy.Hold/refreshDivisor || since < l.policy.JudgeInterval {
+	if !l.dirty && since < l.policy.Hold/refreshDivisor || since < l.policy.EvaluationInterval {
 		return
 	}
 	l.removeExpired(now)
@@ -191,13 +191,13 @@
 // removeExpired removes entries older than Policy.Memory. l.mu is held.
 func (l *Ledger) removeExpired(now time.Time) {
 	for key, r := range l.endings {
-		if now.Sub(r.last()) > l.policy.Memory {
+		if now.Sub(r.last()) > l.policy.Retention {
 			delete(l.endings, key)
 		}
 	}
 	for f, by := range l.cleared {
 		for source, c := range by {
-			if now.Sub(c.at) > l.policy.Memory {
+			if now.Sub(c.at) > l.policy.Retention {
 				delete(by, source)
 			}
 		}
--- a/coordination/quarantine/ledger_test.go
+++ b/coordination/quarantine/ledger_test.go
@@ -34,15 +34,15 @@
 func endInstance(l *quarantine.Ledger, id string, after time.Duration, requests ...string) {
 	at := start.Add(after)
 	for _, r := range requests {
-		l.Broken(request(r), []fleet.Incarnation{instance(id)}, at.Add(-runTime), at)
+		l.RecordInterruption(request(r), []fleet.Incarnation{instance(id)}, at.Add(-runTime), at)
 	}
-	l.Ended(instance(id), at.Add(10*time.Millisecond))
+	l.RecordEnding(instance(id), at.Add(10*time.Millisecond))
 }
 
 // isQuarantined reports whether a request is quarantined at a time after the start.
 func isQuarantined(l *quarantine.Ledger, r string, after time.Duration) bool {
 	now := start.Add(after)
-	return l.Verdict(request(r), now).Held(now)
+	return l.Verdict(request(r), now).Quarantined(now)
 }
 
 func TestFingerprintIdentifiesContent(t *testing.T) {
@@ -127,13 +127,13 @@
 			endAll := func(instances int, from time.Duration) {
 				for i := range instances {
 					in, at := fleet.Incarnation{ID: state.InstanceID(fmt.Sprint(i)), Life: c.life}, start.Add(from+time.Duration(i)*time.Second)
-					l.Broken(request("deadly"), []fleet.Incarnation{in}, at.Add(-runTime), at)
-					l.Ended(in, at)
-					l.Alive(in, at.Add(500*time.Millisecond))
+					l.RecordInterruption(request("deadly"), []fleet.Incarnation{in}, at.Add(-runTime), at)
+					l.RecordEnding(in, at)
+					l.RecordProbeResponse(in, at.Add(500*time.Millisecond))
 				}
-				d, _ := l.Since(0, 0)
+				d, _ := l.ChangesSince(0, 0)
 				other.Merge(d, 7)
-				d, _ = other.Since(0, 0)
+				d, _ = other.ChangesSince(0, 0)
 				l.Merge(d, 8)
 			}
 			endAll(2, 0)
@@ -164,8 +164,8 @@
 			for i := range 3 {
 				in, began := instance(fmt.Sprint(i)), ended.Add(c.began)
 				ended = ended.Add(10 * time.Millisecond)
-				l.Broken(request("deadly"), []fleet.Incarnation{in}, began, ended)
-				l.Ended(in, ended.Add(5*time.Millisecond))
+				l.RecordInterruption(request("deadly"), []fleet.Incarnation{in}, began, ended)
+				l.RecordEnding(in, ended.Add(5*time.Millisecond))
 			}
 			NewWithT(t).Expect(isQuarantined(l, "deadly", time.Second)).To(Equal(c.quarantined))
 		})
@@ -194,10 +194,10 @@
 			sender, other := quarantine.NewLedger(quarantine.DefaultPolicy()), quarantine.NewLedger(quarantine.DefaultPolicy())
 			for i, id := range []string{"a", "b", "c"} {
 				at := start.Add(time.Duration(i) * pause)
-				sender.Broken(request("deadly"), []fleet.Incarnation{instance(id)}, at.Add(-time.Millisecond), at)
-				sender.Ended(instance(id), at)
+				sender.RecordInterruption(request("deadly"), []fleet.Incarnation{instance(id)}, at.Add(-time.Millisecond), at)
+				sender.RecordEnding(instance(id), at)
 			}
-			d, _ := sender.Since(0, 0)
+			d, _ := sender.ChangesSince(0, 0)
 			slices.SortFunc(d.Endings, func(a, b quarantine.Ending) int { return cmp.Compare(a.Instance.ID, b.Instance.ID) })
 			for i := range d.Endings {
 				d.Endings[i].At = d.Endings[i].At.Add(c.delays[i])
@@ -215,7 +215,7 @@
 func TestPopularRequestDoesNotShieldDeadlyOne(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
-	l.Answered(request("popular"), start)
+	l.RecordCompleteResponse(request("popular"), start)
 	endInstance(l, "chance", time.Second, "popular")
 	for i := range 3 {
 		endInstance(l, fmt.Sprint(i), time.Duration(2+i)*time.Second, "popular", "deadly", fmt.Sprint("beside ", i))
@@ -267,25 +267,25 @@
 		{"a hall is cut off, and each attempt is retried on the next instance that is cut off", func(l *quarantine.Ledger) {
 			for i := range 20 {
 				in, at := instance(fmt.Sprintf("i%d", i)), start.Add(time.Second+time.Duration(i)*5*time.Millisecond)
-				l.Broken(request(fmt.Sprint("beside ", i)), []fleet.Incarnation{in}, start, at)
+				l.RecordInterruption(request(fmt.Sprint("beside ", i)), []fleet.Incarnation{in}, start, at)
 				if i < 4 {
-					l.Broken(request("popular"), []fleet.Incarnation{in}, at.Add(-5*time.Millisecond), at)
+					l.RecordInterruption(request("popular"), []fleet.Incarnation{in}, at.Add(-5*time.Millisecond), at)
 				}
-				l.Ended(in, at.Add(time.Millisecond))
+				l.RecordEnding(in, at.Add(time.Millisecond))
 			}
 		}},
 		{"its instances answer again after the partition", func(l *quarantine.Ledger) {
 			for i := range 4 {
 				in, at := fleet.Incarnation{ID: "i", Life: fmt.Sprint(i)}, start.Add(time.Duration(i)*time.Second)
-				l.Broken(request("popular"), []fleet.Incarnation{in}, at.Add(-runTime), at)
-				l.Ended(in, at)
-				l.Alive(in, start.Add(4*time.Second))
+				l.RecordInterruption(request("popular"), []fleet.Incarnation{in}, at.Add(-runTime), at)
+				l.RecordEnding(in, at)
+				l.RecordProbeResponse(in, start.Add(4*time.Second))
 			}
 		}},
 		{"a complete response in between", func(l *quarantine.Ledger) {
 			endInstance(l, "a", time.Second, "popular")
 			endInstance(l, "b", 2*time.Second, "popular")
-			l.Answered(request("popular"), start.Add(2500*time.Millisecond))
+			l.RecordCompleteResponse(request("popular"), start.Add(2500*time.Millisecond))
 			endInstance(l, "c", 3*time.Second, "popular")
 			endInstance(l, "d", 4*time.Second, "popular")
 		}},
@@ -293,16 +293,16 @@
 			for i := range 9 {
 				in := instance(fmt.Sprintf("i%d", i))
 				at := start.Add(time.Duration(i) * time.Second / 2)
-				l.Broken(request("popular"), []fleet.Incarnation{in}, at.Add(-runTime), at)
-				l.Alive(in, at.Add(time.Millisecond))
-				l.Ended(in, at.Add(10*time.Millisecond))
+				l.RecordInterruption(request("popular"), []fleet.Incarnation{in}, at.Add(-runTime), at)
+				l.RecordProbeResponse(in, at.Add(time.Millisecond))
+				l.RecordEnding(in, at.Add(10*time.Millisecond))
 			}
 		}},
 		{"its instances ended long after it was interrupted", func(l *quarantine.Ledger) {
 			for i := range 9 {
 				in := instance(fmt.Sprintf("i%d", i))
-				l.Broken(request("popular"), []fleet.Incarnation{in}, start.Add(-2*time.Minute), start.Add(-time.Minute+time.Duration(i)*time.Second))
-				l.Ended(in, start.Add(time.Duration(i)*time.Second/2))
+				l.RecordInterruption(request("popular"), []fleet.Incarnation{in}, start.Add(-2*time.Minute), start.Add(-time.Minute+time.Duration(i)*time.Second))
+				l.RecordEnding(in, start.Add(time.Duration(i)*time.Second/2))
 			}
 		}},
 		{"an operator cleared it", func(l *quarantine.Ledger) {
@@ -369,7 +369,7 @@
 			g := NewWithT(t)
 			cutOff, other := quarantine.NewLedger(quarantine.DefaultPolicy()), quarantine.NewLedger(quarantine.DefaultPolicy())
 			send := func(from, to *quarantine.Ledger, source quarantine.Source) {
-				d, _ := from.Since(0, 0)
+				d, _ := from.ChangesSince(0, 0)
 				to.Merge(d, source)
 			}
 			observePartition(cutOff)
@@ -401,7 +401,7 @@
 	}
 	l.Merge(quarantine.Delta{Endings: merged}, 7)
 	g.Expect(isQuarantined(l, "deadly", 4*time.Second)).To(BeTrue())
-	g.Expect(l.Verdict(request("deadly"), start.Add(4*time.Second)).Endings).To(Equal(3))
+	g.Expect(l.Verdict(request("deadly"), start.Add(4*time.Second)).IndependentEndings).To(Equal(3))
 }
 
 func TestQuarantineDoublesWithEachEnding(t *testing.T) {
@@ -418,7 +418,7 @@
 	endInstance(l, "again", again, "deadly")
 	g.Expect(isQuarantined(l, "deadly", again+p.Hold+time.Second)).To(BeTrue())
 	g.Expect(isQuarantined(l, "deadly", again+2*p.Hold+time.Second)).To(BeFalse())
-	g.Expect(isQuarantined(l, "deadly", again+2*p.Memory)).To(BeFalse())
+	g.Expect(isQuarantined(l, "deadly", again+2*p.Retention)).To(BeFalse())
 }
 
 // An attempt whose interruption is noticed late counts against an ending that is already known,
@@ -441,11 +441,11 @@
 			for i := range 3 {
 				in, at := instance(fmt.Sprintf("i%d", i)), start.Add(time.Duration(i)*time.Second)
 				if c.interruptedFirst {
-					l.Broken(request("deadly"), []fleet.Incarnation{in}, at.Add(-runTime), at)
+					l.RecordInterruption(request("deadly"), []fleet.Incarnation{in}, at.Add(-runTime), at)
 				}
 				c.report(l, in, at)
 				if !c.interruptedFirst {
-					l.Broken(request("deadly"), []fleet.Incarnation{in}, at.Add(-runTime), at.Add(time.Second))
+					l.RecordInterruption(request("deadly"), []fleet.Incarnation{in}, at.Add(-runTime), at.Add(time.Second))
 				}
 			}
 			NewWithT(t).Expect(isQuarantined(l, "deadly", 5*time.Second)).To(BeTrue())
@@ -459,11 +459,11 @@
 	l := quarantine.NewLedger(p)
 	for i := range 4 * p.MaxEndings {
 		for r := range 2 * p.MaxRequests {
-			l.Broken(request(fmt.Sprint(r)), []fleet.Incarnation{instance(fmt.Sprint(i))}, start, start.Add(time.Duration(i)*time.Millisecond))
+			l.RecordInterruption(request(fmt.Sprint(r)), []fleet.Incarnation{instance(fmt.Sprint(i))}, start, start.Add(time.Duration(i)*time.Millisecond))
 		}
-		l.Ended(instance(fmt.Sprint(i)), start.Add(time.Duration(i)*time.Millisecond))
+		l.RecordEnding(instance(fmt.Sprint(i)), start.Add(time.Duration(i)*time.Millisecond))
 	}
-	d, _ := l.Since(0, 0)
+	d, _ := l.ChangesSince(0, 0)
 	g.Expect(d.Endings).To(HaveLen(p.MaxEndings))
 	for _, e := range d.Endings {
 		g.Expect(len(e.Requests)).To(BeNumerically("<=", p.MaxRequests))
--- a/coordination/quarantine/policy.go
+++ b/coordination/quarantine/policy.go
@@ -17,8 +17,8 @@
 	// Hold is how long a request is quarantined after its last ending; it doubles with each further
 	// ending. It leaves an operator, who reacts within minutes, time to look at the request.
 	Hold time.Duration `flag:"hold" help:"how long a request is quarantined after its last ending" min:"1s" max:"24h"`
-	// Memory is how long an ending is retained, so that endings do not add up over a whole day.
-	Memory time.Duration `flag:"memory" help:"how long an ending is retained" min:"1s" max:"24h"`
+	// Retention is how long an ending is retained, so that endings do not add up over a whole day.
+	Retention time.Duration `flag:"memory" help:"how long an ending is retained" min:"1s" max:"24h"`
 	// EvidenceWindow is how long after an attempt was interrupted proof that its instance ended
 	// still counts: twice the time after which a stalled group reports that it is broken.
 	EvidenceWindow time.Duration `flag:"evidence-window" help:"how long after an attempt was interrupted proof that its instance ended still counts" min:"100ms" max:"1m"`
@@ -33,23 +33,23 @@
 	// MaxAnswers is how many requests a node caches the time of the last complete response for: one
 	// minute at 15 requests a second.
 	MaxAnswers int `flag:"max-answers" help:"maximum number of requests whose last complete response is cached" min:"1" max:"1000000"`
-	// JudgeInterval is the minimum time between two evaluations, which bounds their cost at any
+	// EvaluationInterval is the minimum time between two evaluations, which bounds their cost at any
 	// rate of endings.
-	JudgeInterval time.Duration `flag:"judge-interval" help:"minimum time between two evaluations of the endings" min:"0s" max:"10s"`
+	EvaluationInterval time.Duration `flag:"judge-interval" help:"minimum time between two evaluations of the endings" min:"0s" max:"10s"`
 }
 
 // DefaultPolicy returns the default policy of a node.
 func DefaultPolicy() Policy {
 	return Policy{
-		Endings:        3,
-		Spacing:        150 * time.Millisecond,
-		Hold:           10 * time.Minute,
-		Memory:         time.Hour,
-		EvidenceWindow: 10 * time.Second,
-		CheckInterval:  300 * time.Millisecond,
-		MaxEndings:     256,
-		MaxRequests:    128,
-		MaxAnswers:     1024,
-		JudgeInterval:  50 * time.Millisecond,
+		Endings:            3,
+		Spacing:            150 * time.Millisecond,
+		Hold:               10 * time.Minute,
+		Retention:          time.Hour,
+		EvidenceWindow:     10 * time.Second,
+		CheckInterval:      300 * time.Millisecond,
+		MaxEndings:         256,
+		MaxRequests:        128,
+		MaxAnswers:         1024,
+		EvaluationInterval: 50 * time.Millisecond,
 	}
 }
--- a/coordination/quarantine/property_test.go
+++ b/coordination/quarantine/property_test.go
@@ -39,7 +39,7 @@
 func (d *randomHistory) versions() []uint64 {
 	var list []uint64
 	for _, n := range d.nodes {
-		_, version := n.Since(0, 0)
+		_, version := n.ChangesSince(0, 0)
 		list = append(list, version)
 	}
 	return list
@@ -49,7 +49,7 @@
 // arrived.
 func (d *randomHistory) send(from, to int, lost bool) {
 	link := [2]int{from, to}
-	delta, version := d.nodes[from].Since(d.received[link], quarantine.Source(to+1))
+	delta, version := d.nodes[from].ChangesSince(d.received[link], quarantine.Source(to+1))
 	for i := range delta.Endings {
 		delta.Endings[i].At = delta.Endings[i].At.Add(d.delay)
 	}
@@ -73,16 +73,16 @@
 	f := request(fmt.Sprintf("r%d", rapid.IntRange(0, 4).Draw(t, "request")))
 	switch rapid.IntRange(0, 6).Draw(t, "event") {
 	case 0, 1:
-		d.nodes[node].Broken(f, []fleet.Incarnation{in}, d.now.Add(-time.Duration(rapid.IntRange(0, 300).Draw(t, "run"))*time.Millisecond), d.now)
+		d.nodes[node].RecordInterruption(f, []fleet.Incarnation{in}, d.now.Add(-time.Duration(rapid.IntRange(0, 300).Draw(t, "run"))*time.Millisecond), d.now)
 	case 2:
-		d.nodes[node].Ended(in, d.now)
+		d.nodes[node].RecordEnding(in, d.now)
 	case 3:
-		d.nodes[node].Broken(f, []fleet.Incarnation{in}, d.now.Add(-time.Duration(rapid.IntRange(0, 300).Draw(t, "run"))*time.Millisecond), d.now)
-		d.nodes[node].Ended(in, d.now)
+		d.nodes[node].RecordInterruption(f, []fleet.Incarnation{in}, d.now.Add(-time.Duration(rapid.IntRange(0, 300).Draw(t, "run"))*time.Millisecond), d.now)
+		d.nodes[node].RecordEnding(in, d.now)
 	case 4:
-		d.nodes[node].Answered(f, d.now)
+		d.nodes[node].RecordCompleteResponse(f, d.now)
 	case 5:
-		d.nodes[node].Alive(in, d.now)
+		d.nodes[node].RecordProbeResponse(in, d.now)
 	case 6:
 		d.send(node, rapid.IntRange(0, len(d.nodes)-1).Draw(t, "to"), rapid.Bool().Draw(t, "lost"))
 	}
@@ -166,16 +166,16 @@
 			}
 			all = append(all, now)
 			endings++
-			now = now.Add(p.JudgeInterval)
+			now = now.Add(p.EvaluationInterval)
 			v := l.Verdict(request("r"), now)
 			want := len(independent)
 			if endings < p.Endings-1 {
 				want = 0 // one more ending could not quarantine the request
 			}
-			if v.Endings != want || v.Held(now) != (len(independent) >= p.Endings) {
+			if v.IndependentEndings != want || v.Quarantined(now) != (len(independent) >= p.Endings) {
 				t.Fatalf("after %d independent endings the verdict is %+v", len(independent), v)
 			}
-			if l.Verdict(request(fmt.Sprint("beside ", i)), now).Held(now) {
+			if l.Verdict(request(fmt.Sprint("beside ", i)), now).Quarantined(now) {
 				t.Fatal("a request with a single ending is quarantined")
 			}
 		}
--- a/coordination/quarantine/share.go
+++ b/coordination/quarantine/share.go
@@ -13,15 +13,15 @@
 const (
 	// self is this node; in Ending.By it means that the node is unknown.
 	self Source = 0
-	// Kept is the store, which all nodes read.
-	Kept Source = -1
-	// Peer is any other node, in exchanges that do not distinguish peers.
-	Peer Source = -2
+	// StoreSource is the store, which all nodes read.
+	StoreSource Source = -1
+	// PeerSource is any other node, in exchanges that do not distinguish peers.
+	PeerSource Source = -2
 )
 
-// Cleared holds when a request last got a complete response at one node, after instances had ended
+// Clearing holds when a request last got a complete response at one node, after instances had ended
 // during it.
-type Cleared struct {
+type Clearing struct {
 	Request Fingerprint
 	// By is the node, Number the sequence number of the clearing among its clearings of the
 	// request.
@@ -33,15 +33,15 @@
 // Delta is a set of changes that one node sends to another.
 type Delta struct {
 	Endings []Ending
-	Cleared []Cleared
+	Cleared []Clearing
 }
 
 // Empty reports whether the delta has no changes.
 func (d *Delta) Empty() bool { return len(d.Endings) == 0 && len(d.Cleared) == 0 }
 
-// Since returns the changes after a version, without those that came from except, and the current
+// ChangesSince returns the changes after a version, without those that came from except, and the current
 // version.
-func (l *Ledger) Since(version uint64, except Source) (Delta, uint64) {
+func (l *Ledger) ChangesSince(version uint64, except Source) (Delta, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var d Delta
@@ -58,7 +58,7 @@
 	for f, by := range l.cleared {
 		for source, c := range by {
 			if c.isNewFor(version, except) {
-				d.Cleared = append(d.Cleared, Cleared{Request: f, By: source, Number: c.number, At: c.at})
+				d.Cleared = append(d.Cleared, Clearing{Request: f, By: source, Number: c.number, At: c.at})
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // mergeCleared merges a clearing from another node, or one of this node. l.mu is held.
-func (l *Ledger) mergeCleared(c Cleared, from Source) {
+func (l *Ledger) mergeCleared(c Clearing, from Source) {
 	by := l.cleared[c.Request]
 	if by == nil {
 		by = map[Source]*clearing{}
--- a/protocol/peer/ledger.go
+++ b/protocol/peer/ledger.go
@@ -33,8 +33,8 @@
 		d.Endings = append(d.Endings, ending)
 	}
 	for _, c := range m.GetCleared() {
-		if f, ok := quarantine.FingerprintOf(c.GetRequest()); ok {
-			d.Cleared = append(d.Cleared, quarantine.Cleared{
+		if f, ok := quarantine.ParseFingerprint(c.GetRequest()); ok {
+			d.Cleared = append(d.Cleared, quarantine.Clearing{
 				Request: f, By: quarantine.Source(c.GetBy()), Number: c.GetNumber(), At: now.Add(-Duration(c.GetAgeMs())),
 			})
 		}
@@ -55,7 +55,7 @@
 func decodeFingerprints(list [][]byte) []quarantine.Fingerprint {
 	var out []quarantine.Fingerprint
 	for _, raw := range list {
-		if f, ok := quarantine.FingerprintOf(raw); ok {
+		if f, ok := quarantine.ParseFingerprint(raw); ok {
 			out = append(out, f)
 		}
 	}
--- a/transport/caller/quarantine.go
+++ b/transport/caller/quarantine.go
@@ -14,10 +14,10 @@
 func (s *Server) quarantined(q *request) *Failure {
 	now := s.c.Clock.Now()
 	v := s.c.Quarantine.Verdict(q.fingerprint, now)
-	if !v.Held(now) {
+	if !v.Quarantined(now) {
 		return nil
 	}
-	f := notRun(http.StatusServiceUnavailable, CodeQuarantined, "%d instances ended under earlier attempts of this request (fingerprint %s)", v.Endings, q.fingerprint)
+	f := notRun(http.StatusServiceUnavailable, CodeQuarantined, "%d instances ended under earlier attempts of this request (fingerprint %s)", v.IndependentEndings, q.fingerprint)
 	f.RetryAfter = v.Until.Sub(now)
 	return f
 }
@@ -37,9 +37,9 @@
 func (s *Server) learn(q *request, outcome retry.Outcome, err error) {
 	switch {
 	case err == nil:
-		s.c.Quarantine.Answered(q.fingerprint, s.c.Clock.Now())
+		s.c.Quarantine.RecordCompleteResponse(q.fingerprint, s.c.Clock.Now())
 	case outcome == retry.Unknown && !errors.Is(err, errCallerGone):
-		s.c.Quarantine.Broken(q.fingerprint, q.lives, q.sentAt, s.c.Clock.Now())
+		s.c.Quarantine.RecordInterruption(q.fingerprint, q.lives, q.sentAt, s.c.Clock.Now())
 		select {
 		case s.c.Doubted <- struct{}{}:
 		default:
--- a/transport/entry/endings.go
+++ b/transport/entry/endings.go
@@ -37,7 +37,7 @@
 			lives = append(lives, instances[i].Incarnation())
 		}
 	}
-	n.ledger.Broken(f, lives, began, n.clock.Now())
+	n.ledger.RecordInterruption(f, lives, began, n.clock.Now())
 }
 
 // Refused implements gateway.Quarantine.
@@ -47,7 +47,7 @@
 // off by resets refuses on behalf of instances that live: it proves an ending only if another
 // instance of the hall answers, and the connection is refused still.
 func (n *Node) refused(in fleet.Incarnation) {
-	if !n.ledger.Examine(in, n.clock.Now()) {
+	if !n.ledger.BeginInvestigation(in, n.clock.Now()) {
 		return
 	}
 	v, known := n.roster.Get(in.ID, n.clock.Now())
@@ -123,7 +123,7 @@
 // ended records that an instance has ended, and has the leader told at once of the
 // requests that it had under way.
 func (n *Node) ended(in fleet.Incarnation, proof endProof) {
-	requests := n.ledger.Ended(in, n.clock.Now())
+	requests := n.ledger.RecordEnding(in, n.clock.Now())
 	if len(requests) == 0 {
 		return
 	}
@@ -134,7 +134,7 @@
 
 // alive records that an instance answered a question.
 func (n *Node) alive(in fleet.Incarnation, asked time.Time) {
-	if !n.ledger.Alive(in, asked) {
+	if !n.ledger.RecordProbeResponse(in, asked) {
 		return
 	}
 	n.Count("quarantine.back")
@@ -160,7 +160,7 @@
 
 // askDoubted asks the instances on which requests broke off whether they live.
 func (n *Node) askDoubted() {
-	for _, in := range n.ledger.Due(n.clock.Now()) {
+	for _, in := range n.ledger.NextProbes(n.clock.Now()) {
 		v, known := n.roster.Get(in.ID, n.clock.Now())
 		switch {
 		case !known:
--- a/transport/entry/ledger.go
+++ b/transport/entry/ledger.go
@@ -64,7 +64,7 @@
 		})
 	}
 	for _, c := range r.Cleared {
-		d.Cleared = append(d.Cleared, quarantine.Cleared{Request: c.Request, By: c.By, Number: c.Number, At: at(c.AgeMS)})
+		d.Cleared = append(d.Cleared, quarantine.Clearing{Request: c.Request, By: c.By, Number: c.Number, At: at(c.AgeMS)})
 	}
 	return d
 }
@@ -75,7 +75,7 @@
 	if w.Feed != n.number.Load() {
 		after = 0
 	}
-	d, version := n.ledger.Since(after, quarantine.Source(w.From.Number))
+	d, version := n.ledger.ChangesSince(after, quarantine.Source(w.From.Number))
 	a.Ledger, a.LedgerNow = newLedgerReport(d, now), version
 }
 
@@ -86,7 +86,7 @@
 	sent, leader := p.ledgerSent, quarantine.Source(p.feedFrom)
 	w.LedgerAfter = p.ledgerHas
 	p.mu.Unlock()
-	d, version := p.n.ledger.Since(sent, leader)
+	d, version := p.n.ledger.ChangesSince(sent, leader)
 	w.Ledger = newLedgerReport(d, now)
 	return version
 }
--- a/transport/entry/quarantine.go
+++ b/transport/entry/quarantine.go
@@ -20,16 +20,16 @@
 func (n *Node) HeldUntil(f quarantine.Fingerprint) (time.Time, bool) {
 	now := n.clock.Now()
 	v := n.ledger.Verdict(f, now)
-	return v.Until, v.Held(now)
+	return v.Until, v.Quarantined(now)
 }
 
 // Suspected implements gateway.Quarantine.
 func (n *Node) Suspected(f quarantine.Fingerprint) bool {
-	return n.ledger.Verdict(f, n.clock.Now()).Endings >= n.set.Policy.Quarantine.Endings-1
+	return n.ledger.Verdict(f, n.clock.Now()).IndependentEndings >= n.set.Policy.Quarantine.Endings-1
 }
 
 // Answered implements gateway.Quarantine.
-func (n *Node) Answered(f quarantine.Fingerprint) { n.ledger.Answered(f, n.clock.Now()) }
+func (n *Node) Answered(f quarantine.Fingerprint) { n.ledger.RecordCompleteResponse(f, n.clock.Now()) }
 
 // Times of keeping the quarantine in the store.
 const (
@@ -65,8 +65,8 @@
 		}
 		now := n.clock.Now()
 		for f, v := range n.ledger.Verdicts(now) {
-			if v.Held(now) && kept[f] < v.Endings && n.keep(ctx, f, v, now) {
-				kept[f] = v.Endings
+			if v.Quarantined(now) && kept[f] < v.IndependentEndings && n.keep(ctx, f, v, now) {
+				kept[f] = v.IndependentEndings
 			}
 		}
 	}
@@ -75,7 +75,7 @@
 // keep writes one request that is held back into the store and reports whether it is there.
 func (n *Node) keep(ctx context.Context, f quarantine.Fingerprint, v quarantine.Verdict, now time.Time) bool {
 	var list []keptEnding
-	for _, e := range v.Under {
+	for _, e := range v.Evidence {
 		list = append(list, keptEnding{Instance: e.Instance, UnixMS: n.clock.Now().Add(-now.Sub(e.At)).UnixMilli(), Apart: len(e.Apart) > 0})
 	}
 	value, err := json.Marshal(list)
@@ -133,7 +133,7 @@
 			}
 			d.Endings = append(d.Endings, e)
 		}
-		n.ledger.Merge(d, quarantine.Kept)
+		n.ledger.Merge(d, quarantine.StoreSource)
 	}
 }
 
@@ -142,18 +142,18 @@
 	now := n.clock.Now()
 	verdicts := n.ledger.Verdicts(now)
 	for f, v := range verdicts {
-		if until, known := held[f]; !v.Held(now) || known && until.Equal(v.Until) {
+		if until, known := held[f]; !v.Quarantined(now) || known && until.Equal(v.Until) {
 			continue
 		}
 		held[f] = v.Until
 		n.Count("quarantine.held")
 		n.log.WithFields(log.Fields{
-			"fingerprint": f, "endings": v.Endings, "instances": v.Instances(), "hold_ms": v.Until.Sub(now).Milliseconds(),
-			"last_ms": now.Sub(v.Under[len(v.Under)-1].At).Milliseconds(),
+			"fingerprint": f, "endings": v.IndependentEndings, "instances": v.Instances(), "hold_ms": v.Until.Sub(now).Milliseconds(),
+			"last_ms": now.Sub(v.Evidence[len(v.Evidence)-1].At).Milliseconds(),
 		}).Warn("request quarantined")
 	}
 	for f, until := range held {
-		if !verdicts[f].Held(now) {
+		if !verdicts[f].Quarantined(now) {
 			delete(held, f)
 			n.log.WithFields(log.Fields{"fingerprint": f, "expired": !until.After(now)}).Info("request released")
 		}
@@ -173,10 +173,10 @@
 	now := n.clock.Now()
 	list := []quarantined{}
 	for f, v := range n.ledger.Verdicts(now) {
-		if !v.Held(now) {
+		if !v.Quarantined(now) {
 			continue
 		}
-		q := quarantined{Fingerprint: f, Endings: v.Endings, HoldMS: v.Until.Sub(now).Milliseconds()}
+		q := quarantined{Fingerprint: f, Endings: v.IndependentEndings, HoldMS: v.Until.Sub(now).Milliseconds()}
 		for _, id := range v.Instances() {
 			q.Instances = append(q.Instances, string(id))
 		}
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -33,8 +33,8 @@
 	for i := range 3 {
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprintf("%s-i%d", n.set.Name, i)), Life: "1"}
 		at := n.clock.Now().Add(time.Duration(i-5) * time.Second)
-		n.ledger.Broken(f, []fleet.Incarnation{in}, at.Add(-time.Second), at)
-		n.ledger.Ended(in, at)
+		n.ledger.RecordInterruption(f, []fleet.Incarnation{in}, at.Add(-time.Second), at)
+		n.ledger.RecordEnding(in, at)
 	}
 }
 
@@ -96,8 +96,8 @@
 	for i, n := range nodes {
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprintf("i%d", i))}
 		at := n.clock.Now().Add(time.Duration(i-5) * time.Second)
-		n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in}, at.Add(-time.Second), at)
-		n.ledger.Ended(in, at)
+		n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in}, at.Add(-time.Second), at)
+		n.ledger.RecordEnding(in, at)
 	}
 	for range 2 {
 		for _, n := range nodes {
@@ -194,10 +194,10 @@
 			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: proofs{c.rep, c.err}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "i", Born: born, Service: "lm", Address: testAddress(9)}
 			n.roster.ApplyFreshEntry(in, clock.Now())
-			n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
+			n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
 			clock.Advance(time.Millisecond)
 			n.report(t.Context(), in, clock.Now())
-			d, _ := n.ledger.Since(0, 0)
+			d, _ := n.ledger.ChangesSince(0, 0)
 			g.Expect(d.Endings).To(HaveLen(map[bool]int{true: 1}[c.ended]))
 		})
 	}
@@ -241,10 +241,10 @@
 				n.roster.ApplyFreshEntry(fleet.Instance{ID: state.InstanceID(id), Service: "lm", Address: testAddress(10 + i), Hall: "near", Domain: id[:1]}, clock.Now())
 			}
 			n.roster.ApplyFreshEntry(fleet.Instance{ID: "far", Service: "lm", Address: testAddress(20), Hall: "far", Domain: "c"}, clock.Now())
-			n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
+			n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
 			clock.Advance(time.Millisecond)
 			n.report(t.Context(), in, clock.Now())
-			d, _ := n.ledger.Since(0, 0)
+			d, _ := n.ledger.ChangesSince(0, 0)
 			g.Expect(d.Endings).To(HaveLen(map[bool]int{true: 1}[c.ended]))
 		})
 	}
@@ -307,8 +307,8 @@
 		g.Expect(holds(n, deadlyRequest)).To(BeFalse())
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprint("i", endings)), Life: "1"}
 		at := n.clock.Now().Add(time.Duration(endings-5) * time.Second)
-		n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in}, at.Add(-time.Second), at)
-		n.ledger.Ended(in, at)
+		n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in}, at.Add(-time.Second), at)
+		n.ledger.RecordEnding(in, at)
 		n.clock.(*clockwork.FakeClock).Advance(100 * time.Millisecond)
 	}
 	g.Expect(holds(n, deadlyRequest)).To(BeTrue())
--- a/transport/node/exchange.go
+++ b/transport/node/exchange.go
@@ -119,7 +119,7 @@
 	}
 	n.Directory.Update(self)
 	mirror.ResetIfRestarted(self.Incarnation)
-	n.Quarantine.Merge(peer.DecodeLedger(resp, n.Clock.Now()), quarantine.Peer)
+	n.Quarantine.Merge(peer.DecodeLedger(resp, n.Clock.Now()), quarantine.PeerSource)
 	mirror.LedgerVersion = resp.GetLedgerVersion()
 	for _, m := range resp.GetNodes() {
 		if other, err := peer.DecodeNode(m, asked); err == nil {
--- a/transport/node/lives_test.go
+++ b/transport/node/lives_test.go
@@ -39,11 +39,11 @@
 		alive := evidence.Report{Instance: id, Incarnation: "first", Phase: evidence.PhaseReady}
 		peerAsked := clock.Now()
 		clock.Advance(time.Second)
-		n.Quarantine.Broken(f, []fleet.Incarnation{{ID: id, Life: "first"}}, clock.Now().Add(-time.Millisecond), clock.Now())
+		n.Quarantine.RecordInterruption(f, []fleet.Incarnation{{ID: id, Life: "first"}}, clock.Now().Add(-time.Millisecond), clock.Now())
 		clock.Advance(time.Millisecond)
 		observe(evidence.Report{Instance: id, Phase: evidence.PhaseDown}, clock.Now())
 		observe(alive, peerAsked)
 	}
 	clock.Advance(time.Second)
-	g.Expect(n.Quarantine.Verdict(f, clock.Now()).Held(clock.Now())).To(BeTrue())
+	g.Expect(n.Quarantine.Verdict(f, clock.Now()).Quarantined(clock.Now())).To(BeTrue())
 }
--- a/transport/node/loops.go
+++ b/transport/node/loops.go
@@ -103,7 +103,7 @@
 		case <-n.Doubted:
 		case <-tick.Chan():
 		}
-		for _, in := range n.Quarantine.Due(n.Clock.Now()) {
+		for _, in := range n.Quarantine.NextProbes(n.Clock.Now()) {
 			n.prober.ProbeInstance(ctx, in.ID)
 		}
 	}
@@ -224,9 +224,9 @@
 	down := e.Phase == evidence.PhaseDown
 	var requests []quarantine.Fingerprint
 	if down {
-		requests = n.Quarantine.Down(id, now)
+		requests = n.Quarantine.RecordDown(id, now)
 	} else {
-		requests = n.Quarantine.Current(fleet.Incarnation{ID: id, Life: e.Incarnation}, e.ProbedAt, now)
+		requests = n.Quarantine.RecordIncarnation(fleet.Incarnation{ID: id, Life: e.Incarnation}, e.ProbedAt, now)
 	}
 	if len(requests) > 0 {
 		n.Count("quarantine.endings")
--- a/transport/peerapi/peerapi.go
+++ b/transport/peerapi/peerapi.go
@@ -73,7 +73,7 @@
 			resp.Held = append(resp.Held, &rpc.GroupHeld{Group: string(c.Name), Held: uint32(c.Held())})
 		}
 	}
-	endings, version := s.c.Quarantine.Since(seenLedger, quarantine.Kept)
+	endings, version := s.c.Quarantine.ChangesSince(seenLedger, quarantine.StoreSource)
 	peer.EncodeLedger(resp, endings, version, now)
 	if req.Msg.GetWantNodes() {
 		resp.Nodes = s.nodes(now)
