--- a/coordination/ratelimit/book.go
+++ b/coordination/ratelimit/book.go
@@ -12,10 +12,10 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Book holds the rate limits known to one node. It is safe for concurrent use. It is
+// Tracker holds the rate limits known to one node. It is safe for concurrent use. It is
 // independent of the node's other state about instances: a changed instance entry, a new
 // configuration or a network partition ends no limit.
-type Book struct {
+type Tracker struct {
 	policy Policy
 	// active is the number of limits in force, known the number of all entries. Methods skip
 	// the lock while the count they depend on is 0.
@@ -33,7 +33,7 @@
 // entry is the state of one instance's limit.
 type entry struct {
 	Limit
-	// version is the version of the Book at the last change.
+	// version is the version of the Tracker at the last change.
 	version uint64
 	// observedAt is when the instance announced the last change to this node. It is zero if the
 	// change came from another node.
@@ -47,59 +47,59 @@
 	probedAt time.Time
 }
 
-// NewBook returns an empty Book.
-func NewBook(policy Policy) *Book {
-	return &Book{policy: policy, entries: map[state.InstanceID]*entry{}, calls: map[state.InstanceID]*window.Counter{}}
+// NewTracker returns an empty Tracker.
+func NewTracker(policy Policy) *Tracker {
+	return &Tracker{policy: policy, entries: map[state.InstanceID]*entry{}, calls: map[state.InstanceID]*window.Counter{}}
 }
 
 // Observe records the limit stated in an answer to this node. sentAt is when the request was
 // sent, answeredAt when its answer arrived.
-func (b *Book) Observe(in fleet.Incarnation, stated fleet.RateLimit, sentAt, answeredAt time.Time) Change {
+func (b *Tracker) Observe(in fleet.Incarnation, stated fleet.RateLimit, sentAt, answeredAt time.Time) Change {
 	if !stated.Said || !stated.Limited && b.known.Load() == 0 {
-		return Unchanged
+		return LimitUnchanged
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !stated.Limited && b.find(in) == nil {
-		return Unchanged
+		return LimitUnchanged
 	}
-	change := b.update(Limit{Instance: in, Ended: !stated.Limited, PerSecond: stated.PerSecond, Asked: sentAt, Answered: answeredAt}, answeredAt)
-	if change != Unchanged {
+	change := b.update(Limit{Instance: in, Ended: !stated.Limited, PerSecond: stated.PerSecond, SentAt: sentAt, AnsweredAt: answeredAt}, answeredAt)
+	if change != LimitUnchanged {
 		b.entries[in.ID].observedAt = answeredAt
 	}
 	return change
 }
 
 // Merge records a limit known to another node.
-func (b *Book) Merge(l Limit, now time.Time) Change {
+func (b *Tracker) Merge(l Limit, now time.Time) Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.update(l, now)
 }
 
 // update updates the entry of an instance unless the known limit takes precedence over l. b.mu is held.
-func (b *Book) update(l Limit, now time.Time) Change {
+func (b *Tracker) update(l Limit, now time.Time) Change {
 	e := b.entries[l.Instance.ID]
 	switch {
 	case e == nil || l.Instance.LaterThan(e.Instance):
 		return b.insert(l, now)
 	case e.Instance.LaterThan(l.Instance):
-		return Unchanged
+		return LimitUnchanged
 	case l.equal(&e.Limit):
 		e.confirm(&l)
-		return Unchanged
+		return LimitUnchanged
 	case !l.replaces(&e.Limit):
-		return Unchanged
+		return LimitUnchanged
 	}
 	before := e.Limit
 	change := l.changeFrom(&before)
-	l.Since = e.Since
-	if change == Began {
-		l.Since = now
+	l.KnownSince = e.KnownSince
+	if change == LimitBegan {
+		l.KnownSince = now
 	}
 	b.active.Add(inForceCount(&l) - inForceCount(&before))
 	e.Limit, e.observedAt = l, time.Time{}
-	if change != Changed || l.stricter(&before) {
+	if change != LimitChanged || l.stricter(&before) {
 		e.grants = nil // issued for a rate that no longer applies
 	}
 	b.markChanged(e)
@@ -107,13 +107,13 @@
 }
 
 // insert records the first known limit of an incarnation of an instance. b.mu is held.
-func (b *Book) insert(l Limit, now time.Time) Change {
+func (b *Tracker) insert(l Limit, now time.Time) Change {
 	before := b.entries[l.Instance.ID]
 	if before != nil {
 		b.active.Add(-inForceCount(&before.Limit))
 		b.known.Add(-1)
 	}
-	l.Since = now
+	l.KnownSince = now
 	e := &entry{Limit: l}
 	b.entries[l.Instance.ID] = e
 	b.known.Add(1)
@@ -121,15 +121,15 @@
 	b.markChanged(e)
 	switch {
 	case !l.Ended:
-		return Began
+		return LimitBegan
 	case before != nil && !before.Ended:
-		return Stopped
+		return LimitEnded
 	}
-	return Unchanged
+	return LimitUnchanged
 }
 
 // markChanged marks an entry as changed. b.mu is held.
-func (b *Book) markChanged(e *entry) {
+func (b *Tracker) markChanged(e *entry) {
 	b.version++
 	e.version = b.version
 }
@@ -143,7 +143,7 @@
 }
 
 // find returns the entry of an incarnation of an instance, or nil. b.mu is held.
-func (b *Book) find(in fleet.Incarnation) *entry {
+func (b *Tracker) find(in fleet.Incarnation) *entry {
 	e := b.entries[in.ID]
 	if e == nil || e.Instance.LaterThan(in) || in.LaterThan(e.Instance) {
 		return nil
@@ -152,7 +152,7 @@
 }
 
 // findInForce returns the entry of an incarnation if its limit is in force, else nil. b.mu is held.
-func (b *Book) findInForce(in fleet.Incarnation) *entry {
+func (b *Tracker) findInForce(in fleet.Incarnation) *entry {
 	if e := b.find(in); e != nil && !e.Ended {
 		return e
 	}
@@ -161,8 +161,8 @@
 
 // Limited returns the limit of an incarnation of an instance, in requests a second, and
 // whether it has one.
-func (b *Book) Limited(in fleet.Incarnation) (perSecond float64, limited bool) {
-	if !b.Any() {
+func (b *Tracker) Limited(in fleet.Incarnation) (perSecond float64, limited bool) {
+	if !b.HasActive() {
 		return 0, false
 	}
 	b.mu.Lock()
@@ -174,28 +174,28 @@
 	return e.PerSecond, true
 }
 
-// Any reports whether any limit is in force.
-func (b *Book) Any() bool { return b.active.Load() > 0 }
+// HasActive reports whether any limit is in force.
+func (b *Tracker) HasActive() bool { return b.active.Load() > 0 }
 
-// InForce returns the limits in force, sorted by instance ID.
-func (b *Book) InForce() []Limit {
-	if !b.Any() {
+// Active returns the limits in force, sorted by instance ID.
+func (b *Tracker) Active() []Limit {
+	if !b.HasActive() {
 		return nil
 	}
 	return b.collect(func(e *entry) bool { return !e.Ended })
 }
 
-// ToldLately returns the limits, in force or ended, whose last change an instance announced to
+// RecentlyObserved returns the limits, in force or ended, whose last change an instance announced to
 // this node within Policy.ReportFor, sorted by instance ID.
-func (b *Book) ToldLately(now time.Time) []Limit {
+func (b *Tracker) RecentlyObserved(now time.Time) []Limit {
 	if b.known.Load() == 0 {
 		return nil
 	}
 	return b.collect(func(e *entry) bool { return !e.observedAt.IsZero() && now.Sub(e.observedAt) < b.policy.ReportFor })
 }
 
-// Since returns the limits that changed after a version, sorted by instance ID, and the current version.
-func (b *Book) Since(after uint64) ([]Limit, uint64) {
+// ChangedSince returns the limits that changed after a version, sorted by instance ID, and the current version.
+func (b *Tracker) ChangedSince(after uint64) ([]Limit, uint64) {
 	version := b.currentVersion() // read before the list, so that a concurrent change is returned again rather than lost
 	if b.known.Load() == 0 {
 		return nil, version
@@ -203,15 +203,15 @@
 	return b.collect(func(e *entry) bool { return e.version > after }), version
 }
 
-// currentVersion returns the current version of the Book.
-func (b *Book) currentVersion() uint64 {
+// currentVersion returns the current version of the Tracker.
+func (b *Tracker) currentVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.version
 }
 
 // collect returns the limits whose entries satisfy match, sorted by instance ID.
-func (b *Book) collect(match func(*entry) bool) []Limit {
+func (b *Tracker) collect(match func(*entry) bool) []Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []Limit
@@ -226,11 +226,11 @@
 
 // Sweep removes the limits that ended more than Policy.EndedTTL ago, those of incarnations for
 // which known reports false, and the counters without a call within the window.
-func (b *Book) Sweep(now time.Time, known func(fleet.Incarnation) bool) {
+func (b *Tracker) Sweep(now time.Time, known func(fleet.Incarnation) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, e := range b.entries {
-		if known(e.Instance) && (!e.Ended || now.Sub(e.Answered) < b.policy.EndedTTL) {
+		if known(e.Instance) && (!e.Ended || now.Sub(e.AnsweredAt) < b.policy.EndedTTL) {
 			continue
 		}
 		b.active.Add(-inForceCount(&e.Limit))
--- a/coordination/ratelimit/book_test.go
+++ b/coordination/ratelimit/book_test.go
@@ -25,9 +25,9 @@
 // at returns the time ms milliseconds after the start of a test.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// limitedBook returns a Book with one limit, announced at start.
-func limitedBook(perSecond float64) *Book {
-	b := NewBook(DefaultPolicy())
+// limitedBook returns a Tracker with one limit, announced at start.
+func limitedBook(perSecond float64) *Tracker {
+	b := NewTracker(DefaultPolicy())
 	b.Observe(instance, fleet.LimitedTo(perSecond), start, start)
 	return b
 }
@@ -62,21 +62,21 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			b, other := NewBook(DefaultPolicy()), NewBook(DefaultPolicy())
+			b, other := NewTracker(DefaultPolicy()), NewTracker(DefaultPolicy())
 			for _, a := range c.answers {
 				b.Observe(instance, a.stated, at(a.sentAt), at(a.answeredAt))
-				list, _ := b.Since(0)
+				list, _ := b.ChangedSince(0)
 				for _, l := range list {
 					other.Merge(l, at(a.answeredAt))
 				}
 			}
-			for _, b := range []*Book{b, other} {
+			for _, b := range []*Tracker{b, other} {
 				perSecond, limited := b.Limited(instance)
 				g.Expect(limited).To(Equal(c.want >= 0))
 				if limited {
 					g.Expect(perSecond).To(Equal(c.want))
 				}
-				g.Expect(b.Any()).To(Equal(limited))
+				g.Expect(b.HasActive()).To(Equal(limited))
 			}
 		})
 	}
@@ -96,13 +96,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			b := NewBook(DefaultPolicy())
+			b := NewTracker(DefaultPolicy())
 			b.Observe(fleet.Incarnation{ID: "i", Life: c.known}, fleet.LimitedTo(2), start, start)
 			in := fleet.Incarnation{ID: "i", Life: c.queried}
 			_, limited := b.Limited(in)
 			g.Expect(limited).To(Equal(c.limited))
-			g.Expect(b.Open(in, at(1))).To(Equal(!c.limited))
-			g.Expect(b.Send(in, at(1))).To(Equal(!c.limited))
+			g.Expect(b.Allow(in, at(1))).To(Equal(!c.limited))
+			g.Expect(b.Take(in, at(1))).To(Equal(!c.limited))
 		})
 	}
 }
@@ -110,11 +110,11 @@
 func TestLaterIncarnationStartsWithoutLimit(t *testing.T) {
 	g := NewWithT(t)
 	b, later := limitedBook(2), fleet.Incarnation{ID: "i", Life: "6000"}
-	b.Granted([]Grant{{"i", 3}}, at(1000))
-	g.Expect(b.Observe(later, fleet.Unlimited(), at(5), at(6))).To(Equal(Unchanged))
-	g.Expect(b.Observe(later, fleet.LimitedTo(1), at(10), at(20))).To(Equal(Began))
-	g.Expect(b.Open(later, at(21))).To(BeFalse(), "the grants were for the earlier incarnation")
-	g.Expect(b.Observe(instance, fleet.LimitedTo(9), at(30), at(40))).To(Equal(Unchanged), "a late answer of the earlier incarnation")
+	b.AddGrants([]Grant{{"i", 3}}, at(1000))
+	g.Expect(b.Observe(later, fleet.Unlimited(), at(5), at(6))).To(Equal(LimitUnchanged))
+	g.Expect(b.Observe(later, fleet.LimitedTo(1), at(10), at(20))).To(Equal(LimitBegan))
+	g.Expect(b.Allow(later, at(21))).To(BeFalse(), "the grants were for the earlier incarnation")
+	g.Expect(b.Observe(instance, fleet.LimitedTo(9), at(30), at(40))).To(Equal(LimitUnchanged), "a late answer of the earlier incarnation")
 	perSecond, _ := b.Limited(later)
 	g.Expect(perSecond).To(Equal(1.0))
 }
@@ -122,14 +122,14 @@
 func TestGrantIsUsedOnceBeforeItExpiresAndUnderItsLimit(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		then func(b *Book)
+		then func(b *Tracker)
 		want int
 	}{
-		{"used", func(*Book) {}, 2},
-		{"expired", func(b *Book) { b.Open(instance, at(500)) }, 0},
-		{"lower limit", func(b *Book) { b.Observe(instance, fleet.LimitedTo(1), at(10), at(20)) }, 0},
-		{"higher limit", func(b *Book) { b.Observe(instance, fleet.LimitedTo(3), at(10), at(20)) }, 2},
-		{"limit ended and began again", func(b *Book) {
+		{"used", func(*Tracker) {}, 2},
+		{"expired", func(b *Tracker) { b.Allow(instance, at(500)) }, 0},
+		{"lower limit", func(b *Tracker) { b.Observe(instance, fleet.LimitedTo(1), at(10), at(20)) }, 0},
+		{"higher limit", func(b *Tracker) { b.Observe(instance, fleet.LimitedTo(3), at(10), at(20)) }, 2},
+		{"limit ended and began again", func(b *Tracker) {
 			b.Observe(instance, fleet.Unlimited(), at(10), at(20))
 			b.Observe(instance, fleet.LimitedTo(2), at(30), at(40))
 		}, 0},
@@ -137,16 +137,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			b := limitedBook(2)
-			b.Granted([]Grant{{"i", 2}, {"unknown", 5}}, at(500))
+			b.AddGrants([]Grant{{"i", 2}, {"unknown", 5}}, at(500))
 			c.then(b)
 			sent := 0
 			for range 5 {
-				if b.Send(instance, at(100)) {
+				if b.Take(instance, at(100)) {
 					sent++
 				}
 			}
 			g.Expect(sent).To(Equal(c.want))
-			g.Expect(b.Open(instance, at(100))).To(BeFalse())
+			g.Expect(b.Allow(instance, at(100))).To(BeFalse())
 		})
 	}
 }
@@ -154,17 +154,17 @@
 // Calls sent before a limit is known count within the window, as do probes and orders.
 func TestUsageCountsAllCallsWithinTheWindow(t *testing.T) {
 	g := NewWithT(t)
-	b := NewBook(DefaultPolicy())
+	b := NewTracker(DefaultPolicy())
 	g.Expect(b.Usage(start)).To(BeNil())
 	for range 3 {
-		g.Expect(b.Send(instance, start)).To(BeTrue())
+		g.Expect(b.Take(instance, start)).To(BeTrue())
 	}
 	b.Observe(instance, fleet.LimitedTo(2), at(10), at(20))
-	b.Order(instance, at(30))
-	g.Expect(b.Question(instance, Asker{Leading: true}, at(40))).To(BeTrue())
-	g.Expect(b.Send(instance, at(50))).To(BeFalse())
-	b.Granted([]Grant{{"i", 2}}, at(1000))
-	g.Expect(b.Send(instance, at(60))).To(BeTrue())
+	b.RecordOrder(instance, at(30))
+	g.Expect(b.TryProbe(instance, ProbeRequest{IsLeader: true}, at(40))).To(BeTrue())
+	g.Expect(b.Take(instance, at(50))).To(BeFalse())
+	b.AddGrants([]Grant{{"i", 2}}, at(1000))
+	g.Expect(b.Take(instance, at(60))).To(BeTrue())
 	g.Expect(b.Usage(at(100))).To(Equal(map[state.InstanceID]Usage{"i": {Sent: 6, Unused: 1}}))
 	g.Expect(b.Usage(at(1500))).To(Equal(map[state.InstanceID]Usage{"i": {Sent: 6, Expired: 1}}))
 	g.Expect(b.Usage(at(10000))).To(BeEmpty(), "no calls or grants within the window")
@@ -174,42 +174,42 @@
 	for _, c := range []struct {
 		name      string
 		perSecond float64
-		by        Asker
+		by        ProbeRequest
 		want      time.Duration // minimum time between two probes; 0 if a probe needs a grant
 	}{
-		{"an eighth of the limit", 2, Asker{Leading: true}, 4 * time.Second},
-		{"a high limit", 100, Asker{Leading: true}, 2 * time.Second},
-		{"a low limit", 0.1, Asker{Leading: true}, 4 * time.Second},
-		{"a limit of zero", 0, Asker{Leading: true}, 4 * time.Second},
-		{"an instance that does not answer", 2, Asker{Leading: true, Failing: true}, time.Second},
-		{"a node that is not the leader", 100, Asker{}, 0},
+		{"an eighth of the limit", 2, ProbeRequest{IsLeader: true}, 4 * time.Second},
+		{"a high limit", 100, ProbeRequest{IsLeader: true}, 2 * time.Second},
+		{"a low limit", 0.1, ProbeRequest{IsLeader: true}, 4 * time.Second},
+		{"a limit of zero", 0, ProbeRequest{IsLeader: true}, 4 * time.Second},
+		{"an instance that does not answer", 2, ProbeRequest{IsLeader: true, LastProbeFailed: true}, time.Second},
+		{"a node that is not the leader", 100, ProbeRequest{}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			b := limitedBook(c.perSecond)
 			if c.want == 0 {
-				g.Expect(b.Question(instance, c.by, at(1))).To(BeFalse())
-				b.Granted([]Grant{{"i", 1}}, at(1000))
-				g.Expect(b.MayQuestion(instance, c.by, at(2))).To(BeTrue())
-				g.Expect(b.Question(instance, c.by, at(2))).To(BeTrue(), "the grant allows one probe")
-				g.Expect(b.Question(instance, c.by, at(3))).To(BeFalse())
+				g.Expect(b.TryProbe(instance, c.by, at(1))).To(BeFalse())
+				b.AddGrants([]Grant{{"i", 1}}, at(1000))
+				g.Expect(b.CanProbe(instance, c.by, at(2))).To(BeTrue())
+				g.Expect(b.TryProbe(instance, c.by, at(2))).To(BeTrue(), "the grant allows one probe")
+				g.Expect(b.TryProbe(instance, c.by, at(3))).To(BeFalse())
 				return
 			}
-			g.Expect(b.Question(instance, c.by, at(1))).To(BeTrue())
+			g.Expect(b.TryProbe(instance, c.by, at(1))).To(BeTrue())
 			for _, now := range []time.Time{at(2), at(1).Add(c.want - time.Millisecond)} {
-				g.Expect(b.MayQuestion(instance, c.by, now)).To(BeFalse())
-				g.Expect(b.Question(instance, c.by, now)).To(BeFalse())
+				g.Expect(b.CanProbe(instance, c.by, now)).To(BeFalse())
+				g.Expect(b.TryProbe(instance, c.by, now)).To(BeFalse())
 			}
-			g.Expect(b.MayQuestion(instance, c.by, at(1).Add(c.want))).To(BeTrue())
+			g.Expect(b.CanProbe(instance, c.by, at(1).Add(c.want))).To(BeTrue())
 		})
 	}
 }
 
 func TestOnlyChangesAreReportedToOtherNodes(t *testing.T) {
 	g := NewWithT(t)
-	b, other := limitedBook(2), NewBook(DefaultPolicy())
+	b, other := limitedBook(2), NewTracker(DefaultPolicy())
 	mergeChanges := func(after uint64, now time.Time) (int, uint64) {
-		list, version := b.Since(after)
+		list, version := b.ChangedSince(after)
 		for _, l := range list {
 			other.Merge(l, now)
 		}
@@ -220,13 +220,13 @@
 	b.Observe(instance, fleet.LimitedTo(2), at(10), at(20))
 	n, version = mergeChanges(version, at(21))
 	g.Expect(n).To(BeZero(), "the limit is unchanged")
-	g.Expect(b.ToldLately(at(30))).To(HaveLen(1))
-	g.Expect(other.ToldLately(at(30))).To(BeEmpty(), "the change came from another node")
+	g.Expect(b.RecentlyObserved(at(30))).To(HaveLen(1))
+	g.Expect(other.RecentlyObserved(at(30))).To(BeEmpty(), "the change came from another node")
 	b.Observe(instance, fleet.Unlimited(), at(40), at(50))
 	n, _ = mergeChanges(version, at(60))
 	g.Expect(n).To(Equal(1))
-	g.Expect(other.Any()).To(BeFalse())
-	g.Expect(b.ToldLately(at(10000))).To(BeEmpty())
+	g.Expect(other.HasActive()).To(BeFalse())
+	g.Expect(b.RecentlyObserved(at(10000))).To(BeEmpty())
 }
 
 func TestSweepRemovesLimitsOfUnknownIncarnationsAndOldEnds(t *testing.T) {
@@ -245,14 +245,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			b := limitedBook(2)
-			b.Order(instance, start)
+			b.RecordOrder(instance, start)
 			if c.ended {
 				b.Observe(instance, fleet.Unlimited(), at(10), at(20))
 			}
 			b.Sweep(start.Add(c.after), func(fleet.Incarnation) bool { return c.known })
-			list, _ := b.Since(0)
+			list, _ := b.ChangedSince(0)
 			g.Expect(list).To(HaveLen(c.want))
-			g.Expect(b.Any()).To(Equal(c.want == 1 && !c.ended))
+			g.Expect(b.HasActive()).To(Equal(c.want == 1 && !c.ended))
 			g.Expect(b.calls).To(HaveLen(map[bool]int{true: 1}[c.after == time.Second]))
 		})
 	}
--- a/coordination/ratelimit/dealer.go
+++ b/coordination/ratelimit/dealer.go
@@ -7,31 +7,31 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Node is a node to which a Dealer issues grants.
-type Node struct {
+// NodeUsage is a node to which an Allocator issues grants, and its usage.
+type NodeUsage struct {
 	Name string
 	// Usage is the node's use of each instance's rate, from its last status report.
 	Usage map[state.InstanceID]Usage
 }
 
-// Round is the input of one round of issuing grants.
-type Round struct {
+// AllocationInput is the input of one round of issuing grants.
+type AllocationInput struct {
 	// Limits are the limits in force.
 	Limits []Limit
-	// Nodes are the nodes that get grants. Part is their fraction of all nodes that may send
+	// Nodes are the nodes that get grants. Share is their fraction of all nodes that may send
 	// requests, including those that this node cannot reach.
-	Nodes []Node
-	Part  float64
+	Nodes []NodeUsage
+	Share float64
 	// Weight returns how much of an instance's rate a node can use, relative to the other nodes.
 	Weight func(node string, l *Limit) float64
 }
 
-// Dealer divides the rates of limited instances among nodes by grants of single requests.
+// Allocator divides the rates of limited instances among nodes by grants of single requests.
 // Fixed shares would not do: with 85 nodes, a node's share may be one request in 38 s, and all
 // nodes may send theirs at the same time. Each grant goes to a node chosen at random by
-// weight, and is issued again if the node does not use it in time. A Dealer is safe for
+// weight, and is issued again if the node does not use it in time. An Allocator is safe for
 // concurrent use.
-type Dealer struct {
+type Allocator struct {
 	policy Policy
 	random func() float64
 
@@ -63,13 +63,13 @@
 	hasReported bool
 }
 
-// NewDealer returns a Dealer that chooses nodes by random, which returns random numbers in [0, 1).
-func NewDealer(policy Policy, random func() float64) *Dealer {
-	return &Dealer{policy: policy, random: random, buckets: map[state.InstanceID]*bucket{}}
+// NewAllocator returns an Allocator that chooses nodes by random, which returns random numbers in [0, 1).
+func NewAllocator(policy Policy, random func() float64) *Allocator {
+	return &Allocator{policy: policy, random: random, buckets: map[state.InstanceID]*bucket{}}
 }
 
-// Deal issues grants for the part of each instance's rate that became available since the last round.
-func (d *Dealer) Deal(r Round, now time.Time) {
+// Allocate issues grants for the part of each instance's rate that became available since the last round.
+func (d *Allocator) Allocate(r AllocationInput, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	buckets := make(map[state.InstanceID]*bucket, len(r.Limits))
@@ -79,7 +79,7 @@
 		if b == nil {
 			b = &bucket{refilledAt: now, allotments: map[string]*allotment{}, perSecond: l.PerSecond}
 		}
-		b.refill(l.PerSecond, r.Part, now, &d.policy)
+		b.refill(l.PerSecond, r.Share, now, &d.policy)
 		buckets[l.Instance.ID] = b
 	}
 	d.buckets = buckets
@@ -94,7 +94,7 @@
 // usage sums the usage that nodes report for each instance: the calls sent within the window
 // and the unused grants. Tokens of grants that expired at a node are returned to the bucket.
 // d.mu is held.
-func (d *Dealer) usage(nodes []Node) (sent, outstanding map[state.InstanceID]int) {
+func (d *Allocator) usage(nodes []NodeUsage) (sent, outstanding map[state.InstanceID]int) {
 	sent, outstanding = map[state.InstanceID]int{}, map[state.InstanceID]int{}
 	for i := range nodes {
 		for id, u := range nodes[i].Usage {
@@ -126,7 +126,7 @@
 			b.tokens++
 		}
 		n += len(a.uncollected)
-		if now.Sub(a.collectedAt) < p.GrantFor {
+		if now.Sub(a.collectedAt) < p.GrantTTL {
 			n += a.collected
 		}
 	}
@@ -141,11 +141,11 @@
 func (b *bucket) refill(perSecond, share float64, now time.Time, p *Policy) {
 	rate := p.rate(perSecond, share)
 	elapsed := now.Sub(b.refilledAt)
-	if perSecond < b.perSecond || elapsed > p.GrantFor {
+	if perSecond < b.perSecond || elapsed > p.GrantTTL {
 		clear(b.allotments) // issued for a rate that no longer applies, or expired
 	}
 	b.refilledAt, b.perSecond = now, perSecond
-	if elapsed > p.GrantFor {
+	if elapsed > p.GrantTTL {
 		b.tokens = 0
 		return
 	}
@@ -163,12 +163,12 @@
 }
 
 // issue issues one grant per whole token. It bounds the outstanding grants to the requests that
-// the instance accepts in Policy.GrantFor, plus two, since all nodes may use theirs at the same
+// the instance accepts in Policy.GrantTTL, plus two, since all nodes may use theirs at the same
 // moment. It bounds outstanding grants and calls sent within the window together to the
-// requests accepted in GrantFor plus the window, plus two.
-func (d *Dealer) issue(b *bucket, l *Limit, r *Round, sent, outstanding int, now time.Time) {
-	rate := d.policy.rate(l.PerSecond, r.Part)
-	maxOutstanding := rate*d.policy.GrantFor.Seconds() + 1
+// requests accepted in GrantTTL plus the window, plus two.
+func (d *Allocator) issue(b *bucket, l *Limit, r *AllocationInput, sent, outstanding int, now time.Time) {
+	rate := d.policy.rate(l.PerSecond, r.Share)
+	maxOutstanding := rate*d.policy.GrantTTL.Seconds() + 1
 	maxTotal := maxOutstanding + rate*d.policy.Window.Seconds()
 	for ; b.tokens >= 1 && float64(outstanding) <= maxOutstanding && float64(outstanding+sent) <= maxTotal && len(r.Nodes) > 0; outstanding++ {
 		a := b.allotment(d.chooseNode(r, l))
@@ -178,7 +178,7 @@
 }
 
 // chooseNode returns a random node, with probability proportional to its weight.
-func (d *Dealer) chooseNode(r *Round, l *Limit) string {
+func (d *Allocator) chooseNode(r *AllocationInput, l *Limit) string {
 	total := 0.0
 	for i := range r.Nodes {
 		total += r.Weight(r.Nodes[i].Name, l)
@@ -192,8 +192,8 @@
 	return r.Nodes[len(r.Nodes)-1].Name
 }
 
-// PickUp returns and clears the uncollected grants of a node whose status report has just arrived.
-func (d *Dealer) PickUp(node string, now time.Time) []Grant {
+// Collect returns and clears the uncollected grants of a node whose status report has just arrived.
+func (d *Allocator) Collect(node string, now time.Time) []Grant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []Grant
--- a/coordination/ratelimit/dealer_test.go
+++ b/coordination/ratelimit/dealer_test.go
@@ -13,10 +13,10 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// side is a Dealer with the nodes that report to it: all nodes, or those on one side of a
+// side is an Allocator with the nodes that report to it: all nodes, or those on one side of a
 // network partition.
 type side struct {
-	dealer *Dealer
+	dealer *Allocator
 	nodes  []*simNode
 	part   float64
 }
@@ -24,7 +24,7 @@
 // simNode is a simulated node that sends by grants.
 type simNode struct {
 	name string
-	book *Book
+	book *Tracker
 	// nextReport is the time of its next status report, usage the content of the last one.
 	nextReport time.Time
 	usage      map[state.InstanceID]Usage
@@ -36,7 +36,7 @@
 
 // newSide returns a side with the given number of all nodes.
 func newSide(name string, nodes, all int, perSecond float64, rng *rand.Rand) *side {
-	s := &side{dealer: NewDealer(DefaultPolicy(), rng.Float64), part: float64(nodes) / float64(all)}
+	s := &side{dealer: NewAllocator(DefaultPolicy(), rng.Float64), part: float64(nodes) / float64(all)}
 	for i := range nodes {
 		n := &simNode{name: fmt.Sprint(name, i), book: limitedBook(perSecond)}
 		n.nextReport = start.Add(time.Duration(rng.Float64() * float64(statusInterval)))
@@ -56,11 +56,11 @@
 // returns the number of requests sent.
 func (s *side) step(now time.Time, rng *rand.Rand) int {
 	if now.Sub(start)%issueInterval == 0 {
-		r := Round{Limits: s.nodes[0].book.InForce(), Part: s.part, Weight: s.weight}
+		r := AllocationInput{Limits: s.nodes[0].book.Active(), Share: s.part, Weight: s.weight}
 		for _, n := range s.nodes {
-			r.Nodes = append(r.Nodes, Node{Name: n.name, Usage: n.usage})
+			r.Nodes = append(r.Nodes, NodeUsage{Name: n.name, Usage: n.usage})
 		}
-		s.dealer.Deal(r, now)
+		s.dealer.Allocate(r, now)
 	}
 	sent := 0
 	for _, n := range s.nodes {
@@ -69,11 +69,11 @@
 		}
 		if !now.Before(n.nextReport) {
 			n.usage = n.book.Usage(now)
-			n.book.Granted(s.dealer.PickUp(n.name, now), now.Add(DefaultPolicy().GrantFor))
+			n.book.AddGrants(s.dealer.Collect(n.name, now), now.Add(DefaultPolicy().GrantTTL))
 			n.nextReport = now.Add(statusInterval)
 		}
 		for at := rng.ExpFloat64() / n.demand; at < tick.Seconds(); at += rng.ExpFloat64() / n.demand {
-			if n.book.Send(instance, now) {
+			if n.book.Take(instance, now) {
 				sent++
 			}
 		}
@@ -139,7 +139,7 @@
 			}
 		})
 		p := DefaultPolicy()
-		bound := perSecond*(p.Window+p.GrantFor).Seconds() + 2*float64(len(sides))
+		bound := perSecond*(p.Window+p.GrantTTL).Seconds() + 2*float64(len(sides))
 		g.Expect(float64(maxInWindow)).To(BeNumerically("<=", bound))
 	})
 }
@@ -182,38 +182,38 @@
 
 func TestLowerLimitRevokesGrantsOfTheHigherOne(t *testing.T) {
 	g := NewWithT(t)
-	d := NewDealer(DefaultPolicy(), func() float64 { return 0 })
-	r := Round{Part: 1, Nodes: []Node{{Name: "n"}}, Weight: func(string, *Limit) float64 { return 1 }}
+	d := NewAllocator(DefaultPolicy(), func() float64 { return 0 })
+	r := AllocationInput{Share: 1, Nodes: []NodeUsage{{Name: "n"}}, Weight: func(string, *Limit) float64 { return 1 }}
 	deal := func(perSecond float64, ms int) {
 		r.Limits = []Limit{{Instance: instance, PerSecond: perSecond}}
-		d.Deal(r, at(ms))
+		d.Allocate(r, at(ms))
 	}
 	deal(10, 0)
 	deal(10, 200)
 	g.Expect(d.buckets["i"].allotments["n"].uncollected).To(HaveLen(2))
 	deal(1, 250)
-	g.Expect(d.PickUp("n", at(260))).To(BeEmpty())
+	g.Expect(d.Collect("n", at(260))).To(BeEmpty())
 	// The ten requests sent under the higher limit count against the lower one.
 	r.Nodes[0].Usage = map[state.InstanceID]Usage{"i": {Sent: 10}}
 	for ms := 300; ms < 5000; ms += 50 {
 		deal(1, ms)
 	}
-	g.Expect(d.PickUp("n", at(5000))).To(BeEmpty())
+	g.Expect(d.Collect("n", at(5000))).To(BeEmpty())
 	r.Nodes[0].Usage = map[state.InstanceID]Usage{"i": {Sent: 3}}
 	deal(1, 5050)
-	g.Expect(d.PickUp("n", at(5060))).To(Equal([]Grant{{Instance: "i", Requests: 1}}))
+	g.Expect(d.Collect("n", at(5060))).To(Equal([]Grant{{Instance: "i", Requests: 1}}))
 }
 
 // After a pause, tokens and grants from before it are dropped: another node may have issued
 // grants in the meantime.
 func TestDealerStartsEmptyAfterAPause(t *testing.T) {
 	g := NewWithT(t)
-	d := NewDealer(DefaultPolicy(), func() float64 { return 0 })
-	r := Round{Part: 1, Nodes: []Node{{Name: "n"}}, Limits: []Limit{{Instance: instance, PerSecond: 8}}, Weight: func(string, *Limit) float64 { return 1 }}
-	d.Deal(r, at(0))
-	d.Deal(r, at(200))
-	d.Deal(r, at(2000))
-	g.Expect(d.PickUp("n", at(2000))).To(BeEmpty())
-	d.Deal(r, at(2130))
-	g.Expect(d.PickUp("n", at(2130))).To(HaveLen(1))
+	d := NewAllocator(DefaultPolicy(), func() float64 { return 0 })
+	r := AllocationInput{Share: 1, Nodes: []NodeUsage{{Name: "n"}}, Limits: []Limit{{Instance: instance, PerSecond: 8}}, Weight: func(string, *Limit) float64 { return 1 }}
+	d.Allocate(r, at(0))
+	d.Allocate(r, at(200))
+	d.Allocate(r, at(2000))
+	g.Expect(d.Collect("n", at(2000))).To(BeEmpty())
+	d.Allocate(r, at(2130))
+	g.Expect(d.Collect("n", at(2130))).To(HaveLen(1))
 }
--- a/coordination/ratelimit/grant.go
+++ b/coordination/ratelimit/grant.go
@@ -14,9 +14,9 @@
 	Requests int              `json:"n"`
 }
 
-// Granted records grants that expire at until. Grants for instances without a known limit are
+// AddGrants records grants that expire at until. Grants for instances without a known limit are
 // dropped.
-func (b *Book) Granted(grants []Grant, until time.Time) {
+func (b *Tracker) AddGrants(grants []Grant, until time.Time) {
 	if len(grants) == 0 {
 		return
 	}
@@ -42,15 +42,15 @@
 	}
 }
 
-// Open reports whether the rate limit of an instance allows a request now.
-func (b *Book) Open(in fleet.Incarnation, now time.Time) bool {
+// Allow reports whether the rate limit of an instance allows a request now.
+func (b *Tracker) Allow(in fleet.Incarnation, now time.Time) bool {
 	return b.allows(in, now, func(e *entry) bool { return len(e.grants) > 0 })
 }
 
 // allows reports whether an incarnation of an instance has no limit in force or satisfies
 // allowed. Expired grants are removed before allowed is called.
-func (b *Book) allows(in fleet.Incarnation, now time.Time, allowed func(*entry) bool) bool {
-	if !b.Any() {
+func (b *Tracker) allows(in fleet.Incarnation, now time.Time, allowed func(*entry) bool) bool {
+	if !b.HasActive() {
 		return true
 	}
 	b.mu.Lock()
@@ -63,10 +63,10 @@
 	return allowed(e)
 }
 
-// Send records a request that is about to be sent to an instance. It reports false and records
+// Take records a request that is about to be sent to an instance. It reports false and records
 // nothing if the instance is limited and this node has no grant left. The request must not be
 // sent then.
-func (b *Book) Send(in fleet.Incarnation, now time.Time) bool {
+func (b *Tracker) Take(in fleet.Incarnation, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e := b.findInForce(in); e != nil && !e.consumeGrant(now) {
@@ -86,16 +86,16 @@
 	return true
 }
 
-// Order records an order that is about to be sent to an instance. Orders are never delayed: they
+// RecordOrder records an order that is about to be sent to an instance. Orders are never delayed: they
 // are few, and the group changes that need them cannot wait.
-func (b *Book) Order(in fleet.Incarnation, now time.Time) {
+func (b *Tracker) RecordOrder(in fleet.Incarnation, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.recordCall(in.ID, now)
 }
 
 // recordCall records a call to an instance. b.mu is held.
-func (b *Book) recordCall(id state.InstanceID, now time.Time) {
+func (b *Tracker) recordCall(id state.InstanceID, now time.Time) {
 	c := b.calls[id]
 	if c == nil {
 		c = &window.Counter{}
@@ -104,26 +104,26 @@
 	c.Add(now, b.policy.Window)
 }
 
-// Asker describes the node that probes an instance, and why.
-type Asker struct {
-	// Leading reports whether the node probes for all nodes. Other nodes need a grant.
-	Leading bool
-	// Failing reports whether the instance did not answer the last probe.
-	Failing bool
+// ProbeRequest describes the node that probes an instance, and why.
+type ProbeRequest struct {
+	// IsLeader reports whether the node probes for all nodes. Other nodes need a grant.
+	IsLeader bool
+	// LastProbeFailed reports whether the instance did not answer the last probe.
+	LastProbeFailed bool
 }
 
-// MayQuestion reports whether the rate limit of an instance allows a probe now.
-func (b *Book) MayQuestion(in fleet.Incarnation, by Asker, now time.Time) bool {
+// CanProbe reports whether the rate limit of an instance allows a probe now.
+func (b *Tracker) CanProbe(in fleet.Incarnation, by ProbeRequest, now time.Time) bool {
 	return b.allows(in, now, func(e *entry) bool { return e.canProbe(by, now, &b.policy) })
 }
 
 // canProbe reports whether a limited instance may be probed now. Expired grants must have
 // been removed.
-func (e *entry) canProbe(by Asker, now time.Time, p *Policy) bool {
-	if !by.Leading {
+func (e *entry) canProbe(by ProbeRequest, now time.Time, p *Policy) bool {
+	if !by.IsLeader {
 		return len(e.grants) > 0
 	}
-	return now.Sub(e.probedAt) >= p.probeInterval(e.PerSecond, by.Failing)
+	return now.Sub(e.probedAt) >= p.probeInterval(e.PerSecond, by.LastProbeFailed)
 }
 
 // probeInterval returns the minimum time between two probes of an instance with a limit.
@@ -138,10 +138,10 @@
 	return max(time.Duration(seconds*float64(time.Second)), p.MinProbeInterval)
 }
 
-// Question reports whether the rate limit of an instance allows a probe, and records the probe
+// TryProbe reports whether the rate limit of an instance allows a probe, and records the probe
 // if so. Probes count against the limit as requests do. Without a bound of their own, the
 // leader's probes would use half of a limit of 2 requests a second.
-func (b *Book) Question(in fleet.Incarnation, by Asker, now time.Time) bool {
+func (b *Tracker) TryProbe(in fleet.Incarnation, by ProbeRequest, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e := b.findInForce(in); e != nil {
@@ -149,7 +149,7 @@
 		if !e.canProbe(by, now, &b.policy) {
 			return false
 		}
-		if !by.Leading {
+		if !by.IsLeader {
 			e.consumeGrant(now)
 		}
 		e.probedAt = now
@@ -169,8 +169,8 @@
 
 // Usage returns this node's use of the rate of each limited instance within the window. It
 // omits instances that have no calls, no unused grants and no recently expired grants.
-func (b *Book) Usage(now time.Time) map[state.InstanceID]Usage {
-	if !b.Any() {
+func (b *Tracker) Usage(now time.Time) map[state.InstanceID]Usage {
+	if !b.HasActive() {
 		return nil
 	}
 	b.mu.Lock()
--- a/coordination/ratelimit/policy.go
+++ b/coordination/ratelimit/policy.go
@@ -9,10 +9,10 @@
 	Window time.Duration `flag:"window" help:"period over which requests to an instance with a rate limit are counted" min:"1s" max:"1m"`
 	// Burst is the size of the token bucket, as the time in which the rate fills it.
 	Burst time.Duration `flag:"burst" help:"largest burst to an instance with a rate limit, as a period of its rate" min:"0s" max:"10s"`
-	// GrantFor is the lifetime of a grant at its node. CollectTimeout is how long an issued grant
+	// GrantTTL is the lifetime of a grant at its node. CollectTimeout is how long an issued grant
 	// waits for the node's next status report. Both bound the requests that are sent under a
 	// rate that no longer applies.
-	GrantFor       time.Duration `flag:"grant-for" help:"lifetime of a grant to send to an instance with a rate limit" min:"50ms" max:"10s"`
+	GrantTTL       time.Duration `flag:"grant-for" help:"lifetime of a grant to send to an instance with a rate limit" min:"50ms" max:"10s"`
 	CollectTimeout time.Duration `flag:"pick-up-within" help:"how long a grant waits for the next status report of its node" min:"50ms" max:"10s"`
 	// MaxRate bounds the rate at which grants are issued for an instance, in requests a second.
 	MaxRate float64 `flag:"max-rate" help:"highest rate at which requests are sent to an instance with a rate limit, in requests a second" min:"1" max:"100000"`
@@ -36,7 +36,7 @@
 	return Policy{
 		Window:             4 * time.Second,
 		Burst:              time.Second,
-		GrantFor:           time.Second,
+		GrantTTL:           time.Second,
 		CollectTimeout:     500 * time.Millisecond,
 		MaxRate:            1000,
 		ProbeShare:         0.125,
--- a/coordination/ratelimit/ratelimit.go
+++ b/coordination/ratelimit/ratelimit.go
@@ -1,9 +1,9 @@
 // Package ratelimit tracks the rate limits that target instances announce, in requests a
 // second from all nodes together, and divides each limit among the nodes.
 //
-// A Book holds the limits known to one node, and the grants that allow it to send to limited
-// instances. A Dealer issues the grants. The leader's Dealer issues them to all nodes that
-// report to it; a node without a leader issues them to itself. A Dealer issues at most the
+// A Tracker holds the limits known to one node, and the grants that allow it to send to limited
+// instances. An Allocator issues the grants. The leader's Allocator issues them to all nodes that
+// report to it; a node without a leader issues them to itself. An Allocator issues at most the
 // fraction of the rate that its nodes make up of all nodes that may exist, so that nodes on
 // both sides of a network partition together stay within the limit.
 package ratelimit
@@ -22,12 +22,12 @@
 	// in requests a second.
 	Ended     bool
 	PerSecond float64
-	// Asked and Answered are when the request was sent and its answer arrived. The instance
+	// SentAt and AnsweredAt are when the request was sent and its answer arrived. The instance
 	// made the statement at some time in between.
-	Asked    time.Time
-	Answered time.Time
-	// Since is when this node learned that the instance is limited.
-	Since time.Time
+	SentAt     time.Time
+	AnsweredAt time.Time
+	// KnownSince is when this node learned that the instance is limited.
+	KnownSince time.Time
 }
 
 // equal reports whether l and o state the same limit.
@@ -42,16 +42,16 @@
 // arrive out of order: if either statement may be the later one, the stricter limit applies.
 func (l *Limit) replaces(o *Limit) bool {
 	if l.stricter(o) {
-		return l.Answered.After(o.Asked)
+		return l.AnsweredAt.After(o.SentAt)
 	}
-	return l.Asked.After(o.Answered)
+	return l.SentAt.After(o.AnsweredAt)
 }
 
 // confirm records that o repeats the statement of l.
 func (l *Limit) confirm(o *Limit) {
 	l.Instance = o.Instance
-	if o.Answered.After(l.Answered) {
-		l.Asked, l.Answered = o.Asked, o.Answered
+	if o.AnsweredAt.After(l.AnsweredAt) {
+		l.SentAt, l.AnsweredAt = o.SentAt, o.AnsweredAt
 	}
 }
 
@@ -60,19 +60,19 @@
 
 // The kinds of Change.
 const (
-	Unchanged Change = ""
-	Began     Change = "began"
-	Changed   Change = "changed"
-	Stopped   Change = "ended"
+	LimitUnchanged Change = ""
+	LimitBegan     Change = "began"
+	LimitChanged   Change = "changed"
+	LimitEnded     Change = "ended"
 )
 
 // changeFrom returns the Change from before to l.
 func (l *Limit) changeFrom(before *Limit) Change {
 	switch {
 	case l.Ended:
-		return Stopped
+		return LimitEnded
 	case before.Ended:
-		return Began
+		return LimitBegan
 	}
-	return Changed
+	return LimitChanged
 }
--- a/coordination/ratelimit/size_bench_test.go
+++ b/coordination/ratelimit/size_bench_test.go
@@ -40,32 +40,32 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := newSide("n", nodes, nodes, perSecond, rng)
 	for _, n := range s.nodes {
-		n.book = NewBook(DefaultPolicy())
+		n.book = NewTracker(DefaultPolicy())
 		for i := range limited {
 			in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprintf("i-%010x", i))}
 			n.book.Observe(in, fleet.LimitedTo(perSecond), start, start)
 		}
 	}
 	for now := start; now.Sub(start) < duration; now = now.Add(issueInterval) {
-		r := Round{Limits: s.nodes[0].book.InForce(), Part: 1, Weight: func(string, *Limit) float64 { return demand }}
+		r := AllocationInput{Limits: s.nodes[0].book.Active(), Share: 1, Weight: func(string, *Limit) float64 { return demand }}
 		for _, n := range s.nodes {
-			r.Nodes = append(r.Nodes, Node{Name: n.name, Usage: n.usage})
+			r.Nodes = append(r.Nodes, NodeUsage{Name: n.name, Usage: n.usage})
 		}
 		began := time.Now()
-		s.dealer.Deal(r, now)
+		s.dealer.Allocate(r, now)
 		dealTime += time.Since(began)
 		for _, n := range s.nodes {
 			for range rng.IntN(int(2*demand*issueInterval.Seconds()) + 1) {
-				n.book.Send(fleet.Incarnation{ID: r.Limits[rng.IntN(limited)].Instance.ID}, now)
+				n.book.Take(fleet.Incarnation{ID: r.Limits[rng.IntN(limited)].Instance.ID}, now)
 			}
 			if now.Before(n.nextReport) {
 				continue
 			}
 			n.usage = n.book.Usage(now)
 			began := time.Now()
-			grants := s.dealer.PickUp(n.name, now)
+			grants := s.dealer.Collect(n.name, now)
 			dealTime += time.Since(began)
-			n.book.Granted(grants, now.Add(DefaultPolicy().GrantFor))
+			n.book.AddGrants(grants, now.Add(DefaultPolicy().GrantTTL))
 			n.nextReport = now.Add(statusInterval)
 			bytes += encodedSize(n.usage) + encodedSize(grants)
 		}
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -89,7 +89,7 @@
 		n.Count("probes.cooling-down")
 		return fleet.Report{}, errNotAsked
 	}
-	if !n.limits.Question(m.Incarnation(), n.asker(m.ID), asked) {
+	if !n.limits.TryProbe(m.Incarnation(), n.asker(m.ID), asked) {
 		n.Count("probes.rate-limited")
 		return fleet.Report{}, errNotAsked
 	}
--- a/transport/entry/limithistory_test.go
+++ b/transport/entry/limithistory_test.go
@@ -113,7 +113,7 @@
 	set := &Settings{Name: name, Hall: "hall", Peer: testAddress(int(h.number)), Capacity: 1, Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}}, h.clock, &log.Logger{Handler: discard.New()})
 	n.number.Store(h.number)
-	n.dealer = ratelimit.NewDealer(set.Policy.RateLimit, h.rng.Float64)
+	n.dealer = ratelimit.NewAllocator(set.Policy.RateLimit, h.rng.Float64)
 	h.g.Expect(n.know.Learn([]byte("x"))).Error().NotTo(HaveOccurred())
 	n.roster.ApplyFreshEntry(h.in, h.clock.Now())
 	n.peers.setComplete()
--- a/transport/entry/node.go
+++ b/transport/entry/node.go
@@ -53,8 +53,8 @@
 	// cooldowns are the instances that asked this node to send them nothing for a while.
 	cooldowns *cooldown.Book
 	// limits are the instances that take only so many requests a second from all nodes together.
-	limits  *ratelimit.Book
-	dealer  *ratelimit.Dealer
+	limits  *ratelimit.Tracker
+	dealer  *ratelimit.Allocator
 	pool    *direct.Pool
 	metrics metrics.Registry
 	log     *log.Logger
@@ -111,8 +111,8 @@
 
 		writeAgain: make(chan struct{}, 1),
 		cooldowns:  cooldown.NewBook(set.Policy.Cooldown),
-		limits:     ratelimit.NewBook(set.Policy.RateLimit),
-		dealer:     ratelimit.NewDealer(set.Policy.RateLimit, rand.Float64),
+		limits:     ratelimit.NewTracker(set.Policy.RateLimit),
+		dealer:     ratelimit.NewAllocator(set.Policy.RateLimit, rand.Float64),
 		log:        logger,
 		started:    clock.Now(),
 		changed:    make(chan struct{}, 1),
--- a/transport/entry/placer.go
+++ b/transport/entry/placer.go
@@ -241,7 +241,7 @@
 	began := p.n.clock.Now()
 	in := p.n.instance(o.Instance)
 	p.n.cooldowns.Order(in.Incarnation(), began)
-	p.n.limits.Order(in.Incarnation(), began)
+	p.n.limits.RecordOrder(in.Incarnation(), began)
 	ans, err := p.n.ports.Targets.Order(callCtx, o, p.n.connectionTo(o.Instance))
 	p.n.Told(&in, ans.Notice, "", began)
 	reply := ans.Reply
@@ -289,7 +289,7 @@
 	if len(p.asking) >= p.n.policy.ProbesAtOnce || p.asking[m.ID] || now.Sub(p.asked[m.ID]) < interval {
 		return
 	}
-	if !p.n.limits.MayQuestion(m.Incarnation(), p.n.asker(m.ID), now) {
+	if !p.n.limits.CanProbe(m.Incarnation(), p.n.asker(m.ID), now) {
 		return
 	}
 	p.asking[m.ID], p.asked[m.ID] = true, now
--- a/transport/entry/ratelimit.go
+++ b/transport/entry/ratelimit.go
@@ -22,15 +22,15 @@
 }
 
 // Open implements gateway.Backpressure.
-func (n *Node) Open(in *fleet.Instance) bool { return n.limits.Open(in.Incarnation(), n.clock.Now()) }
+func (n *Node) Open(i *fleet.Instance) bool { return n.limits.Allow(i.Incarnation(), n.clock.Now()) }
 
 // Send implements gateway.Backpressure.
-func (n *Node) Send(in *fleet.Instance) bool { return n.limits.Send(in.Incarnation(), n.clock.Now()) }
+func (n *Node) Send(i *fleet.Instance) bool { return n.limits.Take(i.Incarnation(), n.clock.Now()) }
 
 // asker returns who asks when this node puts a question to an instance.
-func (n *Node) asker(id state.InstanceID) ratelimit.Asker {
+func (n *Node) asker(id state.InstanceID) ratelimit.ProbeRequest {
 	leading, _ := n.peers.isPlacing()
-	return ratelimit.Asker{Leading: leading, Failing: n.roster.ConsecutiveFailures(id) > 0}
+	return ratelimit.ProbeRequest{IsLeader: leading, LastProbeFailed: n.roster.ConsecutiveFailures(id) > 0}
 }
 
 // toldLimit records what an answer to this node, sent for at a time, said of its instance's rate limit.
@@ -46,7 +46,7 @@
 	}
 	change := n.limits.Observe(in.Incarnation(), said, sent, n.clock.Now())
 	n.limitChanged(change, in, said.PerSecond, log.Fields{"request": request})
-	if change == ratelimit.Began {
+	if change == ratelimit.LimitBegan {
 		n.tellSoon()
 	}
 }
@@ -59,7 +59,7 @@
 	for i := range list {
 		r := &list[i]
 		change := n.limits.Merge(r.limit(now), now)
-		if change == ratelimit.Unchanged {
+		if change == ratelimit.LimitUnchanged {
 			continue
 		}
 		in := n.instance(r.Instance.ID)
@@ -69,12 +69,12 @@
 
 // limitChanged logs a change of what is known of an instance's rate limit, and who told it.
 func (n *Node) limitChanged(change ratelimit.Change, in *fleet.Instance, perSecond float64, by log.Fields) {
-	if change == ratelimit.Unchanged {
+	if change == ratelimit.LimitUnchanged {
 		return
 	}
 	n.Count("rate-limit." + string(change))
 	fields := log.Fields{"instance": in.ID, "service": in.Service, "group": in.Membership.Group}
-	if change != ratelimit.Stopped {
+	if change != ratelimit.LimitEnded {
 		fields["per_second"] = perSecond
 	}
 	n.log.WithFields(fields).WithFields(by).Info("rate limit " + string(change))
@@ -85,7 +85,7 @@
 	var out []LimitReport
 	for _, l := range list {
 		out = append(out, LimitReport{
-			Instance: l.Instance, PerSecond: l.PerSecond, Ended: l.Ended, AskedMS: age(now.Sub(l.Asked)), AnsweredMS: age(now.Sub(l.Answered)),
+			Instance: l.Instance, PerSecond: l.PerSecond, Ended: l.Ended, AskedMS: age(now.Sub(l.SentAt)), AnsweredMS: age(now.Sub(l.AnsweredAt)),
 		})
 	}
 	return out
@@ -94,15 +94,15 @@
 // limit returns a report by the clock of the node that got it.
 func (r *LimitReport) limit(now time.Time) ratelimit.Limit {
 	at := func(ageMS int64) time.Time { return now.Add(-time.Duration(max(ageMS, 0)) * time.Millisecond) }
-	return ratelimit.Limit{Instance: r.Instance, PerSecond: r.PerSecond, Ended: r.Ended, Asked: at(r.AskedMS), Answered: at(r.AnsweredMS)}
+	return ratelimit.Limit{Instance: r.Instance, PerSecond: r.PerSecond, Ended: r.Ended, SentAt: at(r.AskedMS), AnsweredAt: at(r.AnsweredMS)}
 }
 
 // addLimits adds to a status report what the leader divides rates by.
 func (p *peers) addLimits(w *Word, now time.Time) {
 	n := p.n
-	w.Limits = limitReports(n.limits.ToldLately(now), now)
+	w.Limits = limitReports(n.limits.RecentlyObserved(now), now)
 	w.Usage = n.limits.Usage(now)
-	w.ByGrants = n.limits.Any()
+	w.ByGrants = n.limits.HasActive()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w.LimitsAfter = p.limitsHas
@@ -115,7 +115,7 @@
 	if w.Feed != n.number.Load() {
 		after = 0
 	}
-	list, version := n.limits.Since(after)
+	list, version := n.limits.ChangedSince(after)
 	a.Limits, a.LimitsNow = limitReports(list, now), version
 	if nodes := p.possible(now); nodes != w.Nodes {
 		a.Possible = nodes
@@ -125,7 +125,7 @@
 	}
 	if leading, _ := p.isPlacing(); leading && w.ByGrants {
 		a.Dealing = true
-		a.Grants = n.dealer.PickUp(w.From.Name, now)
+		a.Grants = n.dealer.Collect(w.From.Name, now)
 	}
 }
 
@@ -133,7 +133,7 @@
 func (p *peers) takeLimits(a *Answer, asked time.Time) {
 	n := p.n
 	n.learnLimits(a.Limits, "leader", n.clock.Now())
-	n.limits.Granted(a.Grants, asked.Add(n.set.Policy.RateLimit.GrantFor))
+	n.limits.AddGrants(a.Grants, asked.Add(n.set.Policy.RateLimit.GrantTTL))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limitsHas, p.told, p.complete = a.LimitsNow, a.Possible, true
@@ -146,10 +146,10 @@
 // it, another node over itself alone while no leader deals for it, as one of an earlier
 // version or none does. Both deal no more than the part that these are of all nodes.
 func (n *Node) dealLimits(now time.Time) {
-	if !n.limits.Any() {
+	if !n.limits.HasActive() {
 		return
 	}
-	r := ratelimit.Round{Limits: n.limits.InForce()}
+	r := ratelimit.AllocationInput{Limits: n.limits.Active()}
 	known, counted := n.peers.possible(now), 1
 	leading, _ := n.peers.isPlacing()
 	switch {
@@ -160,12 +160,12 @@
 	case n.peers.dealtFor(now):
 		return
 	default:
-		r.Nodes = []ratelimit.Node{{Name: n.set.Name, Usage: n.limits.Usage(now)}}
+		r.Nodes = []ratelimit.NodeUsage{{Name: n.set.Name, Usage: n.limits.Usage(now)}}
 		r.Weight = func(string, *ratelimit.Limit) float64 { return 1 }
 	}
-	r.Part = min(float64(counted)/float64(known), 1)
-	n.dealer.Deal(r, now)
-	n.limits.Granted(n.dealer.PickUp(n.set.Name, now), now.Add(n.set.Policy.RateLimit.GrantFor))
+	r.Share = min(float64(counted)/float64(known), 1)
+	n.dealer.Allocate(r, now)
+	n.limits.AddGrants(n.dealer.Collect(n.set.Name, now), now.Add(n.set.Policy.RateLimit.GrantTTL))
 }
 
 // dealtFor reports whether a leader lately dealt for this node.
@@ -181,10 +181,10 @@
 // addReporting adds the nodes that send by grants to a round, this one and those that report
 // to it, each with what callers ask of it. It returns how many nodes' part of the rate it may
 // deal: those of earlier builds, which are kept away from limited instances, count too.
-func (p *peers) addReporting(r *ratelimit.Round, now time.Time) (counted int) {
+func (p *peers) addReporting(r *ratelimit.AllocationInput, now time.Time) (counted int) {
 	n := p.n
 	asked := map[string]map[servedModel]float64{n.set.Name: byModel(n.demand.Flows(now))}
-	r.Nodes = []ratelimit.Node{{Name: n.set.Name, Usage: n.limits.Usage(now)}}
+	r.Nodes = []ratelimit.NodeUsage{{Name: n.set.Name, Usage: n.limits.Usage(now)}}
 	counted = 1
 	p.mu.Lock()
 	for name, h := range p.words {
@@ -195,11 +195,11 @@
 		if h.word.Protocol < protocolLimits {
 			continue
 		}
-		r.Nodes = append(r.Nodes, ratelimit.Node{Name: name, Usage: h.word.Usage})
+		r.Nodes = append(r.Nodes, ratelimit.NodeUsage{Name: name, Usage: h.word.Usage})
 		asked[name] = byModel(h.word.Demand)
 	}
 	p.mu.Unlock()
-	slices.SortFunc(r.Nodes, func(a, b ratelimit.Node) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(r.Nodes, func(a, b ratelimit.NodeUsage) int { return strings.Compare(a.Name, b.Name) })
 	models := map[state.InstanceID]servedModel{}
 	for i := range r.Limits {
 		id := r.Limits[i].Instance.ID
@@ -242,7 +242,7 @@
 		v, known := n.roster.Get(in.ID, now)
 		return known && !v.Incarnation().LaterThan(in)
 	})
-	metrics.GetOrRegisterGauge("rate-limit.active", n.metrics).Update(int64(len(n.limits.InForce())))
+	metrics.GetOrRegisterGauge("rate-limit.active", n.metrics).Update(int64(len(n.limits.Active())))
 }
 
 // limitState is one rate limit, as an operator sees it.
@@ -261,9 +261,9 @@
 	now := n.clock.Now()
 	usage := n.limits.Usage(now)
 	list := []limitState{}
-	for _, l := range n.limits.InForce() {
+	for _, l := range n.limits.Active() {
 		list = append(list, limitState{
-			Instance: l.Instance.ID, PerSecond: l.PerSecond, SinceMS: now.Sub(l.Since).Milliseconds(), SaidMS: now.Sub(l.Answered).Milliseconds(),
+			Instance: l.Instance.ID, PerSecond: l.PerSecond, SinceMS: now.Sub(l.KnownSince).Milliseconds(), SaidMS: now.Sub(l.AnsweredAt).Milliseconds(),
 			Usage: usage[l.Instance.ID],
 		})
 	}
--- a/transport/entry/version.go
+++ b/transport/entry/version.go
@@ -48,7 +48,7 @@
 // shieldLimited has a node of a build without rate limits keep away from the instances that
 // have one: it heeds which formations take no requests, and leaves out instances that look full.
 func (n *Node) shieldLimited(a *Answer) {
-	limits := n.limits.InForce()
+	limits := n.limits.Active()
 	if len(limits) == 0 {
 		return
 	}
--- a/transport/gateway/backpressure_test.go
+++ b/transport/gateway/backpressure_test.go
@@ -21,7 +21,7 @@
 	cooldowns *cooldown.Book
 	mu        sync.Mutex
 	leaving   map[state.InstanceID]bool
-	limits    *ratelimit.Book
+	limits    *ratelimit.Tracker
 	// cooldownHiddenFor is the number of further checks that do not show the cooldown of an instance.
 	cooldownHiddenFor map[state.InstanceID]int
 	// limitHiddenFor is the number of further checks that do not show the rate limit of an instance.
@@ -29,7 +29,7 @@
 }
 
 func newFakeBackpressure() *fakeBackpressure {
-	return &fakeBackpressure{cooldowns: cooldown.NewBook(cooldown.DefaultPolicy()), leaving: map[state.InstanceID]bool{}, limitHiddenFor: map[state.InstanceID]int{}, limits: ratelimit.NewBook(ratelimit.DefaultPolicy()), cooldownHiddenFor: map[state.InstanceID]int{}}
+	return &fakeBackpressure{cooldowns: cooldown.NewBook(cooldown.DefaultPolicy()), leaving: map[state.InstanceID]bool{}, limitHiddenFor: map[state.InstanceID]int{}, limits: ratelimit.NewTracker(ratelimit.DefaultPolicy()), cooldownHiddenFor: map[state.InstanceID]int{}}
 }
 
 func (b *fakeBackpressure) Told(in *fleet.Instance, n fleet.Notice, _ string, _ time.Time) {
@@ -69,11 +69,11 @@
 		b.limitHiddenFor[in.ID]--
 		return true
 	}
-	return b.limits.Open(in.Incarnation(), time.Now())
+	return b.limits.Allow(in.Incarnation(), time.Now())
 }
 
 func (b *fakeBackpressure) Send(in *fleet.Instance) bool {
-	return b.limits.Send(in.Incarnation(), time.Now())
+	return b.limits.Take(in.Incarnation(), time.Now())
 }
 
 // startCooldown starts a cooldown of an instance. The first hiddenFor checks do not show it.
--- a/transport/gateway/ratelimit_test.go
+++ b/transport/gateway/ratelimit_test.go
@@ -20,7 +20,7 @@
 	in := fleet.Instance{ID: state.InstanceID(id)}
 	now := time.Now()
 	h.backpressure.limits.Observe(in.Incarnation(), fleet.LimitedTo(perSecond), now, now)
-	h.backpressure.limits.Granted([]ratelimit.Grant{{Instance: in.ID, Requests: grants}}, now.Add(time.Minute))
+	h.backpressure.limits.AddGrants([]ratelimit.Grant{{Instance: in.ID, Requests: grants}}, now.Add(time.Minute))
 	h.backpressure.mu.Lock()
 	defer h.backpressure.mu.Unlock()
 	h.backpressure.limitHiddenFor[in.ID] = hiddenFor
