--- a/coordination/cooldown/cooldown.go
+++ b/coordination/cooldown/cooldown.go
@@ -27,10 +27,10 @@
 	calls int
 }
 
-// Book holds the cooldowns of one node. It is safe for concurrent use. It is independent of
+// Tracker holds the cooldowns of one node. It is safe for concurrent use. It is independent of
 // the node's other state about instances: a changed instance entry, a new configuration or
 // a network partition ends no cooldown.
-type Book struct {
+type Tracker struct {
 	policy Policy
 	// active is the number of cooldowns held. Methods skip the lock while it is 0.
 	active    atomic.Int64
@@ -38,9 +38,9 @@
 	cooldowns map[state.InstanceID][]*Cooldown
 }
 
-// NewBook returns an empty Book.
-func NewBook(policy Policy) *Book {
-	return &Book{policy: policy, cooldowns: map[state.InstanceID][]*Cooldown{}}
+// NewTracker returns an empty Book.
+func NewTracker(policy Policy) *Tracker {
+	return &Tracker{policy: policy, cooldowns: map[state.InstanceID][]*Cooldown{}}
 }
 
 // mayBeSame reports whether a and b may be the same incarnation. An unknown start matches any:
@@ -49,10 +49,10 @@
 	return a.ID == b.ID && (a.Life == b.Life || a.Life == "" || b.Life == "")
 }
 
-// Ask records that an instance asked for a cooldown of d from now. It returns the end of the
+// Record records that an instance asked for a cooldown of d from now. It returns the end of the
 // cooldown and whether it is new. A further request extends a cooldown and never shortens
 // it: answers can arrive out of order, and each reflects the load that the instance saw.
-func (b *Book) Ask(in fleet.Incarnation, d time.Duration, now time.Time) (until time.Time, isNew bool) {
+func (b *Tracker) Record(in fleet.Incarnation, d time.Duration, now time.Time) (until time.Time, isNew bool) {
 	until = now.Add(min(d, b.policy.MaxDuration))
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,7 +75,7 @@
 }
 
 // Until returns the end of the instance's cooldown, and whether it is in one.
-func (b *Book) Until(in fleet.Incarnation, now time.Time) (time.Time, bool) {
+func (b *Tracker) Until(in fleet.Incarnation, now time.Time) (time.Time, bool) {
 	if b.active.Load() == 0 {
 		return time.Time{}, false
 	}
@@ -89,7 +89,7 @@
 }
 
 // find returns the cooldown in effect for an instance, or nil. b.mu is held.
-func (b *Book) find(in fleet.Incarnation, now time.Time) *Cooldown {
+func (b *Tracker) find(in fleet.Incarnation, now time.Time) *Cooldown {
 	for _, c := range b.cooldowns[in.ID] {
 		if mayBeSame(c.Instance, in) && now.Before(c.Until) {
 			return c
@@ -98,17 +98,17 @@
 	return nil
 }
 
-// Order records an order to an instance. Orders are never delayed: they are few, and the
+// RecordOrder records an order to an instance. Orders are never delayed: they are few, and the
 // group changes that need them cannot wait.
-func (b *Book) Order(in fleet.Incarnation, now time.Time) { b.call(in, now, true) }
+func (b *Tracker) RecordOrder(in fleet.Incarnation, now time.Time) { b.call(in, now, true) }
 
-// Question reports whether a probe may be sent to an instance, and records it if so. Within
+// TryProbe reports whether a probe may be sent to an instance, and records it if so. Within
 // a cooldown, probes are held back after Policy.MaxCalls orders and probes.
-func (b *Book) Question(in fleet.Incarnation, now time.Time) bool { return b.call(in, now, false) }
+func (b *Tracker) TryProbe(in fleet.Incarnation, now time.Time) bool { return b.call(in, now, false) }
 
 // call records an order or a probe and reports whether it may be sent. If unconditional is
 // set, it always may.
-func (b *Book) call(in fleet.Incarnation, now time.Time, unconditional bool) bool {
+func (b *Tracker) call(in fleet.Incarnation, now time.Time, unconditional bool) bool {
 	if b.active.Load() == 0 {
 		return true
 	}
@@ -126,18 +126,18 @@
 }
 
 // Sweep removes the cooldowns that have ended and returns them, sorted by instance ID.
-func (b *Book) Sweep(now time.Time) []Cooldown {
+func (b *Tracker) Sweep(now time.Time) []Cooldown {
 	return b.collect(func(c *Cooldown) bool { return !now.Before(c.Until) }, true)
 }
 
-// List returns the cooldowns in effect, sorted by instance ID.
-func (b *Book) List(now time.Time) []Cooldown {
+// Active returns the cooldowns in effect, sorted by instance ID.
+func (b *Tracker) Active(now time.Time) []Cooldown {
 	return b.collect(func(c *Cooldown) bool { return now.Before(c.Until) }, false)
 }
 
 // collect returns the cooldowns for which match holds, sorted by instance ID, and removes
 // them if remove is set.
-func (b *Book) collect(match func(*Cooldown) bool, remove bool) []Cooldown {
+func (b *Tracker) collect(match func(*Cooldown) bool, remove bool) []Cooldown {
 	if b.active.Load() == 0 {
 		return nil
 	}
--- a/coordination/cooldown/cooldown_test.go
+++ b/coordination/cooldown/cooldown_test.go
@@ -38,8 +38,8 @@
 		{"an incarnation whose start is no longer reported", older, noStart, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := cooldown.NewBook(cooldown.DefaultPolicy())
-			b.Ask(c.requested, 3*time.Second, start)
+			b := cooldown.NewTracker(cooldown.DefaultPolicy())
+			b.Record(c.requested, 3*time.Second, start)
 			_, cooling := b.Until(c.queried, after(time.Second))
 			NewWithT(t).Expect(cooling).To(Equal(c.cooling))
 		})
@@ -61,10 +61,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			b := cooldown.NewBook(cooldown.DefaultPolicy())
+			b := cooldown.NewTracker(cooldown.DefaultPolicy())
 			last := time.Duration(0)
 			for _, a := range c.requests {
-				b.Ask(older, a.d, after(a.at))
+				b.Record(older, a.d, after(a.at))
 				last = a.at
 			}
 			until, cooling := b.Until(older, after(last))
@@ -78,34 +78,34 @@
 
 func TestProbesWaitAfterTheCallLimitOfACooldown(t *testing.T) {
 	g := NewWithT(t)
-	b := cooldown.NewBook(cooldown.DefaultPolicy())
-	g.Expect(b.Question(older, start)).To(BeTrue(), "no cooldown")
-	b.Ask(older, 3*time.Second, start)
-	g.Expect(b.Question(older, start)).To(BeTrue())
-	b.Order(older, start)
-	g.Expect(b.Question(older, start)).To(BeFalse())
-	g.Expect(b.Question(otherInstance, start)).To(BeTrue())
-	b.Ask(older, 3*time.Second, after(time.Second)) // extends the same cooldown
-	g.Expect(b.Question(older, after(time.Second))).To(BeFalse())
-	g.Expect(b.Question(older, after(4*time.Second))).To(BeTrue())
-	b.Ask(older, time.Second, after(5*time.Second))
-	g.Expect(b.Question(older, after(5*time.Second))).To(BeTrue(), "a new cooldown")
+	b := cooldown.NewTracker(cooldown.DefaultPolicy())
+	g.Expect(b.TryProbe(older, start)).To(BeTrue(), "no cooldown")
+	b.Record(older, 3*time.Second, start)
+	g.Expect(b.TryProbe(older, start)).To(BeTrue())
+	b.RecordOrder(older, start)
+	g.Expect(b.TryProbe(older, start)).To(BeFalse())
+	g.Expect(b.TryProbe(otherInstance, start)).To(BeTrue())
+	b.Record(older, 3*time.Second, after(time.Second)) // extends the same cooldown
+	g.Expect(b.TryProbe(older, after(time.Second))).To(BeFalse())
+	g.Expect(b.TryProbe(older, after(4*time.Second))).To(BeTrue())
+	b.Record(older, time.Second, after(5*time.Second))
+	g.Expect(b.TryProbe(older, after(5*time.Second))).To(BeTrue(), "a new cooldown")
 }
 
 func TestSweepReturnsEndedCooldownsOnce(t *testing.T) {
 	g := NewWithT(t)
-	b := cooldown.NewBook(cooldown.DefaultPolicy())
-	b.Ask(otherInstance, time.Second, start)
-	b.Ask(older, time.Second, start)
-	b.Ask(newer, 3*time.Second, start)
-	g.Expect(b.List(start)).To(HaveLen(3))
+	b := cooldown.NewTracker(cooldown.DefaultPolicy())
+	b.Record(otherInstance, time.Second, start)
+	b.Record(older, time.Second, start)
+	b.Record(newer, 3*time.Second, start)
+	g.Expect(b.Active(start)).To(HaveLen(3))
 	g.Expect(b.Sweep(start)).To(BeEmpty())
 	ended := b.Sweep(after(time.Second))
 	g.Expect(ended).To(HaveLen(2))
 	g.Expect(ended[0].Instance).To(Equal(older))
 	g.Expect(ended[1].Instance).To(Equal(otherInstance))
 	g.Expect(b.Sweep(after(time.Second))).To(BeEmpty())
-	g.Expect(b.List(after(time.Second))).To(HaveLen(1))
+	g.Expect(b.Active(after(time.Second))).To(HaveLen(1))
 }
 
 // For random sequences of requests, a cooldown ends exactly when the last-ending request
@@ -113,7 +113,7 @@
 func TestRandomCooldownsEndWithTheLastEndingRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := cooldown.DefaultPolicy()
-		b := cooldown.NewBook(policy)
+		b := cooldown.NewTracker(policy)
 		incarnations := []fleet.Incarnation{older, newer, otherInstance}
 		ends := map[fleet.Incarnation]time.Time{}
 		now := start
@@ -123,14 +123,14 @@
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				d := time.Duration(rapid.Int64Range(0, int64(2*policy.MaxDuration)).Draw(t, "asked"))
-				b.Ask(in, d, now)
+				b.Record(in, d, now)
 				if end := now.Add(min(d, policy.MaxDuration)); end.After(ends[in]) {
 					ends[in] = end
 				}
 			case 1:
 				b.Sweep(now)
 			case 2:
-				b.Question(in, now)
+				b.TryProbe(in, now)
 			}
 			for _, in := range incarnations {
 				until, cooling := b.Until(in, now)
@@ -148,9 +148,9 @@
 		cooling int
 	}{{"none", 0}, {"one", 1}, {"a hundred", 100}} {
 		b.Run(c.name, func(b *testing.B) {
-			book := cooldown.NewBook(cooldown.DefaultPolicy())
+			book := cooldown.NewTracker(cooldown.DefaultPolicy())
 			for i := range c.cooling {
-				book.Ask(fleet.Incarnation{ID: older.ID + newer.ID, Life: string(rune('a' + i))}, time.Minute, start)
+				book.Record(fleet.Incarnation{ID: older.ID + newer.ID, Life: string(rune('a' + i))}, time.Minute, start)
 			}
 			for b.Loop() {
 				book.Until(older, start)
--- a/coordination/cooldown/history_test.go
+++ b/coordination/cooldown/history_test.go
@@ -63,7 +63,7 @@
 // simNode is a simulated node.
 type simNode struct {
 	table *dispatch.Table
-	book  *cooldown.Book
+	book  *cooldown.Tracker
 	// probeInFlight has an entry for each instance that has answered nothing since it asked for a
 	// cooldown: whether a request after the cooldown is in flight.
 	probeInFlight map[state.InstanceID]bool
@@ -120,7 +120,7 @@
 	c := catalog.New(1, nil, []catalog.Service{{Name: "plain"}}, nil, catalog.Limits{})
 	for range s.nodeCount {
 		n := &simNode{
-			table: dispatch.NewTable("", dispatch.DefaultPolicy()), book: cooldown.NewBook(cooldown.DefaultPolicy()),
+			table: dispatch.NewTable("", dispatch.DefaultPolicy()), book: cooldown.NewTracker(cooldown.DefaultPolicy()),
 			probeInFlight: map[state.InstanceID]bool{}, inFlight: map[state.InstanceID]int{},
 		}
 		n.table.Update(c, views, func(fleet.GroupKey) bool { return false })
@@ -252,7 +252,7 @@
 	}
 	d := time.Duration(float64(h.cooldown) * (1 + h.jitter*h.rng.Float64()))
 	request := func(n *simNode) {
-		n.book.Ask(fleet.Incarnation{ID: in.ID}, d, h.now)
+		n.book.Record(fleet.Incarnation{ID: in.ID}, d, h.now)
 		n.probeInFlight[in.ID] = false
 	}
 	request(n)
--- a/transport/core/cooldown.go
+++ b/transport/core/cooldown.go
@@ -24,7 +24,7 @@
 // Cool records that the instance that takes a group's requests asked for a cooldown, and
 // returns until when it lasts and whether it has just begun.
 func (c *Core) Cool(cand *routing.Candidate, d time.Duration, now time.Time) (until time.Time, began bool) {
-	return c.Cooldowns.Ask(c.leaderLife(cand), d, now)
+	return c.Cooldowns.Record(c.leaderLife(cand), d, now)
 }
 
 // Open reports whether this node may send a new request to a group.
--- a/transport/core/core.go
+++ b/transport/core/core.go
@@ -54,7 +54,7 @@
 	// Doubted holds a token when a request broke off, so that its instances are asked whether they live.
 	Doubted chan struct{}
 	// Cooldowns are the instances that asked this node to send them nothing for a while.
-	Cooldowns *cooldown.Book
+	Cooldowns *cooldown.Tracker
 
 	// Routed is the offset of the state that the routing table shows.
 	Routed   atomic.Uint64
--- a/transport/entry/backpressure.go
+++ b/transport/entry/backpressure.go
@@ -30,7 +30,7 @@
 	}
 	n.Count("cooldown.asked")
 	now := n.clock.Now()
-	until, began := n.cooldowns.Ask(in.Incarnation(), notice.Cooldown, now)
+	until, began := n.cooldowns.Record(in.Incarnation(), notice.Cooldown, now)
 	if !began {
 		return
 	}
@@ -105,7 +105,7 @@
 		n.Count("cooldown.ended")
 		n.log.WithFields(log.Fields{"instance": c.Instance.ID, "ms": c.Until.Sub(c.Since).Milliseconds()}).Info("cooldown ended")
 	}
-	metrics.GetOrRegisterGauge("cooldown.active", n.metrics).Update(int64(len(n.cooldowns.List(now))))
+	metrics.GetOrRegisterGauge("cooldown.active", n.metrics).Update(int64(len(n.cooldowns.Active(now))))
 }
 
 // cooling is one instance that is cooling down, as an operator sees it.
@@ -119,7 +119,7 @@
 func (n *Node) serveCooldowns(w http.ResponseWriter, _ *http.Request) {
 	now := n.clock.Now()
 	list := []cooling{}
-	for _, c := range n.cooldowns.List(now) {
+	for _, c := range n.cooldowns.Active(now) {
 		list = append(list, cooling{Instance: c.Instance.ID, SinceMS: now.Sub(c.Since).Milliseconds(), LeftMS: c.Until.Sub(now).Milliseconds()})
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -85,7 +85,7 @@
 
 // question asks an instance for its report once.
 func (n *Node) question(ctx context.Context, m fleet.Instance, asked time.Time) (fleet.Report, error) {
-	if !n.cooldowns.Question(m.Incarnation(), asked) {
+	if !n.cooldowns.TryProbe(m.Incarnation(), asked) {
 		n.Count("probes.cooling-down")
 		return fleet.Report{}, errNotAsked
 	}
--- a/transport/entry/node.go
+++ b/transport/entry/node.go
@@ -51,7 +51,7 @@
 	demand *demand.Meter
 	ledger *quarantine.Ledger
 	// cooldowns are the instances that asked this node to send them nothing for a while.
-	cooldowns *cooldown.Book
+	cooldowns *cooldown.Tracker
 	// limits are the instances that take only so many requests a second from all nodes together.
 	limits  *ratelimit.Tracker
 	dealer  *ratelimit.Allocator
@@ -110,7 +110,7 @@
 		ledger:  quarantine.NewLedger(set.Policy.Quarantine),
 
 		writeAgain: make(chan struct{}, 1),
-		cooldowns:  cooldown.NewBook(set.Policy.Cooldown),
+		cooldowns:  cooldown.NewTracker(set.Policy.Cooldown),
 		limits:     ratelimit.NewTracker(set.Policy.RateLimit),
 		dealer:     ratelimit.NewAllocator(set.Policy.RateLimit, rand.Float64),
 		log:        logger,
--- a/transport/entry/placer.go
+++ b/transport/entry/placer.go
@@ -240,7 +240,7 @@
 	defer cancel()
 	began := p.n.clock.Now()
 	in := p.n.instance(o.Instance)
-	p.n.cooldowns.Order(in.Incarnation(), began)
+	p.n.cooldowns.RecordOrder(in.Incarnation(), began)
 	p.n.limits.RecordOrder(in.Incarnation(), began)
 	ans, err := p.n.ports.Targets.Order(callCtx, o, p.n.connectionTo(o.Instance))
 	p.n.Told(&in, ans.Notice, "", began)
--- a/transport/gateway/backpressure_test.go
+++ b/transport/gateway/backpressure_test.go
@@ -18,7 +18,7 @@
 
 // fakeBackpressure implements gateway.Backpressure with real cooldown and rate limit books.
 type fakeBackpressure struct {
-	cooldowns *cooldown.Book
+	cooldowns *cooldown.Tracker
 	mu        sync.Mutex
 	leaving   map[state.InstanceID]bool
 	limits    *ratelimit.Tracker
@@ -29,7 +29,7 @@
 }
 
 func newFakeBackpressure() *fakeBackpressure {
-	return &fakeBackpressure{cooldowns: cooldown.NewBook(cooldown.DefaultPolicy()), leaving: map[state.InstanceID]bool{}, limitHiddenFor: map[state.InstanceID]int{}, limits: ratelimit.NewTracker(ratelimit.DefaultPolicy()), cooldownHiddenFor: map[state.InstanceID]int{}}
+	return &fakeBackpressure{cooldowns: cooldown.NewTracker(cooldown.DefaultPolicy()), leaving: map[state.InstanceID]bool{}, limitHiddenFor: map[state.InstanceID]int{}, limits: ratelimit.NewTracker(ratelimit.DefaultPolicy()), cooldownHiddenFor: map[state.InstanceID]int{}}
 }
 
 func (b *fakeBackpressure) Told(in *fleet.Instance, n fleet.Notice, _ string, _ time.Time) {
@@ -38,7 +38,7 @@
 	b.leaving[in.ID] = b.leaving[in.ID] || n.Leaving
 	b.limits.Observe(in.Incarnation(), n.RateLimit, time.Now(), time.Now())
 	if n.Cooldown > 0 {
-		b.cooldowns.Ask(in.Incarnation(), n.Cooldown, time.Now())
+		b.cooldowns.Record(in.Incarnation(), n.Cooldown, time.Now())
 	}
 }
 
--- a/transport/node/node.go
+++ b/transport/node/node.go
@@ -114,7 +114,7 @@
 
 		Quarantine: quarantine.NewLedger(quarantine.DefaultPolicy()),
 		Doubted:    make(chan struct{}, 1),
-		Cooldowns:  cooldown.NewBook(cooldown.DefaultPolicy()),
+		Cooldowns:  cooldown.NewTracker(cooldown.DefaultPolicy()),
 	}
 	n := &Node{Core: c, meter: meter, mirrors: newMirrors(), missing: newMissingSince(), refresh: make(chan struct{}, 1)}
 	n.prober = probe.New(probe.Config{Interval: set.ProbeInterval, EvidenceWindow: set.EvidenceWindow}, c.Targets, n.sources(), c.Evidence, c.Feed, clock)
