--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -13,8 +13,8 @@
 	NotRun Outcome = "not-run"
 	// Unknown means that the work may have been done.
 	Unknown Outcome = "unknown"
-	// Run means that the target answered.
-	Run Outcome = "run"
+	// Completed means that the target answered.
+	Completed Outcome = "run"
 )
 
 // Budget is a retry budget: it bounds retries to a fraction of first attempts, so that
@@ -31,15 +31,15 @@
 	return &Budget{ratio: ratio, maxCredit: maxCredit, credit: maxCredit}
 }
 
-// Attempt records a first attempt.
-func (b *Budget) Attempt() {
+// RecordAttempt records a first attempt.
+func (b *Budget) RecordAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.credit = min(b.maxCredit, b.credit+b.ratio)
 }
 
-// Take consumes one retry. It reports false if the budget is exhausted.
-func (b *Budget) Take() bool {
+// TryTake consumes one retry. It reports false if the budget is exhausted.
+func (b *Budget) TryTake() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.credit < 1 {
@@ -49,8 +49,8 @@
 	return true
 }
 
-// Allowed reports whether an attempt with outcome o may be retried. Work that may have been
+// CanRetry reports whether an attempt with outcome o may be retried. Work that may have been
 // done is retried only if it is repeatable.
-func Allowed(o Outcome, repeatable bool) bool {
+func CanRetry(o Outcome, repeatable bool) bool {
 	return o == NotRun || (o == Unknown && repeatable)
 }
--- a/coordination/retry/shared.go
+++ b/coordination/retry/shared.go
@@ -7,9 +7,9 @@
 	"github.com/troutmast/troutmast/internal/window"
 )
 
-// Bounds limits the retries that all nodes together send to one service: in any Window,
+// SharedBudgetConfig limits the retries that all nodes together send to one service: in any Window,
 // at most Ratio retries per first attempt plus Slack.
-type Bounds struct {
+type SharedBudgetConfig struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -22,14 +22,14 @@
 // SharedBudget is one node's share of a retry budget of all nodes. It is safe for concurrent use.
 type SharedBudget struct {
 	mu       sync.Mutex
-	bounds   Bounds
+	bounds   SharedBudgetConfig
 	nodes    int
 	attempts window.Counter
 	retries  window.Counter
 }
 
 // NewSharedBudget returns the SharedBudget of one of the given number of nodes.
-func NewSharedBudget(b Bounds, nodes int) *SharedBudget {
+func NewSharedBudget(b SharedBudgetConfig, nodes int) *SharedBudget {
 	return &SharedBudget{bounds: b, nodes: nodes}
 }
 
@@ -41,15 +41,15 @@
 	s.nodes = n
 }
 
-// Attempt records a first attempt.
-func (s *SharedBudget) Attempt(now time.Time) {
+// RecordAttempt records a first attempt.
+func (s *SharedBudget) RecordAttempt(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.attempts.Add(now, s.bounds.Window)
 }
 
-// Take consumes one retry. It reports false if the budget is exhausted.
-func (s *SharedBudget) Take(now time.Time) bool {
+// TryTake consumes one retry. It reports false if the budget is exhausted.
+func (s *SharedBudget) TryTake(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	allowed := s.bounds.Ratio * float64(s.attempts.Within(now, s.bounds.Window))
--- a/coordination/retry/shared_test.go
+++ b/coordination/retry/shared_test.go
@@ -22,7 +22,7 @@
 // first attempts in that window and just before it.
 func TestRetriesOfAllNodesStayWithinTheBoundsInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := retry.Bounds{
+		b := retry.SharedBudgetConfig{
 			Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), Slack: rapid.Float64Range(0, 60).Draw(t, "slack"), Window: 10 * time.Second,
 		}
 		start := time.Unix(1000, 0)
@@ -36,11 +36,11 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "attempt") {
-				n.Attempt(now)
+				n.RecordAttempt(now)
 				events = append(events, event{at: now})
 				continue
 			}
-			if n.Take(now) {
+			if n.TryTake(now) {
 				events = append(events, event{now, true})
 			}
 		}
@@ -52,7 +52,7 @@
 
 // checkWindow checks the window that ends at end. Attempts count from a 20th of the window
 // earlier, the resolution of window.Counter.
-func checkWindow(t *rapid.T, b retry.Bounds, events []event, end time.Time) {
+func checkWindow(t *rapid.T, b retry.SharedBudgetConfig, events []event, end time.Time) {
 	retries, attempts := 0, 0
 	for _, e := range events {
 		age := end.Sub(e.at)
@@ -72,13 +72,13 @@
 func TestBurstMayUseTheBudgetOfTheWholeWindow(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	s := retry.NewSharedBudget(retry.Bounds{Ratio: 0.2, Slack: 90, Window: 10 * time.Second}, 9)
+	s := retry.NewSharedBudget(retry.SharedBudgetConfig{Ratio: 0.2, Slack: 90, Window: 10 * time.Second}, 9)
 	for i := range 100 {
-		s.Attempt(now.Add(time.Duration(i) * 90 * time.Millisecond))
+		s.RecordAttempt(now.Add(time.Duration(i) * 90 * time.Millisecond))
 	}
 	taken := 0
 	for range 100 {
-		if s.Take(now.Add(9 * time.Second)) {
+		if s.TryTake(now.Add(9 * time.Second)) {
 			taken++
 		}
 	}
--- a/protocol/target/target.go
+++ b/protocol/target/target.go
@@ -282,7 +282,7 @@
 		Delimited:   resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
 		Body:        resp.Body,
 		Notice:      notice(resp),
-	}, retry.Run, nil
+	}, retry.Completed, nil
 }
 
 // request builds the HTTP request of a call.
--- a/transport/caller/attempt.go
+++ b/transport/caller/attempt.go
@@ -75,7 +75,7 @@
 		_ = ans.Body.Close()
 		return nil, retry.Unknown, fmt.Errorf("%w: %d", errTargetStatus, ans.Status)
 	}
-	return ans, retry.Run, nil
+	return ans, retry.Completed, nil
 }
 
 // cause puts the reason for which a context ended before the error that followed from it.
@@ -101,7 +101,7 @@
 	if err := s.gate(ctx, d); err != nil {
 		return nil, nil, retry.Unknown, err
 	}
-	return ans, body, retry.Run, nil
+	return ans, body, retry.Completed, nil
 }
 
 // fetch sends a call and reads the whole body of its answer.
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, nil, retry.Unknown, cause(ctx, err)
 	}
-	return ans, body, retry.Run, nil
+	return ans, body, retry.Completed, nil
 }
 
 // readWhole reads a body that shows that nothing of it is missing.
--- a/transport/caller/caller.go
+++ b/transport/caller/caller.go
@@ -210,13 +210,13 @@
 // again reports whether a failed attempt may be repeated, and counts why or why not.
 func (s *Server) again(ctx context.Context, q *request, o retry.Outcome, f *Failure, repeatable bool) bool {
 	switch {
-	case !retry.Allowed(o, repeatable):
+	case !retry.CanRetry(o, repeatable):
 		s.c.Count("retry-denied.not-repeatable")
 	case ctx.Err() != nil || !s.c.Clock.Now().Before(q.deadline):
 		s.c.Count("retry-denied.deadline")
 	case s.quarantined(q) != nil:
 		s.c.Count("retry-denied.quarantined")
-	case !s.c.Budget.Take():
+	case !s.c.Budget.TryTake():
 		s.c.Count("retry-denied.budget")
 	default:
 		s.c.Count("retry." + string(f.Code))
--- a/transport/caller/completion.go
+++ b/transport/caller/completion.go
@@ -25,7 +25,7 @@
 		return f
 	}
 	defer done()
-	s.c.Budget.Attempt()
+	s.c.Budget.RecordAttempt()
 	if q.stream {
 		return s.streamed(ctx, w, q)
 	}
@@ -93,7 +93,7 @@
 	h := w.Header()
 	h.Set("Content-Type", ans.ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	h.Set(HeaderOutcome, string(retry.Run))
+	h.Set(HeaderOutcome, string(retry.Completed))
 	h.Set(HeaderRequestID, id)
 	w.WriteHeader(ans.Status)
 	_, _ = w.Write(body)
--- a/transport/caller/forward.go
+++ b/transport/caller/forward.go
@@ -99,7 +99,7 @@
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		s.relayStream(w, q, resp)
-		return retry.Run, nil
+		return retry.Completed, nil
 	}
 	return s.relayWhole(w, resp)
 }
@@ -121,7 +121,7 @@
 	}
 	w.WriteHeader(resp.StatusCode)
 	_, _ = w.Write(body)
-	return retry.Run, nil
+	return retry.Completed, nil
 }
 
 // relayStream passes a stream back event by event; a break is told to the caller.
--- a/transport/caller/service.go
+++ b/transport/caller/service.go
@@ -42,7 +42,7 @@
 		return f
 	}
 	defer done()
-	s.c.Budget.Attempt()
+	s.c.Budget.RecordAttempt()
 	switch {
 	case repeatable:
 		return s.answered(ctx, w, q, pool)
@@ -109,7 +109,7 @@
 	switch o {
 	case retry.NotRun:
 		h.claims.GiveBack(h.key, h.holder)
-	case retry.Run:
+	case retry.Completed:
 		h.claims.Finish(h.key, h.holder, result)
 	}
 }
@@ -128,7 +128,7 @@
 	s.c.Count("claims.repeated")
 	if result.Dropped {
 		f := notRun(http.StatusConflict, CodeResultDropped, "the call was run; its answer of status %d was too large to keep", result.Status)
-		f.Outcome = retry.Run
+		f.Outcome = retry.Completed
 		return f
 	}
 	writeAnswer(w, q.id, &target.Answer{Status: result.Status, ContentType: result.ContentType}, result.Body)
@@ -149,7 +149,7 @@
 		d.End()
 		s.learn(q, outcome, err)
 		if err == nil {
-			h.settle(retry.Run, resultOf(ans, body))
+			h.settle(retry.Completed, resultOf(ans, body))
 			writeAnswer(w, q.id, ans, body)
 			return nil
 		}
--- a/transport/caller/stream.go
+++ b/transport/caller/stream.go
@@ -38,7 +38,7 @@
 		h.Set("Content-Type", "text/event-stream")
 		h.Set("Cache-Control", "no-store")
 		h.Set(HeaderRequestID, k.id)
-		h.Set(HeaderOutcome, string(retry.Run))
+		h.Set(HeaderOutcome, string(retry.Completed))
 		k.w.WriteHeader(http.StatusOK)
 	}
 	if _, err := k.w.Write(data); err != nil {
@@ -113,7 +113,7 @@
 	if err := s.copyEvents(ctx, d, ans, out); err != nil {
 		return retry.Unknown, cause(ctx, err)
 	}
-	return retry.Run, nil
+	return retry.Completed, nil
 }
 
 // passWhole lets out an answer that is no stream, such as a refusal of the engine.
@@ -129,7 +129,7 @@
 		return retry.Unknown, fmt.Errorf("%w: %d on resuming", errTargetStatus, ans.Status)
 	}
 	writeAnswer(out.w, q.id, ans, body)
-	return retry.Run, nil
+	return retry.Completed, nil
 }
 
 // copyEvents lets the events of an answer out, one by one, each only while the group is whole.
--- a/transport/caller/ticket.go
+++ b/transport/caller/ticket.go
@@ -122,7 +122,7 @@
 	switch o {
 	case retry.NotRun:
 		t.book.GiveBack(t.text)
-	case retry.Run:
+	case retry.Completed:
 		t.book.Finish(t.text, result)
 	}
 }
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -229,7 +229,7 @@
 		Policy: entry.DefaultPolicy(),
 		Name:   name, Hall: "hall", Callers: freeAddress(t), Ready: freeAddress(t), Peer: freeAddress(t), Metrics: freeAddress(t), Seeds: seeds,
 		BeatInterval: time.Second, StopWithin: time.Second, LeaveWithin: 2 * time.Second, StallTime: 4 * time.Second,
-		StrictKeys: true, KeysWithin: 3 * time.Second, Retry: retry.Bounds{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
+		StrictKeys: true, KeysWithin: 3 * time.Second, Retry: retry.SharedBudgetConfig{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
 	}
 	tune(set)
 	r := &running{set: set, view: &view{store: s}, done: make(chan error, 1)}
--- a/transport/entry/settings.go
+++ b/transport/entry/settings.go
@@ -41,7 +41,7 @@
 	// StallTime is how long a group with a dead member stands still before it says so.
 	StallTime time.Duration
 	// Retry bounds the repeats that all nodes send to one service.
-	Retry retry.Bounds
+	Retry retry.SharedBudgetConfig
 	// Policy is how the node decides.
 	Policy Policy
 }
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -104,7 +104,7 @@
 	Demand       *demand.Meter
 	Policy       Policy
 	// Retry bounds the retries that all nodes together send to one service.
-	Retry retry.Bounds
+	Retry retry.SharedBudgetConfig
 }
 
 // Gateway is the HTTP handler for the requests of callers.
@@ -149,7 +149,7 @@
 }
 
 // SetRetry sets the bounds of retries. New bounds reset all retry budgets.
-func (g *Gateway) SetRetry(b retry.Bounds) {
+func (g *Gateway) SetRetry(b retry.SharedBudgetConfig) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if b == g.Retry {
@@ -275,7 +275,7 @@
 		c.model = claims.Model
 	}
 	c.budget = c.Gateway.budget(c.service)
-	c.budget.Attempt(c.arrivedAt)
+	c.budget.RecordAttempt(c.arrivedAt)
 	c.Demand.Add(c.service, c.model, claims.Prompt, claims.Answer, c.arrivedAt)
 	return nil
 }
--- a/transport/gateway/serve.go
+++ b/transport/gateway/serve.go
@@ -57,7 +57,7 @@
 		if _, held := c.Quarantine.HeldUntil(c.fingerprint); c.sends > 0 && held {
 			return c.giveUp(CodeQuarantined)
 		}
-		if c.sends > 0 && !c.budget.Take(c.Clock.Now()) {
+		if c.sends > 0 && !c.budget.TryTake(c.Clock.Now()) {
 			c.Recorder.Count("retry.no-budget")
 			return c.giveUp(CodeRefusedByTargets)
 		}
--- a/transport/gateway/standin_test.go
+++ b/transport/gateway/standin_test.go
@@ -236,7 +236,7 @@
 		Demand: demand.NewMeter(demand.DefaultPolicy()), Policy: gateway.DefaultPolicy(),
 		Clock: clock, Dialect: testDialect{}, Catalogs: h.catalogs, Table: h.table, Health: h.health, Recorder: h.recorder, Quarantine: h.quarantine, Backpressure: h.backpressure,
 		Pool:  direct.NewPool(direct.Dialer{Timeout: time.Second}, time.Now),
-		Retry: retry.Bounds{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
+		Retry: retry.SharedBudgetConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 	})
 	h.gateway.SetNodes(1)
 	h.server = httptest.NewServer(h.gateway)
