--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -19,11 +19,11 @@
 
 // The reasons for which a request is refused before it is sent.
 const (
-	CodeTeamLimit Code = "team-limit"
-	CodeQueueFull Code = "queue-full"
-	CodeTooLate   Code = "deadline-too-near"
-	CodeEvicted   Code = "displaced-by-priority"
-	CodeNoGroup   Code = "no-whole-group"
+	CodeTeamLimit       Code = "team-limit"
+	CodeQueueFull       Code = "queue-full"
+	CodeDeadlineTooNear Code = "deadline-too-near"
+	CodeDisplaced       Code = "displaced-by-priority"
+	CodeNoWholeGroup    Code = "no-whole-group"
 )
 
 // Refusal is the error for a refused request: the reason and when to retry.
@@ -91,7 +91,7 @@
 		return
 	}
 	for w := p.dequeue(); w != nil; w = p.dequeue() {
-		w.decision <- p.newRefusalLocked(CodeNoGroup)
+		w.decision <- p.newRefusalLocked(CodeNoWholeGroup)
 	}
 }
 
@@ -102,8 +102,8 @@
 	return p.capacity
 }
 
-// Held returns the number of slots in use and of queued requests.
-func (p *Pool) Held() (held, waiting int) {
+// InUse returns the number of slots in use and of queued requests.
+func (p *Pool) InUse() (held, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held, p.queuedBefore(numClasses)
@@ -128,7 +128,7 @@
 	case <-ctx.Done():
 		return p.abandon(w, ctx.Err())
 	case <-timer.Chan():
-		return p.abandon(w, p.newRefusal(CodeTooLate))
+		return p.abandon(w, p.newRefusal(CodeDeadlineTooNear))
 	}
 }
 
@@ -149,14 +149,14 @@
 		return nil, nil
 	}
 	if p.capacity == 0 {
-		return nil, p.newRefusalLocked(CodeNoGroup)
+		return nil, p.newRefusalLocked(CodeNoWholeGroup)
 	}
 	if !p.makeRoom(priority) {
 		return nil, p.newRefusalLocked(CodeQueueFull)
 	}
 	ahead := p.queuedBefore(int(priority) + 1)
 	if p.clock.Now().Add(p.expectedWait(ahead + 1)).After(deadline) {
-		return nil, p.newRefusalLocked(CodeTooLate)
+		return nil, p.newRefusalLocked(CodeDeadlineTooNear)
 	}
 	w := &waiter{priority: priority, deadline: deadline, decision: make(chan *Refusal, 1)}
 	p.queues[priority] = append(p.queues[priority], w)
@@ -173,7 +173,7 @@
 	}
 	for class := numClasses - 1; class > int(priority); class-- {
 		if q := p.queues[class]; len(q) > 0 {
-			q[len(q)-1].decision <- p.newRefusalLocked(CodeEvicted)
+			q[len(q)-1].decision <- p.newRefusalLocked(CodeDisplaced)
 			p.queues[class] = q[:len(q)-1]
 			return true
 		}
@@ -190,7 +190,7 @@
 		for _, w := range p.queues[class] {
 			ahead++
 			if p.clock.Now().Add(p.expectedWait(ahead)).After(w.deadline) {
-				w.decision <- p.newRefusalLocked(CodeTooLate)
+				w.decision <- p.newRefusalLocked(CodeDeadlineTooNear)
 				ahead--
 				continue
 			}
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -38,11 +38,11 @@
 
 // acquire calls Acquire in a goroutine and returns its result channel once the request is queued or done.
 func acquire(p *admission.Pool, priority state.Priority, deadline time.Time) <-chan error {
-	_, before := p.Held()
+	_, before := p.InUse()
 	result := make(chan error, 1)
 	go func() { result <- p.Acquire(context.Background(), priority, deadline) }()
 	for range 2000 {
-		if _, waiting := p.Held(); waiting != before || len(result) > 0 {
+		if _, waiting := p.InUse(); waiting != before || len(result) > 0 {
 			return result
 		}
 		time.Sleep(time.Millisecond)
@@ -89,7 +89,7 @@
 		}
 		cancel()
 		wg.Wait()
-		held, queued := p.Held()
+		held, queued := p.InUse()
 		if held != granted || queued != 0 {
 			t.Fatalf("Held() = %d held, %d waiting; want %d held, 0 waiting", held, queued, granted)
 		}
@@ -122,7 +122,7 @@
 	err := p.Acquire(context.Background(), state.PriorityNormal, far)
 	g.Expect(refusalCode(err)).To(Equal(admission.CodeQueueFull))
 	alert := acquire(p, state.PriorityAlert, far)
-	g.Expect(refusalCode(<-queued[len(queued)-1])).To(Equal(admission.CodeEvicted))
+	g.Expect(refusalCode(<-queued[len(queued)-1])).To(Equal(admission.CodeDisplaced))
 	p.Release()
 	g.Expect(<-alert).To(Succeed())
 }
@@ -139,11 +139,11 @@
 		p.Release()
 	}
 	g.Expect(p.Acquire(context.Background(), state.PriorityNormal, far)).To(Succeed())
-	g.Expect(refusalCode(p.Acquire(context.Background(), state.PriorityNormal, clock.Now().Add(500*time.Millisecond)))).To(Equal(admission.CodeTooLate))
+	g.Expect(refusalCode(p.Acquire(context.Background(), state.PriorityNormal, clock.Now().Add(500*time.Millisecond)))).To(Equal(admission.CodeDeadlineTooNear))
 	queued := acquire(p, state.PriorityNormal, clock.Now().Add(1500*time.Millisecond))
 	g.Expect(queued).To(BeEmpty())
 	acquire(p, state.PriorityAlert, far)
-	g.Expect(refusalCode(<-queued)).To(Equal(admission.CodeTooLate))
+	g.Expect(refusalCode(<-queued)).To(Equal(admission.CodeDeadlineTooNear))
 }
 
 // TestRetryAfterGrowsWithTheQueue checks that RetryAfter follows from the queue length and the
@@ -175,8 +175,8 @@
 	g.Expect(p.Acquire(context.Background(), state.PriorityNormal, far)).To(Succeed())
 	first, second := acquire(p, state.PriorityAlert, far), acquire(p, state.PriorityBatch, far)
 	p.SetCapacity(0)
-	g.Eventually(first).Should(Receive(WithTransform(refusalCode, Equal(admission.CodeNoGroup))))
-	g.Eventually(second).Should(Receive(WithTransform(refusalCode, Equal(admission.CodeNoGroup))))
+	g.Eventually(first).Should(Receive(WithTransform(refusalCode, Equal(admission.CodeNoWholeGroup))))
+	g.Eventually(second).Should(Receive(WithTransform(refusalCode, Equal(admission.CodeNoWholeGroup))))
 }
 
 func TestCancelledRequestReleasesItsSlot(t *testing.T) {
@@ -194,7 +194,7 @@
 			p.Release()
 		}
 	}
-	held, waiting := p.Held()
+	held, waiting := p.InUse()
 	g.Expect(fmt.Sprint(held, waiting)).To(Equal("0 0"))
 }
 
@@ -217,5 +217,5 @@
 	g.Expect(granted).To(Equal(7))
 	teams.Release("t")
 	g.Expect(teams.Acquire("t", 7)).To(BeTrue())
-	g.Expect(teams.Held("t")).To(Equal(7))
+	g.Expect(teams.InUse("t")).To(Equal(7))
 }
--- a/coordination/admission/teams.go
+++ b/coordination/admission/teams.go
@@ -43,8 +43,8 @@
 	s.held[team]--
 }
 
-// Held returns the number of slots that a team holds at this node.
-func (t *Teams) Held(team state.TeamName) int {
+// InUse returns the number of slots that a team holds at this node.
+func (t *Teams) InUse(team state.TeamName) int {
 	s := &t.shards[xxhash.Sum64String(string(team))%teamShards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/transport/caller/caller.go
+++ b/transport/caller/caller.go
@@ -176,7 +176,7 @@
 	if !s.known(pool) {
 		return notRun(http.StatusNotFound, CodeNotFound, "%s is not configured", pool)
 	}
-	f := notRun(http.StatusServiceUnavailable, Code(admission.CodeNoGroup), "no hall that team %s may use has a whole group for %s", q.team.Name, pool)
+	f := notRun(http.StatusServiceUnavailable, Code(admission.CodeNoWholeGroup), "no hall that team %s may use has a whole group for %s", q.team.Name, pool)
 	return s.comeBack(f, pool)
 }
 
--- a/transport/caller/completion.go
+++ b/transport/caller/completion.go
@@ -61,7 +61,7 @@
 // noGroup is the failure when no candidate is open: that of the last attempt, if there was one.
 func (s *Server) noGroup(pool string, last *Failure) *Failure {
 	if last == nil {
-		last = withOutcome(retry.NotRun, Code(admission.CodeNoGroup), "no whole group is left for the request")
+		last = withOutcome(retry.NotRun, Code(admission.CodeNoWholeGroup), "no whole group is left for the request")
 	}
 	if last.Outcome != retry.NotRun {
 		return last
--- a/transport/caller/failure.go
+++ b/transport/caller/failure.go
@@ -61,8 +61,8 @@
 		CodeClaimUnsettled, CodeDeadline, CodeGroupLost, CodeTargetFailed, CodeTargetRefused, CodeUnreachable,
 		CodeAnswerMismatch, CodeAnswerTruncated, CodePeerFailed, CodeQuarantined, CodeCoolingDown,
 		CodeTicketBad, CodeTicketGone, CodeTicketLimit, CodeStopping,
-		Code(admission.CodeTeamLimit), Code(admission.CodeQueueFull), Code(admission.CodeTooLate),
-		Code(admission.CodeEvicted), Code(admission.CodeNoGroup),
+		Code(admission.CodeTeamLimit), Code(admission.CodeQueueFull), Code(admission.CodeDeadlineTooNear),
+		Code(admission.CodeDisplaced), Code(admission.CodeNoWholeGroup),
 	}
 }
 
--- a/transport/operator/show.go
+++ b/transport/operator/show.go
@@ -199,12 +199,12 @@
 	s.c.Follower.Read(func(st *state.State) {
 		for _, team := range st.Teams() {
 			share := team.Halls[s.c.Settings.Hall]
-			t.add("team", team.Name, s.c.TeamLimit(share), s.c.Teams.Held(team.Name), 0)
+			t.add("team", team.Name, s.c.TeamLimit(share), s.c.Teams.InUse(team.Name), 0)
 		}
 	})
 	for _, name := range s.c.Pools.Names() {
 		p := s.c.Pools.Get(name)
-		held, waiting := p.Held()
+		held, waiting := p.InUse()
 		t.add("pool", name, p.Capacity(), held, waiting)
 	}
 	t.sort()
