--- a/coordination/quarantine/history_test.go
+++ b/coordination/quarantine/history_test.go
@@ -222,7 +222,7 @@
 				left, crashed = append(left, a), true
 			case a.lost:
 			default:
-				h.ledgers[a.node].RecordCompleteResponse(a.request, h.now)
+				h.ledgers[a.node].RecordComplete(a.request, h.now)
 			}
 		}
 		w.work = left
--- a/coordination/quarantine/ledger.go
+++ b/coordination/quarantine/ledger.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// RecordCompleteResponse records a complete response to a request. It clears the request if the next ending would
+// RecordComplete records a complete response to a request. It clears the request if the next ending would
 // quarantine it.
-func (l *Ledger) RecordCompleteResponse(f Fingerprint, now time.Time) {
+func (l *Ledger) RecordComplete(f Fingerprint, now time.Time) {
 	l.lastAnswers.Add(f, now)
 	if l.Verdict(f, now).IndependentEndings >= max(l.policy.Endings-1, 1) {
 		l.Clear(f, now)
--- a/coordination/quarantine/ledger_test.go
+++ b/coordination/quarantine/ledger_test.go
@@ -215,7 +215,7 @@
 func TestPopularRequestDoesNotShieldDeadlyOne(t *testing.T) {
 	g := NewWithT(t)
 	l := quarantine.NewLedger(quarantine.DefaultPolicy())
-	l.RecordCompleteResponse(request("popular"), start)
+	l.RecordComplete(request("popular"), start)
 	endInstance(l, "chance", time.Second, "popular")
 	for i := range 3 {
 		endInstance(l, fmt.Sprint(i), time.Duration(2+i)*time.Second, "popular", "deadly", fmt.Sprint("beside ", i))
@@ -285,7 +285,7 @@
 		{"a complete response in between", func(l *quarantine.Ledger) {
 			endInstance(l, "a", time.Second, "popular")
 			endInstance(l, "b", 2*time.Second, "popular")
-			l.RecordCompleteResponse(request("popular"), start.Add(2500*time.Millisecond))
+			l.RecordComplete(request("popular"), start.Add(2500*time.Millisecond))
 			endInstance(l, "c", 3*time.Second, "popular")
 			endInstance(l, "d", 4*time.Second, "popular")
 		}},
--- a/coordination/quarantine/property_test.go
+++ b/coordination/quarantine/property_test.go
@@ -80,7 +80,7 @@
 		d.nodes[node].RecordInterruption(f, []fleet.Incarnation{in}, d.now.Add(-time.Duration(rapid.IntRange(0, 300).Draw(t, "run"))*time.Millisecond), d.now)
 		d.nodes[node].RecordEnding(in, d.now)
 	case 4:
-		d.nodes[node].RecordCompleteResponse(f, d.now)
+		d.nodes[node].RecordComplete(f, d.now)
 	case 5:
 		d.nodes[node].RecordProbeResponse(in, d.now)
 	case 6:
--- a/transport/caller/quarantine.go
+++ b/transport/caller/quarantine.go
@@ -37,7 +37,7 @@
 func (s *Server) learn(q *request, outcome retry.Outcome, err error) {
 	switch {
 	case err == nil:
-		s.c.Quarantine.RecordCompleteResponse(q.fingerprint, s.c.Clock.Now())
+		s.c.Quarantine.RecordComplete(q.fingerprint, s.c.Clock.Now())
 	case outcome == retry.Unknown && !errors.Is(err, errCallerGone):
 		s.c.Quarantine.RecordInterruption(q.fingerprint, q.lives, q.sentAt, s.c.Clock.Now())
 		select {
--- a/transport/entry/backpressure.go
+++ b/transport/entry/backpressure.go
@@ -12,9 +12,9 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Told implements gateway.Backpressure: it heeds what an instance said in any answer, to a
+// RecordNotice implements gateway.Backpressure: it heeds what an instance said in any answer, to a
 // request, a question or an order that was sent at a time.
-func (n *Node) Told(in *fleet.Instance, notice fleet.Notice, request string, sent time.Time) {
+func (n *Node) RecordNotice(in *fleet.Instance, notice fleet.Notice, request string, sent time.Time) {
 	n.toldLimit(in, notice.RateLimit, request, sent)
 	if notice.Leaving {
 		n.leaving(in.Incarnation(), "")
@@ -37,7 +37,7 @@
 	n.Count("cooldown.began")
 	left := 0
 	for _, c := range n.table.Candidates(in.Service, in.Model) {
-		if _, cooling := n.CoolingDown(&c.Instance); !cooling {
+		if _, cooling := n.CooldownUntil(&c.Instance); !cooling {
 			left++
 		}
 	}
@@ -50,13 +50,13 @@
 // badCooldown keys the instances whose cooldowns cannot be read.
 type badCooldown state.InstanceID
 
-// CoolingDown implements gateway.Backpressure.
-func (n *Node) CoolingDown(in *fleet.Instance) (time.Time, bool) {
+// CooldownUntil implements gateway.Backpressure.
+func (n *Node) CooldownUntil(in *fleet.Instance) (time.Time, bool) {
 	return n.cooldowns.Until(in.Incarnation(), n.clock.Now())
 }
 
-// Leaving implements gateway.Backpressure.
-func (n *Node) Leaving(in *fleet.Instance) bool { return n.roster.IsLeaving(in.Incarnation()) }
+// IsLeaving implements gateway.Backpressure.
+func (n *Node) IsLeaving(in *fleet.Instance) bool { return n.roster.IsLeaving(in.Incarnation()) }
 
 // leaving records that a life of an instance said that it will end soon, to this node or to
 // the one named, and has the leader told at once.
--- a/transport/entry/backpressure_test.go
+++ b/transport/entry/backpressure_test.go
@@ -72,7 +72,7 @@
 		err  error
 	}{
 		{"to a request", func(n *observed) {
-			n.Told(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
+			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
 		}, nil},
 		{"to a question", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
 		{"to a question, with a failure", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrUnreadable},
@@ -84,19 +84,19 @@
 			g := NewWithT(t)
 			n := observe(&noticing{notice: fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, err: c.err})
 			c.call(n)
-			until, cooling := n.CoolingDown(&n.in)
+			until, cooling := n.CooldownUntil(&n.in)
 			g.Expect(cooling).To(BeTrue())
 			g.Expect(until).To(Equal(n.clock.Now().Add(3 * time.Second)))
-			g.Expect(n.Leaving(&n.in)).To(BeTrue())
+			g.Expect(n.IsLeaving(&n.in)).To(BeTrue())
 			c.call(n)
 			g.Expect(n.logged("cooldown began")).To(Equal(1))
 			g.Expect(n.logged("instance leaving")).To(Equal(1))
 			n.clock.Advance(3 * time.Second)
 			n.logCooldowns()
-			_, cooling = n.CoolingDown(&n.in)
+			_, cooling = n.CooldownUntil(&n.in)
 			g.Expect(cooling).To(BeFalse())
 			g.Expect(n.logged("cooldown ended")).To(Equal(1))
-			g.Expect(n.Leaving(&n.in)).To(BeTrue())
+			g.Expect(n.IsLeaving(&n.in)).To(BeTrue())
 		})
 	}
 }
@@ -115,7 +115,7 @@
 			g := NewWithT(t)
 			targets := &noticing{err: c.err}
 			n := observe(targets)
-			n.Told(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
+			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
 			for range 20 {
 				n.clock.Advance(100 * time.Millisecond)
 				n.report(context.Background(), n.in, n.clock.Now())
@@ -134,9 +134,9 @@
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	for range 3 {
-		n.Told(&n.in, fleet.Notice{CooldownFault: retryafter.ErrValue}, "r1", time.Time{})
+		n.RecordNotice(&n.in, fleet.Notice{CooldownFault: retryafter.ErrValue}, "r1", time.Time{})
 	}
-	_, cooling := n.CoolingDown(&n.in)
+	_, cooling := n.CooldownUntil(&n.in)
 	g.Expect(cooling).To(BeFalse())
 	g.Expect(n.logged("cooldown not read")).To(Equal(1))
 }
@@ -144,21 +144,21 @@
 func TestALaterLifeIsNeitherCoolingDownNorLeaving(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
-	n.Told(&n.in, fleet.Notice{Cooldown: time.Minute, Leaving: true}, "r1", time.Time{})
+	n.RecordNotice(&n.in, fleet.Notice{Cooldown: time.Minute, Leaving: true}, "r1", time.Time{})
 	next := n.in
 	next.Born, next.Position = next.Born.Add(time.Second), next.Position+1
 	n.roster.ApplyFreshEntry(next, n.clock.Now())
-	_, cooling := n.CoolingDown(&next)
+	_, cooling := n.CooldownUntil(&next)
 	g.Expect(cooling).To(BeFalse())
-	g.Expect(n.Leaving(&next)).To(BeFalse())
-	n.Told(&n.in, fleet.Notice{Leaving: true}, "r2", time.Time{}) // a late answer of the earlier life
-	g.Expect(n.Leaving(&next)).To(BeFalse())
+	g.Expect(n.IsLeaving(&next)).To(BeFalse())
+	n.RecordNotice(&n.in, fleet.Notice{Leaving: true}, "r2", time.Time{}) // a late answer of the earlier life
+	g.Expect(n.IsLeaving(&next)).To(BeFalse())
 }
 
 func TestOperatorsSeeWhichInstancesAreCoolingDown(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
-	n.Told(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
+	n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
 	n.clock.Advance(time.Second)
 	mux := http.NewServeMux()
 	n.handleOperators(mux)
@@ -179,14 +179,14 @@
 		n.roster.ApplyFreshEntry(in, n.clock.Now())
 	}
 	exchange(g, b, leader)
-	a.Told(&in, fleet.Notice{Leaving: true}, "r1", time.Time{})
+	a.RecordNotice(&in, fleet.Notice{Leaving: true}, "r1", time.Time{})
 	exchange(g, a, leader)
 	newer := in
 	newer.Position = 7
 	b.roster.ApplyFreshEntry(newer, b.clock.Now())
 	exchange(g, b, leader)
 	for _, n := range []*Node{leader, a, b} {
-		g.Expect(n.Leaving(&in)).To(BeTrue(), n.set.Name)
+		g.Expect(n.IsLeaving(&in)).To(BeTrue(), n.set.Name)
 		v, _ := n.roster.Get("i", n.clock.Now())
 		g.Expect(v.Draining).To(BeTrue(), n.set.Name)
 	}
--- a/transport/entry/cooldown_test.go
+++ b/transport/entry/cooldown_test.go
@@ -47,7 +47,7 @@
 // mostInCooldown is how many requests of one node may reach an instance in its cooldown.
 const mostInCooldown = 2
 
-// Headers of the stand-in's dialect.
+// Headers of the stand-in's codec.
 const (
 	headerNode     = "Node"
 	headerNotRun   = "Not-Run"
@@ -55,17 +55,17 @@
 	headerLeaving  = "Leaving"
 )
 
-// nodeDialect is the dialect of a named node.
-type nodeDialect struct {
-	dialect
-	node string
+// nodeCodec is the header codec of a named node.
+type nodeCodec struct {
+	codec
+	id string
 }
 
-func (d nodeDialect) Forward(h http.Header, _ gateway.Forward) { h.Set(headerNode, d.node) }
+func (d nodeCodec) SetForwardHeaders(h http.Header, _ gateway.ForwardInfo) { h.Set(headerNode, d.id) }
 
-func (d nodeDialect) Verdict(_ int, h http.Header) gateway.Verdict {
+func (d nodeCodec) ParseReply(_ int, h http.Header) gateway.ReplyInfo {
 	seconds, _ := strconv.ParseFloat(h.Get(headerCooldown), 64)
-	return gateway.Verdict{Sealed: true, NotRun: h.Get(headerNotRun) != "", Notice: fleet.Notice{
+	return gateway.ReplyInfo{HasSeal: true, NotRun: h.Get(headerNotRun) != "", Notice: fleet.Notice{
 		Cooldown: time.Duration(seconds * float64(time.Second)), Leaving: h.Get(headerLeaving) != "",
 	}}
 }
@@ -193,7 +193,7 @@
 // startNamedNodes starts nodes that tell instances their names, and waits until all of them serve.
 func startNamedNodes(t *testing.T, s *store, count int) []*running {
 	return startServing(t, s, count, func(name string) entry.Ports {
-		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: nodeDialect{node: name}}
+		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: nodeCodec{id: name}}
 	})
 }
 
--- a/transport/entry/endings.go
+++ b/transport/entry/endings.go
@@ -27,8 +27,8 @@
 	proofReborn   endProof = "it has started again"
 )
 
-// Broken implements gateway.Quarantine.
-func (n *Node) Broken(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time) {
+// RecordInterruption implements gateway.Quarantine.
+func (n *Node) RecordInterruption(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time) {
 	var lives []fleet.Incarnation
 	for i := range instances {
 		// The members of a group that stands still have just been asked: only those that did
@@ -40,8 +40,8 @@
 	n.ledger.RecordInterruption(f, lives, began, n.clock.Now())
 }
 
-// Refused implements gateway.Quarantine.
-func (n *Node) Refused(c *dispatch.Candidate) { go n.refused(c.Incarnation()) }
+// RecordConnectionRefused implements gateway.Quarantine.
+func (n *Node) RecordConnectionRefused(c *dispatch.Candidate) { go n.refused(c.Incarnation()) }
 
 // refused judges a refused connection to an instance on which requests broke off. A hall that is cut
 // off by resets refuses on behalf of instances that live: it proves an ending only if another
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -186,19 +186,19 @@
 	return entry.OrderAnswer{Reply: placement.Unanswered}, errors.New("no engine")
 }
 
-// dialect is the stand-in's way of writing requests.
-type dialect struct{}
-
-func (dialect) Parse(h http.Header) (gateway.Claims, error) {
-	return gateway.Claims{ID: h.Get("Id"), Key: h.Get("Key"), Patience: 2 * time.Second}, nil
-}
-func (dialect) Forward(http.Header, gateway.Forward)      {}
-func (dialect) Belongs(h http.Header, id string) bool     { return h.Get("Id") == id }
-func (dialect) Verdict(int, http.Header) gateway.Verdict  { return gateway.Verdict{Sealed: true} }
-func (dialect) ToCaller(int, http.Header)                 {}
-func (dialect) RetryAfter(h http.Header, d time.Duration) { h.Set("Retry-After", d.String()) }
-func (dialect) Echo(h http.Header, id string)             { h.Set("Id", id) }
-func (dialect) Status(c gateway.Code) int {
+// codec is the stand-in's way of writing requests.
+type codec struct{}
+
+func (codec) ParseRequest(h http.Header) (gateway.RequestInfo, error) {
+	return gateway.RequestInfo{ID: h.Get("Id"), Key: h.Get("Key"), Timeout: 2 * time.Second}, nil
+}
+func (codec) SetForwardHeaders(http.Header, gateway.ForwardInfo) {}
+func (codec) MatchesRequest(h http.Header, id string) bool       { return h.Get("Id") == id }
+func (codec) ParseReply(int, http.Header) gateway.ReplyInfo      { return gateway.ReplyInfo{HasSeal: true} }
+func (codec) RemoveNodeHeaders(int, http.Header)                 {}
+func (codec) SetRetryAfter(h http.Header, d time.Duration)       { h.Set("Retry-After", d.String()) }
+func (codec) SetRequestID(h http.Header, id string)              { h.Set("Id", id) }
+func (codec) StatusCode(c gateway.Code) int {
 	if c == gateway.CodeBadKey {
 		return http.StatusUnauthorized
 	}
@@ -215,7 +215,7 @@
 
 // start runs a node on loopback.
 func start(t *testing.T, s *store, name string, seeds ...netip.AddrPort) *running {
-	return startWith(t, s, entry.Ports{Decoder: decoder{}, Targets: targets{}, Dialect: dialect{}}, name, seeds...)
+	return startWith(t, s, entry.Ports{Decoder: decoder{}, Targets: targets{}, Dialect: codec{}}, name, seeds...)
 }
 
 // startWith runs a node on loopback whose ports are given, but for the store.
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -15,25 +15,25 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Heard implements gateway.Health.
-func (n *Node) Heard(id state.InstanceID, at time.Time) { n.roster.RecordResponse(id, at) }
+// RecordResponse implements gateway.FailureDetector.
+func (n *Node) RecordResponse(id state.InstanceID, at time.Time) { n.roster.RecordResponse(id, at) }
 
-// Failed implements gateway.Health.
-func (n *Node) Failed(id state.InstanceID, at time.Time) {
+// RecordFailure implements gateway.FailureDetector.
+func (n *Node) RecordFailure(id state.InstanceID, at time.Time) {
 	n.roster.RecordFailure(id, at)
 	n.suspect(id, at)
 	n.touch()
 }
 
-// Replaced implements gateway.Health.
-func (n *Node) Replaced(id state.InstanceID) {
+// RecordReplaced implements gateway.FailureDetector.
+func (n *Node) RecordReplaced(id state.InstanceID) {
 	n.roster.RecordReplaced(id, n.clock.Now())
 	n.touch()
 }
 
-// Suspect implements gateway.Health: it asks all members of a group whether they
+// ProbeGroup implements gateway.FailureDetector: it asks all members of a group whether they
 // live, and gives the group's requests up if one does not.
-func (n *Node) Suspect(c *dispatch.Candidate) {
+func (n *Node) ProbeGroup(c *dispatch.Candidate) {
 	go func() {
 		silent := n.askAll(c.Members)
 		if len(silent) == 0 {
@@ -44,7 +44,7 @@
 			"group": c.Membership.Group, "epoch": c.Membership.Epoch, "head": c.ID, "silent": silent, "held": c.Held(),
 		}).Warn("group stands still")
 		n.touch()
-		n.gate.Watch.CutStalled(c.ID)
+		n.gate.StallDetector.CancelGroup(c.ID)
 	}()
 }
 
@@ -104,7 +104,7 @@
 	if !rep.Born.IsZero() {
 		m.Born = rep.Born
 	}
-	n.Told(&m, rep.Notice, "", rep.Asked)
+	n.RecordNotice(&m, rep.Notice, "", rep.Asked)
 }
 
 // reported records the report of an instance, and then what it asks for: the roster knows of a
@@ -125,7 +125,7 @@
 	defer n.told(m, rep) // after the roster knows of a later life
 	n.judgeReport(m.Incarnation(), asked, rep, err)
 	if errors.Is(err, placement.ErrReplaced) {
-		n.Replaced(m.ID)
+		n.RecordReplaced(m.ID)
 		return false
 	}
 	if errors.Is(err, placement.ErrUnreadable) {
@@ -139,7 +139,7 @@
 		return true
 	}
 	if err != nil {
-		n.Failed(m.ID, asked)
+		n.RecordFailure(m.ID, asked)
 		n.logFailedProbe(m.ID, asked, err)
 		return false
 	}
@@ -186,7 +186,7 @@
 		delay := now.Sub(began) - n.policy.HealthInterval
 		n.health.RecordDelay(delay, now)
 		n.load.timer(delay)
-		n.gate.Watch.Look()
+		n.gate.StallDetector.Check()
 		n.dealLimits(now)
 		n.askDoubted()
 	}
--- a/transport/entry/limited_test.go
+++ b/transport/entry/limited_test.go
@@ -63,15 +63,15 @@
 	return fleet.Unlimited()
 }
 
-// limitDialect is a dialect whose instances may name limits.
-type limitDialect struct{ nodeDialect }
+// limitDialect is a codec whose instances may name limits.
+type limitDialect struct{ nodeCodec }
 
-func (limitDialect) Verdict(_ int, h http.Header) gateway.Verdict {
-	return gateway.Verdict{Sealed: true, Notice: fleet.Notice{RateLimit: limitOf(h)}}
+func (limitDialect) ParseReply(_ int, h http.Header) gateway.ReplyInfo {
+	return gateway.ReplyInfo{HasSeal: true, Notice: fleet.Notice{RateLimit: limitOf(h)}}
 }
 
-func (d limitDialect) Parse(h http.Header) (gateway.Claims, error) {
-	c, err := d.nodeDialect.Parse(h)
+func (d limitDialect) ParseRequest(h http.Header) (gateway.RequestInfo, error) {
+	c, err := d.nodeCodec.ParseRequest(h)
 	c.Model = limitModel
 	return c, err
 }
@@ -310,6 +310,6 @@
 // startLimitNodes starts nodes whose instances may name limits, and waits until all of them serve.
 func startLimitNodes(t *testing.T, s *store, count int, groups bool) []*running {
 	return startServing(t, s, count, func(name string) entry.Ports {
-		return entry.Ports{Decoder: limitDecoder{groups: groups}, Targets: limitTargets{}, Dialect: limitDialect{nodeDialect{node: name}}}
+		return entry.Ports{Decoder: limitDecoder{groups: groups}, Targets: limitTargets{}, Dialect: limitDialect{nodeCodec{id: name}}}
 	})
 }
--- a/transport/entry/limithistory_test.go
+++ b/transport/entry/limithistory_test.go
@@ -202,7 +202,7 @@
 
 // send has a node send a request if it may; the answer names the limit.
 func (h *limitHistory) send(n *historyNode, now time.Time) {
-	if !n.Open(&h.in) || !n.Send(&h.in) {
+	if !n.CanSend(&h.in) || !n.TrySend(&h.in) {
 		return
 	}
 	h.sent = append(h.sent, historySend{now, n})
@@ -211,7 +211,7 @@
 			if n.told.IsZero() && h.said.Limited {
 				n.told = h.clock.Now()
 			}
-			n.Told(&h.in, fleet.Notice{RateLimit: h.said}, "", now)
+			n.RecordNotice(&h.in, fleet.Notice{RateLimit: h.said}, "", now)
 		}
 	})
 }
--- a/transport/entry/node.go
+++ b/transport/entry/node.go
@@ -123,7 +123,7 @@
 		leavers:    map[fleet.Incarnation]time.Time{},
 	}
 	n.gate = gateway.New(gateway.Options{
-		Clock: clock, Dialect: ports.Dialect, Catalogs: n.know, Table: n.table, Health: n, Recorder: n, Quarantine: n, Backpressure: n, Pool: n.pool, Demand: n.demand, Policy: set.Policy.Gateway,
+		Clock: clock, Codec: ports.Dialect, Catalogs: n.know, Table: n.table, FailureDetector: n, Recorder: n, Quarantine: n, Backpressure: n, Pool: n.pool, Demand: n.demand, Policy: set.Policy.Gateway,
 		Retry: set.Retry,
 	})
 	n.peers = newPeers(n)
@@ -140,8 +140,8 @@
 	sampleAlpha = 0.015
 )
 
-// Time implements gateway.Recorder: histograms are in microseconds.
-func (n *Node) Time(name string, d time.Duration) {
+// ObserveDuration implements gateway.Recorder: histograms are in microseconds.
+func (n *Node) ObserveDuration(name string, d time.Duration) {
 	h := n.metrics.GetOrRegister(name+".us", func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	})
@@ -150,8 +150,8 @@
 	}
 }
 
-// Decide implements gateway.Recorder.
-func (n *Node) Decide(d event.Decision) { n.log.WithFields(d).Info(d.Name()) }
+// LogDecision implements gateway.Recorder.
+func (n *Node) LogDecision(d event.Decision) { n.log.WithFields(d).Info(d.Name()) }
 
 // Run runs the node until ctx ends, then stops it within the time for a planned stop.
 func (n *Node) Run(ctx context.Context) error {
--- a/transport/entry/peers.go
+++ b/transport/entry/peers.go
@@ -390,5 +390,5 @@
 func (p *peers) anyArrived() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.arrived || p.n.gate.Arrived() > 0
+	return p.arrived || p.n.gate.RequestCount() > 0
 }
--- a/transport/entry/placer.go
+++ b/transport/entry/placer.go
@@ -243,7 +243,7 @@
 	p.n.cooldowns.RecordOrder(in.Incarnation(), began)
 	p.n.limits.RecordOrder(in.Incarnation(), began)
 	ans, err := p.n.ports.Targets.Order(callCtx, o, p.n.connectionTo(o.Instance))
-	p.n.Told(&in, ans.Notice, "", began)
+	p.n.RecordNotice(&in, ans.Notice, "", began)
 	reply := ans.Reply
 	p.n.roster.RecordOrderReply(o, life, reply, p.n.clock.Now())
 	p.observe(0, reply == placement.Superseded)
@@ -261,7 +261,7 @@
 	p.n.log.WithFields(fields).Info("order")
 	switch {
 	case errors.Is(err, placement.ErrReplaced):
-		p.n.Replaced(o.Instance)
+		p.n.RecordReplaced(o.Instance)
 	case reply == placement.Unanswered && !p.n.delayed(callCtx, began, p.n.policy.OrderTimeout):
 		p.n.roster.RecordFailure(o.Instance, began)
 	}
--- a/transport/entry/port.go
+++ b/transport/entry/port.go
@@ -54,5 +54,5 @@
 	Store   Store
 	Decoder Decoder
 	Targets Targets
-	Dialect gateway.Dialect
+	Dialect gateway.HeaderCodec
 }
--- a/transport/entry/quarantine.go
+++ b/transport/entry/quarantine.go
@@ -16,20 +16,20 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// HeldUntil implements gateway.Quarantine.
-func (n *Node) HeldUntil(f quarantine.Fingerprint) (time.Time, bool) {
+// QuarantinedUntil implements gateway.Quarantine.
+func (n *Node) QuarantinedUntil(f quarantine.Fingerprint) (time.Time, bool) {
 	now := n.clock.Now()
 	v := n.ledger.Verdict(f, now)
 	return v.Until, v.Quarantined(now)
 }
 
-// Suspected implements gateway.Quarantine.
-func (n *Node) Suspected(f quarantine.Fingerprint) bool {
+// IsSuspected implements gateway.Quarantine.
+func (n *Node) IsSuspected(f quarantine.Fingerprint) bool {
 	return n.ledger.Verdict(f, n.clock.Now()).IndependentEndings >= n.set.Policy.Quarantine.Endings-1
 }
 
-// Answered implements gateway.Quarantine.
-func (n *Node) Answered(f quarantine.Fingerprint) { n.ledger.RecordCompleteResponse(f, n.clock.Now()) }
+// RecordComplete implements gateway.Quarantine.
+func (n *Node) RecordComplete(f quarantine.Fingerprint) { n.ledger.RecordComplete(f, n.clock.Now()) }
 
 // Times of keeping the quarantine in the store.
 const (
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -40,7 +40,7 @@
 
 // holds reports whether a node holds a request back.
 func holds(n *Node, f quarantine.Fingerprint) bool {
-	_, held := n.HeldUntil(f)
+	_, held := n.QuarantinedUntil(f)
 	return held
 }
 
@@ -303,7 +303,7 @@
 	g := NewWithT(t)
 	n := numbered(g, "a", 1)
 	for endings := range 3 {
-		g.Expect(n.Suspected(deadlyRequest)).To(Equal(endings == 2))
+		g.Expect(n.IsSuspected(deadlyRequest)).To(Equal(endings == 2))
 		g.Expect(holds(n, deadlyRequest)).To(BeFalse())
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprint("i", endings)), Life: "1"}
 		at := n.clock.Now().Add(time.Duration(endings-5) * time.Second)
--- a/transport/entry/querydeath_test.go
+++ b/transport/entry/querydeath_test.go
@@ -265,6 +265,6 @@
 // startCrashNodes starts nodes that know each other and waits until all of them serve.
 func startCrashNodes(t *testing.T, s *store, count int) []*running {
 	return startServing(t, s, count, func(string) entry.Ports {
-		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: dialect{}}
+		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: codec{}}
 	})
 }
--- a/transport/entry/ratelimit.go
+++ b/transport/entry/ratelimit.go
@@ -21,11 +21,11 @@
 	return n.limits.Limited(in.Incarnation())
 }
 
-// Open implements gateway.Backpressure.
-func (n *Node) Open(i *fleet.Instance) bool { return n.limits.Allow(i.Incarnation(), n.clock.Now()) }
+// CanSend implements gateway.Backpressure.
+func (n *Node) CanSend(i *fleet.Instance) bool { return n.limits.Allow(i.Incarnation(), n.clock.Now()) }
 
-// Send implements gateway.Backpressure.
-func (n *Node) Send(i *fleet.Instance) bool { return n.limits.Take(i.Incarnation(), n.clock.Now()) }
+// TrySend implements gateway.Backpressure.
+func (n *Node) TrySend(i *fleet.Instance) bool { return n.limits.Take(i.Incarnation(), n.clock.Now()) }
 
 // asker returns who asks when this node puts a question to an instance.
 func (n *Node) asker(id state.InstanceID) ratelimit.ProbeRequest {
--- a/transport/entry/ratelimit_test.go
+++ b/transport/entry/ratelimit_test.go
@@ -27,7 +27,7 @@
 	n := observe(&noticing{})
 	say := func(notice fleet.Notice) {
 		n.clock.Advance(time.Second)
-		n.Told(&n.in, notice, "r", n.clock.Now().Add(-time.Millisecond))
+		n.RecordNotice(&n.in, notice, "r", n.clock.Now().Add(-time.Millisecond))
 	}
 	say(fleet.Notice{RateLimit: fleet.Unlimited()})
 	g.Expect(n.logged("rate limit ended")).To(BeZero())
@@ -50,23 +50,23 @@
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	bad := fleet.Notice{RateLimit: fleet.RateLimit{Fault: errors.New("no number")}}
-	n.Told(&n.in, limitedTo(2), "r", n.clock.Now())
+	n.RecordNotice(&n.in, limitedTo(2), "r", n.clock.Now())
 	for range 3 {
 		n.clock.Advance(time.Second)
-		n.Told(&n.in, bad, "r", n.clock.Now())
+		n.RecordNotice(&n.in, bad, "r", n.clock.Now())
 	}
 	g.Expect(n.logged("rate limit not read")).To(Equal(1))
 	g.Expect(n.logged("rate limit ended")).To(BeZero(), "what was read before holds")
 	next := n.in
 	next.Born = next.Born.Add(time.Second)
-	n.Told(&next, bad, "r", n.clock.Now())
+	n.RecordNotice(&next, bad, "r", n.clock.Now())
 	g.Expect(n.logged("rate limit not read")).To(Equal(2))
 }
 
 func TestOperatorsSeeWhichInstancesAreLimited(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
-	n.Told(&n.in, limitedTo(2.5), "r1", n.clock.Now())
+	n.RecordNotice(&n.in, limitedTo(2.5), "r1", n.clock.Now())
 	n.clock.Advance(time.Second)
 	mux := http.NewServeMux()
 	n.handleOperators(mux)
@@ -80,7 +80,7 @@
 // spend returns how many requests a node may send to an instance at once.
 func spend(n *Node, in *fleet.Instance) int {
 	sent := 0
-	for n.Send(in) {
+	for n.TrySend(in) {
 		sent++
 	}
 	return sent
@@ -119,7 +119,7 @@
 	r := newReporting(g)
 	all := []*Node{r.leader, r.a, r.b}
 	for _, perSecond := range []float64{4, 1, 3} {
-		r.a.Told(&r.in, limitedTo(perSecond), "r", r.clock.Now())
+		r.a.RecordNotice(&r.in, limitedTo(perSecond), "r", r.clock.Now())
 		r.pass(g, 200*time.Millisecond)
 		for _, n := range all {
 			got, limited := n.RateLimit(&r.in)
@@ -133,10 +133,10 @@
 		open += spend(n, &r.in)
 	}
 	g.Expect(open).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)), "a second of the rate and two more, for all nodes together")
-	r.b.Told(&r.in, fleet.Notice{RateLimit: fleet.Unlimited()}, "r", r.clock.Now())
+	r.b.RecordNotice(&r.in, fleet.Notice{RateLimit: fleet.Unlimited()}, "r", r.clock.Now())
 	r.pass(g, 200*time.Millisecond)
 	for _, n := range all {
-		g.Expect(n.Open(&r.in)).To(BeTrue(), n.set.Name)
+		g.Expect(n.CanSend(&r.in)).To(BeTrue(), n.set.Name)
 		g.Expect(n.peers.word().ByGrants).To(BeFalse(), "at rest nothing is told")
 	}
 }
@@ -160,7 +160,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := newReporting(g)
-			r.a.Told(&r.in, limitedTo(3), "r", r.clock.Now())
+			r.a.RecordNotice(&r.in, limitedTo(3), "r", r.clock.Now())
 			r.pass(g, 2*time.Second)
 			r.clock.Advance(2 * time.Second)
 			spend(r.a, &r.in)
@@ -213,7 +213,7 @@
 			g := NewWithT(t)
 			targets := &noticing{notice: limitedTo(2), err: c.err}
 			n := observe(targets)
-			n.Told(&n.in, limitedTo(2), "r", n.clock.Now())
+			n.RecordNotice(&n.in, limitedTo(2), "r", n.clock.Now())
 			n.peers.setPlacing(c.leading)
 			for range 100 {
 				n.clock.Advance(100 * time.Millisecond)
--- a/transport/entry/restore_test.go
+++ b/transport/entry/restore_test.go
@@ -82,7 +82,7 @@
 	for _, n := range r.nodes {
 		seeds = append(seeds, n.set.Peer)
 	}
-	ports := entry.Ports{Decoder: keyDecoder{}, Targets: dialTargets{}, Dialect: dialect{}}
+	ports := entry.Ports{Decoder: keyDecoder{}, Targets: dialTargets{}, Dialect: codec{}}
 	tune := func(set *entry.Settings) { set.KeysWithin = 10 * time.Second }
 	n := startTuned(r.t, r.s, ports, fmt.Sprint("n", len(r.nodes)), tune, seeds...)
 	r.nodes = append(r.nodes, n)
--- a/transport/entry/serve.go
+++ b/transport/entry/serve.go
@@ -29,7 +29,7 @@
 		return ErrNeedsRestart
 	}
 	n.know.SetBound(set.StrictKeys, set.KeysWithin)
-	n.gate.SetRetry(set.Retry)
+	n.gate.SetRetryBounds(set.Retry)
 	n.log.Info("settings reloaded")
 	return nil
 }
@@ -129,12 +129,12 @@
 	began := n.clock.Now()
 	n.log.Info("stopping")
 	n.stopping.Store(true)
-	n.gate.Stop()
+	n.gate.CloseConnections()
 	n.clock.Sleep(min(leaveTime, n.set.StopWithin/2))
-	n.gate.Refuse()
+	n.gate.RefuseNew()
 	ctx, cancel := context.WithTimeout(context.Background(), n.set.StopWithin-stopMargin-n.clock.Since(began))
 	defer cancel()
 	if err := servers[0].Shutdown(ctx); err != nil {
-		n.log.WithError(err).WithField("held", n.gate.Watch.Active()).Warn("requests cut off by the stop")
+		n.log.WithError(err).WithField("held", n.gate.StallDetector.ActiveCount()).Warn("requests cut off by the stop")
 	}
 }
--- a/transport/entry/tell.go
+++ b/transport/entry/tell.go
@@ -57,7 +57,7 @@
 		AgeMS:    age(never),
 	}
 	w.Feed, w.After = p.hasFeed()
-	w.Arrived = n.gate.Arrived() > 0
+	w.Arrived = n.gate.RequestCount() > 0
 	w.Demand = n.demand.Flows(now)
 	raw, version := n.know.Raw()
 	w.Version = version
--- a/transport/entry/version_test.go
+++ b/transport/entry/version_test.go
@@ -53,7 +53,7 @@
 			before := askAsVersion(g, r.a, r.leader, c.version)
 			g.Expect(before.Avoid).To(BeEmpty())
 			for _, in := range []fleet.Instance{r.in, head} {
-				r.leader.Told(&in, limitedTo(2), "r", r.clock.Now())
+				r.leader.RecordNotice(&in, limitedTo(2), "r", r.clock.Now())
 			}
 			a := askAsVersion(g, r.a, r.leader, c.version)
 			if !c.shield {
@@ -76,7 +76,7 @@
 func TestThePartOfNodesOfAnEarlierBuildIsUsedByTheOthers(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
-	r.leader.Told(&r.in, limitedTo(3), "r", r.clock.Now())
+	r.leader.RecordNotice(&r.in, limitedTo(3), "r", r.clock.Now())
 	sent := 0
 	for range 100 {
 		r.clock.Advance(100 * time.Millisecond)
@@ -118,6 +118,6 @@
 	member := limitedHead(r.leader, "member")
 	member.Membership.Rank, member.Position = 1, 10
 	r.leader.roster.ApplyFreshEntry(member, r.clock.Now())
-	r.leader.Told(&member, limitedTo(2), "r", r.clock.Now())
+	r.leader.RecordNotice(&member, limitedTo(2), "r", r.clock.Now())
 	g.Expect(askAsVersion(g, r.a, r.leader, 0).Avoid).To(BeEmpty())
 }
--- a/transport/gateway/backpressure.go
+++ b/transport/gateway/backpressure.go
@@ -34,17 +34,17 @@
 // is called once the connection is established: other requests may have received a cooldown, a
 // rate limit or a leaving notice of the instance during the dial.
 func (c *call) checkBeforeSend(target *dispatch.Candidate) error {
-	if _, cooling := c.Backpressure.CoolingDown(&target.Instance); cooling {
+	if _, cooling := c.Backpressure.CooldownUntil(&target.Instance); cooling {
 		return errCoolingDown
 	}
-	if c.Backpressure.Leaving(&target.Instance) {
+	if c.Backpressure.IsLeaving(&target.Instance) {
 		return errLeaving
 	}
 	if c.sends == 1 && !c.keyTrusted() {
 		return errKeysStale
 	}
 	// This check is last because it spends a grant: the request must be sent if it passes.
-	if !c.Backpressure.Send(&target.Instance) {
+	if !c.Backpressure.TrySend(&target.Instance) {
 		return errRateLimited
 	}
 	return nil
@@ -60,7 +60,7 @@
 			c.Recorder.Count(counter)
 		}
 	}
-	c.Recorder.Decide(&event.AttemptHeldBack{Request: c.eventRequest(), Instance: target.ID, Err: err, Sends: c.sends})
+	c.Recorder.LogDecision(&event.AttemptHeldBack{Request: c.eventRequest(), Instance: target.ID, Err: err, Sends: c.sends})
 	return resultHeldBack
 }
 
@@ -71,12 +71,12 @@
 	limited, perSecond := false, 0.0
 	targets := c.Table.Candidates(c.service, c.model)
 	for _, t := range targets {
-		until, cooling := c.Backpressure.CoolingDown(&t.Instance)
+		until, cooling := c.Backpressure.CooldownUntil(&t.Instance)
 		switch {
 		case cooling && (earliestCooldownEnd.IsZero() || until.Before(earliestCooldownEnd)):
 			earliestCooldownEnd = until
 		case cooling:
-		case c.Backpressure.Open(&t.Instance):
+		case c.Backpressure.CanSend(&t.Instance):
 			return "", 0, false
 		default:
 			rate, _ := c.Backpressure.RateLimit(&t.Instance)
@@ -112,6 +112,6 @@
 // callerHeaders returns the headers of an instance's response that are forwarded to the caller.
 func (c *call) callerHeaders(resp *direct.Response) http.Header {
 	h := endToEndHeaders(resp.Header)
-	c.Dialect.ToCaller(resp.Status, h)
+	c.Codec.RemoveNodeHeaders(resp.Status, h)
 	return h
 }
--- a/transport/gateway/backpressure_test.go
+++ b/transport/gateway/backpressure_test.go
@@ -16,7 +16,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// fakeBackpressure implements gateway.Backpressure with real cooldown and rate limit books.
+// fakeBackpressure implements gateway.Backpressure with real cooldown and rate limit trackers.
 type fakeBackpressure struct {
 	cooldowns *cooldown.Tracker
 	mu        sync.Mutex
@@ -32,7 +32,7 @@
 	return &fakeBackpressure{cooldowns: cooldown.NewTracker(cooldown.DefaultPolicy()), leaving: map[state.InstanceID]bool{}, limitHiddenFor: map[state.InstanceID]int{}, limits: ratelimit.NewTracker(ratelimit.DefaultPolicy()), cooldownHiddenFor: map[state.InstanceID]int{}}
 }
 
-func (b *fakeBackpressure) Told(in *fleet.Instance, n fleet.Notice, _ string, _ time.Time) {
+func (b *fakeBackpressure) RecordNotice(in *fleet.Instance, n fleet.Notice, _ string, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.leaving[in.ID] = b.leaving[in.ID] || n.Leaving
@@ -42,7 +42,7 @@
 	}
 }
 
-func (b *fakeBackpressure) CoolingDown(in *fleet.Instance) (time.Time, bool) {
+func (b *fakeBackpressure) CooldownUntil(in *fleet.Instance) (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.cooldownHiddenFor[in.ID] > 0 {
@@ -52,7 +52,7 @@
 	return b.cooldowns.Until(in.Incarnation(), time.Now())
 }
 
-func (b *fakeBackpressure) Leaving(in *fleet.Instance) bool {
+func (b *fakeBackpressure) IsLeaving(in *fleet.Instance) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.leaving[in.ID]
@@ -62,7 +62,7 @@
 	return b.limits.Limited(in.Incarnation())
 }
 
-func (b *fakeBackpressure) Open(in *fleet.Instance) bool {
+func (b *fakeBackpressure) CanSend(in *fleet.Instance) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.limitHiddenFor[in.ID] > 0 {
@@ -72,13 +72,13 @@
 	return b.limits.Allow(in.Incarnation(), time.Now())
 }
 
-func (b *fakeBackpressure) Send(in *fleet.Instance) bool {
+func (b *fakeBackpressure) TrySend(in *fleet.Instance) bool {
 	return b.limits.Take(in.Incarnation(), time.Now())
 }
 
 // startCooldown starts a cooldown of an instance. The first hiddenFor checks do not show it.
 func (h *harness) startCooldown(id string, d time.Duration, hiddenFor int) {
-	h.backpressure.Told(&fleet.Instance{ID: state.InstanceID(id)}, fleet.Notice{Cooldown: d}, "", time.Now())
+	h.backpressure.RecordNotice(&fleet.Instance{ID: state.InstanceID(id)}, fleet.Notice{Cooldown: d}, "", time.Now())
 	h.backpressure.cooldownHiddenFor[state.InstanceID(id)] = hiddenFor
 }
 
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -24,85 +24,85 @@
 	"github.com/troutmast/troutmast/transport/event"
 )
 
-// Catalogs provides the current configuration and reports whether its keys are fresh.
-type Catalogs interface {
+// CatalogSource provides the current configuration and reports whether its keys are fresh.
+type CatalogSource interface {
 	// Catalog returns the current configuration, or nil if none has been read yet.
 	Catalog() *catalog.Catalog
 	// KeysFresh reports whether the keys are recent enough to be trusted.
 	KeysFresh() bool
 }
 
-// Health records the evidence that requests give about the health of instances.
-type Health interface {
-	// Heard records that an instance responded to a request sent at a time.
-	Heard(id state.InstanceID, at time.Time)
-	// Failed records that an instance did not respond to a request sent at a time.
-	Failed(id state.InstanceID, at time.Time)
-	// Replaced records that another process responds at the instance's address.
-	Replaced(id state.InstanceID)
-	// Suspect requests a probe of all members of a group.
-	Suspect(c *dispatch.Candidate)
+// FailureDetector records the evidence that requests give about the health of instances.
+type FailureDetector interface {
+	// RecordResponse records that an instance responded to a request sent at a time.
+	RecordResponse(id state.InstanceID, at time.Time)
+	// RecordFailure records that an instance did not respond to a request sent at a time.
+	RecordFailure(id state.InstanceID, at time.Time)
+	// RecordReplaced records that another process responds at the instance's address.
+	RecordReplaced(id state.InstanceID)
+	// ProbeGroup requests a probe of all members of a group.
+	ProbeGroup(c *dispatch.Candidate)
 }
 
 // Quarantine refuses requests that repeatedly end the instances that run them.
 type Quarantine interface {
-	// HeldUntil returns until when a request is quarantined, and whether it is.
-	HeldUntil(f quarantine.Fingerprint) (time.Time, bool)
-	// Suspected reports whether instances ended while running a request, even if too few to
+	// QuarantinedUntil returns until when a request is quarantined, and whether it is.
+	QuarantinedUntil(f quarantine.Fingerprint) (time.Time, bool)
+	// IsSuspected reports whether instances ended while running a request, even if too few to
 	// quarantine it.
-	Suspected(f quarantine.Fingerprint) bool
-	// Broken records that an attempt that began at a time got no complete response. One of the
+	IsSuspected(f quarantine.Fingerprint) bool
+	// RecordInterruption records that an attempt that began at a time got no complete response. One of the
 	// instances may have ended.
-	Broken(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time)
-	// Answered records that a request got a complete response.
-	Answered(f quarantine.Fingerprint)
-	// Refused records that an instance's address refused a connection.
-	Refused(c *dispatch.Candidate)
+	RecordInterruption(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time)
+	// RecordComplete records that a request got a complete response.
+	RecordComplete(f quarantine.Fingerprint)
+	// RecordConnectionRefused records that an instance's address refused a connection.
+	RecordConnectionRefused(c *dispatch.Candidate)
 }
 
 // Backpressure tracks the cooldowns, rate limits and leaving notices that instances send with
 // their responses.
 type Backpressure interface {
-	// Told records the notice in an instance's response to a request that was sent at a time.
-	Told(in *fleet.Instance, n fleet.Notice, request string, sent time.Time)
-	// CoolingDown returns until when an instance has asked this node for a cooldown, and whether
+	// RecordNotice records the notice in an instance's response to a request that was sent at a time.
+	RecordNotice(in *fleet.Instance, n fleet.Notice, request string, sent time.Time)
+	// CooldownUntil returns until when an instance has asked this node for a cooldown, and whether
 	// the cooldown is active.
-	CoolingDown(in *fleet.Instance) (until time.Time, cooling bool)
-	// Leaving reports whether an instance has announced that it is leaving.
-	Leaving(in *fleet.Instance) bool
+	CooldownUntil(in *fleet.Instance) (until time.Time, cooling bool)
+	// IsLeaving reports whether an instance has announced that it is leaving.
+	IsLeaving(in *fleet.Instance) bool
 	// RateLimit returns how many requests a second an instance accepts from all nodes together,
 	// and whether it has a limit.
 	RateLimit(in *fleet.Instance) (perSecond float64, limited bool)
-	// Open reports whether the rate limit of an instance allows this node to send a request now.
-	Open(in *fleet.Instance) bool
-	// Send counts a request that is sent to an instance now. It reports false, without counting,
+	// CanSend reports whether the rate limit of an instance allows this node to send a request now.
+	CanSend(in *fleet.Instance) bool
+	// TrySend counts a request that is sent to an instance now. It reports false, without counting,
 	// if the instance's rate limit forbids the request.
-	Send(in *fleet.Instance) bool
+	TrySend(in *fleet.Instance) bool
 }
 
 // Recorder records metrics and logs decisions about requests.
 type Recorder interface {
 	// Count increments a counter.
 	Count(name string)
-	// Time adds a duration to a histogram.
-	Time(name string, d time.Duration)
-	// Decide logs a decision.
-	Decide(d event.Decision)
+	// ObserveDuration adds a duration to a histogram.
+	ObserveDuration(name string, d time.Duration)
+	// LogDecision logs a decision.
+	LogDecision(d event.Decision)
 }
 
 // Options holds the dependencies and settings of a Gateway.
 type Options struct {
-	Clock        clockwork.Clock
-	Dialect      Dialect
-	Catalogs     Catalogs
-	Table        *dispatch.Table
-	Health       Health
-	Recorder     Recorder
-	Quarantine   Quarantine
-	Backpressure Backpressure
-	Pool         *direct.Pool
-	Demand       *demand.Meter
-	Policy       Policy
+	Clock           clockwork.Clock
+	Codec           HeaderCodec
+	Catalogs        CatalogSource
+	Table           *dispatch.Table
+	FailureDetector FailureDetector
+	Recorder        Recorder
+	Quarantine      Quarantine
+	Backpressure    Backpressure
+	Pool            *direct.Pool
+	Demand          *demand.Meter
+	Policy          Policy
 	// Retry bounds the retries that all nodes together send to one service.
 	Retry retry.SharedBudgetConfig
 }
@@ -110,10 +110,10 @@
 // Gateway is the HTTP handler for the requests of callers.
 type Gateway struct {
 	Options
-	Watch        *StallDetector
-	stopping     atomic.Bool
-	refusing     atomic.Bool
-	requestCount atomic.Int64
+	StallDetector *StallDetector
+	stopping      atomic.Bool
+	refusing      atomic.Bool
+	requestCount  atomic.Int64
 
 	mu      sync.Mutex
 	budgets map[state.ServiceName]*retry.SharedBudget
@@ -123,20 +123,20 @@
 // New returns a Gateway.
 func New(o Options) *Gateway {
 	return &Gateway{
-		Options: o,
-		Watch:   newStallDetector(o.Clock, o.Health, &o.Policy),
-		budgets: map[state.ServiceName]*retry.SharedBudget{},
+		Options:       o,
+		StallDetector: newStallDetector(o.Clock, o.FailureDetector, &o.Policy),
+		budgets:       map[state.ServiceName]*retry.SharedBudget{},
 	}
 }
 
-// Stop makes every further response ask the caller to close its connection.
-func (g *Gateway) Stop() { g.stopping.Store(true) }
+// CloseConnections makes every further response ask the caller to close its connection.
+func (g *Gateway) CloseConnections() { g.stopping.Store(true) }
 
-// Refuse makes the gateway refuse every new request.
-func (g *Gateway) Refuse() { g.refusing.Store(true) }
+// RefuseNew makes the gateway refuse every new request.
+func (g *Gateway) RefuseNew() { g.refusing.Store(true) }
 
-// Arrived returns the number of requests received.
-func (g *Gateway) Arrived() int64 { return g.requestCount.Load() }
+// RequestCount returns the number of requests received.
+func (g *Gateway) RequestCount() int64 { return g.requestCount.Load() }
 
 // SetNodes sets the number of nodes that share the retry budgets. 0 means unknown.
 func (g *Gateway) SetNodes(n int) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// SetRetry sets the bounds of retries. New bounds reset all retry budgets.
-func (g *Gateway) SetRetry(b retry.SharedBudgetConfig) {
+// SetRetryBounds sets the bounds of retries. New bounds reset all retry budgets.
+func (g *Gateway) SetRetryBounds(b retry.SharedBudgetConfig) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if b == g.Retry {
@@ -176,7 +176,7 @@
 	*Gateway
 	w       http.ResponseWriter
 	r       *http.Request
-	claims  Claims
+	claims  RequestInfo
 	catalog *catalog.Catalog
 	route   *catalog.Route
 	team    *catalog.Team
@@ -237,7 +237,7 @@
 
 // admit validates and authenticates a request, reads its body and sets its deadline.
 func (c *call) admit() *refusal {
-	claims, err := c.Dialect.Parse(c.r.Header)
+	claims, err := c.Codec.ParseRequest(c.r.Header)
 	c.claims = claims
 	if err != nil {
 		return &refusal{code: CodeBadRequest}
@@ -259,10 +259,10 @@
 		return refused
 	}
 	c.fingerprint = c.computeFingerprint()
-	if until, held := c.Quarantine.HeldUntil(c.fingerprint); held {
+	if until, held := c.Quarantine.QuarantinedUntil(c.fingerprint); held {
 		return &refusal{code: CodeQuarantined, after: until.Sub(c.arrivedAt)}
 	}
-	timeout := claims.Patience
+	timeout := claims.Timeout
 	if timeout <= 0 {
 		timeout = c.Policy.DefaultTimeout
 	}
@@ -276,7 +276,7 @@
 	}
 	c.budget = c.Gateway.budget(c.service)
 	c.budget.RecordAttempt(c.arrivedAt)
-	c.Demand.Add(c.service, c.model, claims.Prompt, claims.Answer, c.arrivedAt)
+	c.Demand.Add(c.service, c.model, claims.PromptTokens, claims.ResponseTokens, c.arrivedAt)
 	return nil
 }
 
@@ -286,7 +286,7 @@
 		return nil
 	}
 	if !c.keyTrusted() {
-		return refusalWithRetryAfter(CodeStale, c.Policy.RetryAfter)
+		return refusalWithRetryAfter(CodeKeysStale, c.Policy.RetryAfter)
 	}
 	if c.team = c.catalog.Team(c.claims.Key); c.team == nil {
 		return &refusal{code: CodeBadKey}
@@ -344,19 +344,19 @@
 // refuse writes a refusal to the caller, or aborts the connection if the response has begun.
 func (c *call) refuse(refused *refusal) {
 	c.Recorder.Count("refused." + string(refused.code))
-	c.Recorder.Decide(&event.RequestEnded{Request: c.eventRequest(), Progress: c.eventProgress(), Code: string(refused.code), Tried: c.tried, Begun: c.headerWritten})
+	c.Recorder.LogDecision(&event.RequestEnded{Request: c.eventRequest(), Progress: c.eventProgress(), Code: string(refused.code), Tried: c.tried, Begun: c.headerWritten})
 	if c.headerWritten {
 		panic(http.ErrAbortHandler)
 	}
 	h := c.w.Header()
 	if c.claims.ID != "" {
-		c.Dialect.Echo(h, c.claims.ID)
+		c.Codec.SetRequestID(h, c.claims.ID)
 	}
 	if refused.after > 0 {
-		c.Dialect.RetryAfter(h, refused.after)
+		c.Codec.SetRetryAfter(h, refused.after)
 	}
 	h.Set("Content-Type", "text/plain")
-	c.w.WriteHeader(c.Dialect.Status(refused.code))
+	c.w.WriteHeader(c.Codec.StatusCode(refused.code))
 	_, _ = io.WriteString(c.w, string(refused.code)+"\n")
 }
 
@@ -367,7 +367,7 @@
 
 // eventProgress returns the progress of the request for the log.
 func (c *call) eventProgress() event.Progress {
-	return event.Progress{Route: c.routeName(), Model: c.model, Sends: c.sends, Runs: c.runs, Timeout: c.claims.Patience, Took: c.Clock.Since(c.arrivedAt)}
+	return event.Progress{Route: c.routeName(), Model: c.model, Sends: c.sends, Runs: c.runs, Timeout: c.claims.Timeout, Took: c.Clock.Since(c.arrivedAt)}
 }
 
 // routeName returns the name of the request's route, or an empty string if no route matched.
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -58,7 +58,7 @@
 		{name: "too large", path: "/unsafe/", body: strings.Repeat("x", 1001), status: http.StatusRequestEntityTooLarge},
 		{name: "no configuration", path: "/safe/", prepare: func(h *harness) { h.catalogs.current = nil }, status: http.StatusServiceUnavailable, wantRetryAfter: true},
 		{name: "keys may be stale", path: "/safe/", prepare: func(h *harness) { h.catalogs.stale.Store(true) }, status: http.StatusServiceUnavailable, wantRetryAfter: true},
-		{name: "stopping", path: "/safe/", prepare: func(h *harness) { h.gateway.Refuse() }, status: http.StatusServiceUnavailable, wantRetryAfter: true},
+		{name: "stopping", path: "/safe/", prepare: func(h *harness) { h.gateway.RefuseNew() }, status: http.StatusServiceUnavailable, wantRetryAfter: true},
 		{name: "no group serves the model", path: "/stream/", header: map[string]string{"Model": "none"}, status: http.StatusServiceUnavailable, wantRetryAfter: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -263,7 +263,7 @@
 				defer close(checksDone)
 				for end := time.Now().Add(gateway.DefaultPolicy().SilentAfter + 500*time.Millisecond); time.Now().Before(end); {
 					time.Sleep(50 * time.Millisecond)
-					h.gateway.Watch.Look()
+					h.gateway.StallDetector.Check()
 				}
 				close(released)
 			}()
@@ -354,14 +354,14 @@
 	result := make(chan callResponse, 1)
 	go func() { result <- h.call(http.MethodPost, "/stream/", "x", nil) }()
 	g.Eventually(func() int {
-		h.gateway.Watch.Look()
+		h.gateway.StallDetector.Check()
 		h.health.mu.Lock()
 		defer h.health.mu.Unlock()
 		return h.health.suspected
 	}, 3*time.Second).Should(BeNumerically(">", 0), "the group of a silent stream is probed")
 	for _, v := range h.instances {
 		if h.runLog.all()[0].instance == string(v.ID) {
-			h.gateway.Watch.CutStalled(v.ID)
+			h.gateway.StallDetector.CancelGroup(v.ID)
 		}
 	}
 	a := <-result
--- a/transport/gateway/outcome.go
+++ b/transport/gateway/outcome.go
@@ -44,13 +44,13 @@
 // recordAnswer counts and logs a complete response, with the load of the target when it was picked.
 func (c *call) recordAnswer(target *dispatch.Candidate) {
 	total := c.Clock.Since(c.arrivedAt)
-	c.Recorder.Time("answer", total)
+	c.Recorder.ObserveDuration("answer", total)
 	late := c.lateness(total)
 	if late != "" {
 		c.Recorder.Count("late." + string(late))
 	}
-	c.Recorder.Decide(&event.RequestAnswered{
-		Request: c.eventRequest(), Progress: c.eventProgress(), Instance: target.ID, Group: target.Membership.Group, Prompt: c.claims.Prompt, Events: c.eventCount,
+	c.Recorder.LogDecision(&event.RequestAnswered{
+		Request: c.eventRequest(), Progress: c.eventProgress(), Instance: target.ID, Group: target.Membership.Group, Prompt: c.claims.PromptTokens, Events: c.eventCount,
 		Load: c.loadAtPick, First: c.firstEventLatency, Gap: c.maxEventGap, Late: string(late),
 	})
 }
--- a/transport/gateway/port.go
+++ b/transport/gateway/port.go
@@ -12,7 +12,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Errors of a request whose claims cannot be parsed.
+// Errors of a request whose headers cannot be parsed.
 var (
 	ErrNoID        = errors.New("gateway: request has no ID")
 	ErrBadDeadline = errors.New("gateway: request deadline is not a non-negative number of milliseconds")
@@ -23,15 +23,15 @@
 
 // The reasons. All but the first six guarantee that the request has not run and will not run.
 const (
-	CodeBadRequest Code = "bad-request"
-	CodeNoRoute    Code = "no-route"
-	CodeBadKey     Code = "bad-key"
-	CodeTooLarge   Code = "too-large"
-	CodeTimeout    Code = "timeout"
-	CodeBroken     Code = "broken"
+	CodeBadRequest   Code = "bad-request"
+	CodeNoRoute      Code = "no-route"
+	CodeBadKey       Code = "bad-key"
+	CodeTooLarge     Code = "too-large"
+	CodeTimeout      Code = "timeout"
+	CodeResponseLost Code = "broken"
 
 	CodeNoConfig           Code = "no-configuration"
-	CodeStale              Code = "keys-may-be-stale"
+	CodeKeysStale          Code = "keys-may-be-stale"
 	CodeNoTarget           Code = "no-target"
 	CodeOverloaded         Code = "overloaded"
 	CodeRefusedByTargets   Code = "refused-by-targets"
@@ -50,61 +50,61 @@
 	CodeRateLimited Code = "rate-limited"
 )
 
-// Claims holds the properties that a request states in its headers.
-type Claims struct {
+// RequestInfo holds the properties that a request states in its headers.
+type RequestInfo struct {
 	ID    string
 	Key   string
 	Model string
-	// LastEvent is the ID of the last stream event that the caller has received.
-	LastEvent string
-	// Prompt is the number of prompt tokens, Answer the number of response tokens that the
+	// LastEventID is the ID of the last stream event that the caller has received.
+	LastEventID string
+	// PromptTokens is the number of prompt tokens, ResponseTokens the number of response tokens that the
 	// caller expects. 0 means unknown.
-	Prompt int
-	Answer int
-	// Patience is the caller's time-out. 0 means none.
-	Patience time.Duration
+	PromptTokens   int
+	ResponseTokens int
+	// Timeout is the caller's time-out. 0 means none.
+	Timeout time.Duration
 }
 
-// Forward holds the properties of a request that are forwarded to an instance.
-type Forward struct {
-	Instance  state.InstanceID
-	Team      state.TeamName
-	LastEvent string
-	// Left is the time left until the deadline.
-	Left time.Duration
-	// Urgency is the priority of the request, 0 being the highest. A negative value is not forwarded.
-	Urgency int
+// ForwardInfo holds the properties of a request that are forwarded to an instance.
+type ForwardInfo struct {
+	Instance    state.InstanceID
+	Team        state.TeamName
+	LastEventID string
+	// TimeLeft is the time left until the deadline.
+	TimeLeft time.Duration
+	// Priority is the priority of the request, 0 being the highest. A negative value is not forwarded.
+	Priority int
 }
 
-// Verdict holds the properties that an instance states in the head of its response.
-type Verdict struct {
+// ReplyInfo holds the properties that an instance states in the head of its response.
+type ReplyInfo struct {
 	// NotRun reports whether the instance did not run the request.
 	NotRun bool
 	// Instance is the ID of the responding instance, or empty if the response does not name it.
 	Instance state.InstanceID
-	// Culprit is the address of the instance at fault, or empty if the response does not name it.
-	Culprit string
-	// Sealed reports whether the response carries its seal. A success without one is not trusted.
-	Sealed bool
+	// FaultyAddress is the address of the instance at fault, or empty if the response does not name it.
+	FaultyAddress string
+	// HasSeal reports whether the response carries its seal. A success without one is not trusted.
+	HasSeal bool
 	fleet.Notice
 }
 
-// Dialect maps claims, forwarded properties and verdicts to the headers and status codes of a platform.
-type Dialect interface {
-	// Parse returns the claims of a request.
-	Parse(h http.Header) (Claims, error)
-	// Forward sets the headers of a request to an instance.
-	Forward(h http.Header, f Forward)
-	// Belongs reports whether a response belongs to the request with an ID.
-	Belongs(h http.Header, id string) bool
-	// Verdict returns the properties that a response states.
-	Verdict(status int, h http.Header) Verdict
-	// ToCaller removes the headers of an instance's response that are meant for the node only.
-	ToCaller(status int, h http.Header)
-	// Status returns the status code for a reason.
-	Status(c Code) int
-	// RetryAfter sets the time after which the caller may retry.
-	RetryAfter(h http.Header, d time.Duration)
-	// Echo sets the ID of the request that a response belongs to.
-	Echo(h http.Header, id string)
+// HeaderCodec maps the properties of requests and responses to the headers and status codes of a platform.
+type HeaderCodec interface {
+	// ParseRequest returns the properties that a request states.
+	ParseRequest(h http.Header) (RequestInfo, error)
+	// SetForwardHeaders sets the headers of a request to an instance.
+	SetForwardHeaders(h http.Header, f ForwardInfo)
+	// MatchesRequest reports whether a response belongs to the request with an ID.
+	MatchesRequest(h http.Header, id string) bool
+	// ParseReply returns the properties that a response states.
+	ParseReply(status int, h http.Header) ReplyInfo
+	// RemoveNodeHeaders removes the headers of an instance's response that are meant for the node only.
+	RemoveNodeHeaders(status int, h http.Header)
+	// StatusCode returns the status code for a reason.
+	StatusCode(c Code) int
+	// SetRetryAfter sets the time after which the caller may retry.
+	SetRetryAfter(h http.Header, d time.Duration)
+	// SetRequestID sets the ID of the request that a response belongs to.
+	SetRequestID(h http.Header, id string)
 }
--- a/transport/gateway/serve.go
+++ b/transport/gateway/serve.go
@@ -54,7 +54,7 @@
 		if c.sends == 0 && target.Full(c.Clock.Now()) {
 			return refusalWithRetryAfter(CodeOverloaded, c.Policy.OverloadRetryAfter)
 		}
-		if _, held := c.Quarantine.HeldUntil(c.fingerprint); c.sends > 0 && held {
+		if _, held := c.Quarantine.QuarantinedUntil(c.fingerprint); c.sends > 0 && held {
 			return c.giveUp(CodeQuarantined)
 		}
 		if c.sends > 0 && !c.budget.TryTake(c.Clock.Now()) {
@@ -75,7 +75,7 @@
 		case res == resultNotRun || res == resultHeldBack:
 			continue
 		case !c.route.Repeatable() || c.runs >= c.route.MaxAttempts:
-			return c.giveUp(CodeBroken)
+			return c.giveUp(CodeResponseLost)
 		}
 	}
 }
@@ -84,10 +84,10 @@
 // disconnected, the keys may be stale before the first send, or no time or sends are left.
 func (c *call) checkAttemptAllowed() *refusal {
 	if c.r.Context().Err() != nil {
-		return c.giveUp(CodeBroken)
+		return c.giveUp(CodeResponseLost)
 	}
 	if c.sends == 0 && !c.keyTrusted() {
-		return refusalWithRetryAfter(CodeStale, c.Policy.RetryAfter)
+		return refusalWithRetryAfter(CodeKeysStale, c.Policy.RetryAfter)
 	}
 	left := c.deadline.Sub(c.Clock.Now())
 	if left < c.Policy.MinTimeLeft {
@@ -105,7 +105,7 @@
 func (c *call) giveUp(code Code) *refusal {
 	switch {
 	case c.headerWritten:
-		return &refusal{code: CodeBroken}
+		return &refusal{code: CodeResponseLost}
 	case c.lastFailure != nil:
 		c.lastFailure.writeTo(c)
 		return nil
@@ -114,7 +114,7 @@
 	case !c.Clock.Now().Before(c.deadline.Add(-c.Policy.MinTimeLeft)):
 		return &refusal{code: CodeTimeout}
 	}
-	return &refusal{code: CodeBroken}
+	return &refusal{code: CodeResponseLost}
 }
 
 // pick returns the next target of the request, or nil. It never returns the same instance twice.
@@ -125,7 +125,7 @@
 			return t
 		}
 	}
-	return c.pickExcept(func(t *dispatch.Candidate) bool { return !c.Backpressure.Open(&t.Instance) })
+	return c.pickExcept(func(t *dispatch.Candidate) bool { return !c.Backpressure.CanSend(&t.Instance) })
 }
 
 // hasRateLimit reports whether a target has a rate limit.
@@ -141,10 +141,10 @@
 		if slices.Contains(c.tried, t.ID) || exclude(t) {
 			return true
 		}
-		_, cooling := c.Backpressure.CoolingDown(&t.Instance)
+		_, cooling := c.Backpressure.CooldownUntil(&t.Instance)
 		return cooling
 	}
-	if c.Quarantine.Suspected(c.fingerprint) {
+	if c.Quarantine.IsSuspected(c.fingerprint) {
 		return c.Table.PickIdlest(c.service, c.model, excluded)
 	}
 	return c.Table.Pick(c.service, c.model, c.Clock.Now(), excluded)
@@ -183,12 +183,12 @@
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
 	sent := c.Clock.Now()
-	c.hold = target.Hold(c.claims.Prompt, sent)
+	c.hold = target.Hold(c.claims.PromptTokens, sent)
 	defer c.hold.End()
 	c.runs++
 	resumable := c.route.Kind == catalog.Stream && c.route.Repeatable() && c.runs < c.route.MaxAttempts
-	watched := c.Watch.add(target, resumable, sent, cancel)
-	defer c.Watch.remove(watched)
+	watched := c.StallDetector.add(target, resumable, sent, cancel)
+	defer c.StallDetector.remove(watched)
 	resp, err := c.Pool.Do(ctx, target.Address, c.newInstanceRequest(target, sent))
 	switch {
 	case errors.Is(err, errHeldBack):
@@ -199,7 +199,7 @@
 			return resultCallerGone
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			c.Quarantine.Refused(target)
+			c.Quarantine.RecordConnectionRefused(target)
 		}
 		c.recordFailure(target, sent, "not reached", err)
 		return resultNotRun
@@ -207,23 +207,23 @@
 		return c.handleLostResponse(ctx, target, sent, err)
 	}
 	defer resp.Close()
-	c.Health.Heard(target.ID, sent)
+	c.FailureDetector.RecordResponse(target.ID, sent)
 	return c.handleResponse(ctx, target, resp, watched, sent)
 }
 
 // newInstanceRequest returns the request to send to an instance.
 func (c *call) newInstanceRequest(target *dispatch.Candidate, now time.Time) *direct.Request {
 	h := endToEndHeaders(c.r.Header)
-	f := Forward{
-		Instance:  target.ID,
-		Left:      c.deadline.Sub(now) - c.Policy.NetworkAllowance,
-		LastEvent: c.lastEventID,
-		Urgency:   -1,
+	f := ForwardInfo{
+		Instance:    target.ID,
+		TimeLeft:    c.deadline.Sub(now) - c.Policy.NetworkAllowance,
+		LastEventID: c.lastEventID,
+		Priority:    -1,
 	}
 	if c.team != nil {
 		f.Team = c.team.Name
 	}
-	c.Dialect.Forward(h, f)
+	c.Codec.SetForwardHeaders(h, f)
 	return &direct.Request{
 		Method:  c.r.Method,
 		URI:     c.r.RequestURI,
@@ -231,7 +231,7 @@
 		Header:  h,
 		Body:    c.body,
 		HasBody: c.r.ContentLength != 0 || c.r.Method == http.MethodPost || c.r.Method == http.MethodPut,
-		Match:   func(h http.Header) bool { return c.Dialect.Belongs(h, c.claims.ID) },
+		Match:   func(h http.Header) bool { return c.Codec.MatchesRequest(h, c.claims.ID) },
 		Fresh:   !c.route.Repeatable(),
 		Check:   func() error { return c.checkBeforeSend(target) },
 	}
@@ -241,13 +241,13 @@
 // detector.
 func (c *call) recordFailure(target *dispatch.Candidate, sent time.Time, failure event.Failure, err error) {
 	target.Failed()
-	c.Health.Failed(target.ID, sent)
+	c.FailureDetector.RecordFailure(target.ID, sent)
 	c.logFailure(target, sent, failure, err)
 }
 
 // logFailure logs an attempt without a usable response.
 func (c *call) logFailure(target *dispatch.Candidate, sent time.Time, failure event.Failure, err error) {
-	c.Recorder.Decide(&event.AttemptFailed{
+	c.Recorder.LogDecision(&event.AttemptFailed{
 		Request: c.eventRequest(), Instance: target.ID, Group: target.Membership.Group, Epoch: target.Membership.Epoch, What: failure, Err: err,
 		After: c.Clock.Since(sent), Held: target.Held(), LastEvent: c.lastEventID,
 	})
@@ -260,7 +260,7 @@
 		return resultCallerGone
 	}
 	cause := context.Cause(ctx)
-	c.Quarantine.Broken(c.fingerprint, possiblyEndedInstances(target, cause), sent)
+	c.Quarantine.RecordInterruption(c.fingerprint, possiblyEndedInstances(target, cause), sent)
 	switch {
 	case errors.Is(cause, errGroupStalled):
 		c.recordFailure(target, sent, event.Stalled, err)
@@ -288,12 +288,12 @@
 
 // handleResponse evaluates the head of a response and relays it to the caller if it is usable.
 func (c *call) handleResponse(ctx context.Context, target *dispatch.Candidate, resp *direct.Response, w *watchedAttempt, sent time.Time) attemptResult {
-	v := c.Dialect.Verdict(resp.Status, resp.Header)
+	v := c.Codec.ParseReply(resp.Status, resp.Header)
 	replaced := v.NotRun && v.Instance != "" && v.Instance != target.ID
 	if replaced {
-		c.Health.Replaced(target.ID)
+		c.FailureDetector.RecordReplaced(target.ID)
 	} else {
-		c.Backpressure.Told(&target.Instance, v.Notice, c.claims.ID, sent)
+		c.Backpressure.RecordNotice(&target.Instance, v.Notice, c.claims.ID, sent)
 	}
 	if v.NotRun {
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBytes))
@@ -301,16 +301,16 @@
 		if v.Cooldown == 0 {
 			target.Failed()
 		}
-		c.Recorder.Decide(&event.AttemptRefused{
-			Request: c.eventRequest(), Instance: target.ID, Status: resp.Status, Culprit: v.Culprit, Held: target.Held(), Load: target.Load(), Cooldown: v.Cooldown, Sends: c.sends,
+		c.Recorder.LogDecision(&event.AttemptRefused{
+			Request: c.eventRequest(), Instance: target.ID, Status: resp.Status, Culprit: v.FaultyAddress, Held: target.Held(), Load: target.Load(), Cooldown: v.Cooldown, Sends: c.sends,
 		})
-		if v.Culprit != "" && v.Culprit != target.Address.String() {
-			c.Health.Suspect(target)
+		if v.FaultyAddress != "" && v.FaultyAddress != target.Address.String() {
+			c.FailureDetector.ProbeGroup(target)
 		}
 		return resultNotRun
 	}
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
-	if success && !v.Sealed {
+	if success && !v.HasSeal {
 		c.logFailure(target, sent, event.Unsealed, fmt.Errorf("status %d", resp.Status))
 		return resultUnknown
 	}
@@ -326,7 +326,7 @@
 func (c *call) recordCompleteResponse(target *dispatch.Candidate, resp *direct.Response) {
 	target.Answered()
 	if resp.Framed() {
-		c.Quarantine.Answered(c.fingerprint)
+		c.Quarantine.RecordComplete(c.fingerprint)
 	}
 }
 
--- a/transport/gateway/standin_test.go
+++ b/transport/gateway/standin_test.go
@@ -29,31 +29,31 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// testDialect implements gateway.Dialect with short header names.
+// testDialect implements gateway.HeaderCodec with short header names.
 type testDialect struct{}
 
-func (testDialect) Parse(h http.Header) (gateway.Claims, error) {
+func (testDialect) ParseRequest(h http.Header) (gateway.RequestInfo, error) {
 	ms, _ := strconv.Atoi(h.Get("Patience"))
-	c := gateway.Claims{ID: h.Get("Id"), Key: h.Get("Key"), Model: h.Get("Model"), LastEvent: h.Get("Last"), Patience: time.Duration(ms) * time.Millisecond}
+	c := gateway.RequestInfo{ID: h.Get("Id"), Key: h.Get("Key"), Model: h.Get("Model"), LastEventID: h.Get("Last"), Timeout: time.Duration(ms) * time.Millisecond}
 	if c.ID == "" {
 		return c, gateway.ErrNoID
 	}
 	return c, nil
 }
 
-func (testDialect) Forward(h http.Header, f gateway.Forward) {
+func (testDialect) SetForwardHeaders(h http.Header, f gateway.ForwardInfo) {
 	h.Del("Key")
 	h.Set("For", string(f.Instance))
-	h.Set("Left", strconv.FormatInt(f.Left.Milliseconds(), 10))
-	if f.LastEvent != "" {
-		h.Set("Last", f.LastEvent)
+	h.Set("Left", strconv.FormatInt(f.TimeLeft.Milliseconds(), 10))
+	if f.LastEventID != "" {
+		h.Set("Last", f.LastEventID)
 	}
 }
 
-func (testDialect) Belongs(h http.Header, id string) bool { return h.Get("Id") == id }
+func (testDialect) MatchesRequest(h http.Header, id string) bool { return h.Get("Id") == id }
 
-func (testDialect) Verdict(status int, h http.Header) gateway.Verdict {
-	v := gateway.Verdict{NotRun: h.Get("Not-Run") != "", Sealed: h.Get("Seal") != ""}
+func (testDialect) ParseReply(status int, h http.Header) gateway.ReplyInfo {
+	v := gateway.ReplyInfo{NotRun: h.Get("Not-Run") != "", HasSeal: h.Get("Seal") != ""}
 	v.Leaving = h.Get("Leaving") != ""
 	if seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64); err == nil && status == http.StatusServiceUnavailable {
 		v.Cooldown = time.Duration(seconds * float64(time.Second))
@@ -61,9 +61,9 @@
 	return v
 }
 
-func (testDialect) ToCaller(_ int, h http.Header) { h.Del("Retry-After") }
+func (testDialect) RemoveNodeHeaders(_ int, h http.Header) { h.Del("Retry-After") }
 
-func (testDialect) Status(c gateway.Code) int {
+func (testDialect) StatusCode(c gateway.Code) int {
 	switch c {
 	case gateway.CodeBadRequest:
 		return http.StatusBadRequest
@@ -75,19 +75,19 @@
 		return http.StatusRequestEntityTooLarge
 	case gateway.CodeTimeout:
 		return http.StatusGatewayTimeout
-	case gateway.CodeBroken:
+	case gateway.CodeResponseLost:
 		return http.StatusBadGateway
 	}
 	return http.StatusServiceUnavailable
 }
 
-func (testDialect) RetryAfter(h http.Header, d time.Duration) {
+func (testDialect) SetRetryAfter(h http.Header, d time.Duration) {
 	h.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
 }
 
-func (testDialect) Echo(h http.Header, id string) { h.Set("Id", id) }
+func (testDialect) SetRequestID(h http.Header, id string) { h.Set("Id", id) }
 
-// fixedCatalogs implements gateway.Catalogs with a fixed catalog.
+// fixedCatalogs implements gateway.CatalogSource with a fixed catalog.
 type fixedCatalogs struct {
 	current *catalog.Catalog
 	stale   atomic.Bool
@@ -96,21 +96,21 @@
 func (f *fixedCatalogs) Catalog() *catalog.Catalog { return f.current }
 func (f *fixedCatalogs) KeysFresh() bool           { return !f.stale.Load() }
 
-// fakeHealth implements gateway.Health and records failures and probe requests.
+// fakeHealth implements gateway.FailureDetector and records failures and probe requests.
 type fakeHealth struct {
 	mu        sync.Mutex
 	failed    []state.InstanceID
 	suspected int
 }
 
-func (h *fakeHealth) Heard(state.InstanceID, time.Time) {}
-func (h *fakeHealth) Replaced(state.InstanceID)         {}
-func (h *fakeHealth) Failed(id state.InstanceID, _ time.Time) {
+func (h *fakeHealth) RecordResponse(state.InstanceID, time.Time) {}
+func (h *fakeHealth) RecordReplaced(state.InstanceID)            {}
+func (h *fakeHealth) RecordFailure(id state.InstanceID, _ time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failed = append(h.failed, id)
 }
-func (h *fakeHealth) Suspect(*dispatch.Candidate) {
+func (h *fakeHealth) ProbeGroup(*dispatch.Candidate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.suspected++
@@ -127,31 +127,31 @@
 	refused   []state.InstanceID
 }
 
-func (q *fakeQuarantine) HeldUntil(f quarantine.Fingerprint) (time.Time, bool) {
+func (q *fakeQuarantine) QuarantinedUntil(f quarantine.Fingerprint) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return time.Now().Add(time.Minute), q.held[f]
 }
 
-func (q *fakeQuarantine) Suspected(f quarantine.Fingerprint) bool {
+func (q *fakeQuarantine) IsSuspected(f quarantine.Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.suspected[f]
 }
 
-func (q *fakeQuarantine) Broken(f quarantine.Fingerprint, _ []fleet.Instance, _ time.Time) {
+func (q *fakeQuarantine) RecordInterruption(f quarantine.Fingerprint, _ []fleet.Instance, _ time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.broken = append(q.broken, f)
 }
 
-func (q *fakeQuarantine) Answered(f quarantine.Fingerprint) {
+func (q *fakeQuarantine) RecordComplete(f quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.answered = append(q.answered, f)
 }
 
-func (q *fakeQuarantine) Refused(c *dispatch.Candidate) {
+func (q *fakeQuarantine) RecordConnectionRefused(c *dispatch.Candidate) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.refused = append(q.refused, c.ID)
@@ -168,8 +168,8 @@
 	defer r.mu.Unlock()
 	r.counts[name]++
 }
-func (r *fakeRecorder) Time(string, time.Duration) {}
-func (r *fakeRecorder) Decide(event.Decision)      {}
+func (r *fakeRecorder) ObserveDuration(string, time.Duration) {}
+func (r *fakeRecorder) LogDecision(event.Decision)            {}
 
 // harness runs a gateway in front of fake instances.
 type harness struct {
@@ -234,7 +234,7 @@
 	clock := clockwork.NewRealClock()
 	h.gateway = gateway.New(gateway.Options{
 		Demand: demand.NewMeter(demand.DefaultPolicy()), Policy: gateway.DefaultPolicy(),
-		Clock: clock, Dialect: testDialect{}, Catalogs: h.catalogs, Table: h.table, Health: h.health, Recorder: h.recorder, Quarantine: h.quarantine, Backpressure: h.backpressure,
+		Clock: clock, Codec: testDialect{}, Catalogs: h.catalogs, Table: h.table, FailureDetector: h.health, Recorder: h.recorder, Quarantine: h.quarantine, Backpressure: h.backpressure,
 		Pool:  direct.NewPool(direct.Dialer{Timeout: time.Second}, time.Now),
 		Retry: retry.SharedBudgetConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 	})
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -123,7 +123,7 @@
 	}
 	c.headerWritten = true
 	c.firstEventLatency = c.Clock.Since(c.arrivedAt)
-	c.Recorder.Time("first-event", c.firstEventLatency)
+	c.Recorder.ObserveDuration("first-event", c.firstEventLatency)
 	c.writeHeader(resp.Status, c.callerHeaders(resp), -1)
 }
 
--- a/transport/gateway/watch.go
+++ b/transport/gateway/watch.go
@@ -67,14 +67,14 @@
 // StallDetector detects attempts that make no progress. It is safe for concurrent use.
 type StallDetector struct {
 	clock  clockwork.Clock
-	health Health
+	health FailureDetector
 	policy *Policy
 	mu     sync.Mutex
 	active map[*watchedAttempt]struct{}
 }
 
 // newStallDetector returns a StallDetector without attempts.
-func newStallDetector(clock clockwork.Clock, health Health, policy *Policy) *StallDetector {
+func newStallDetector(clock clockwork.Clock, health FailureDetector, policy *Policy) *StallDetector {
 	return &StallDetector{clock: clock, health: health, policy: policy, active: map[*watchedAttempt]struct{}{}}
 }
 
@@ -94,9 +94,9 @@
 	delete(d.active, a)
 }
 
-// Look requests a probe of every group with a silent attempt, and cancels resumable streams that
+// Check requests a probe of every group with a silent attempt, and cancels resumable streams that
 // stay silent: a connection may go silent for good without a reset while its group keeps working.
-func (d *StallDetector) Look() {
+func (d *StallDetector) Check() {
 	now := d.clock.Now()
 	silentTargets := map[state.InstanceID]*dispatch.Candidate{}
 	d.mu.Lock()
@@ -111,13 +111,13 @@
 	d.mu.Unlock()
 	for _, target := range silentTargets {
 		if target.Check(now, d.policy.CheckInterval) {
-			d.health.Suspect(target)
+			d.health.ProbeGroup(target)
 		}
 	}
 }
 
-// CutStalled cancels the attempts at the head of a stalled group.
-func (d *StallDetector) CutStalled(head state.InstanceID) {
+// CancelGroup cancels the attempts at the head of a stalled group.
+func (d *StallDetector) CancelGroup(head state.InstanceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for a := range d.active {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Active returns the number of attempts in progress.
-func (d *StallDetector) Active() int {
+// ActiveCount returns the number of attempts in progress.
+func (d *StallDetector) ActiveCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.active)
