--- a/coordination/placement/domain.go
+++ b/coordination/placement/domain.go
@@ -27,8 +27,8 @@
 		}
 		switch {
 		case m.Membership.Group != "" || s.assigned[id]:
-		case !m.Known:
-			s.plan.Ask = append(s.plan.Ask, id)
+		case !m.MembershipKnown:
+			s.plan.Probes = append(s.plan.Probes, id)
 		default:
 			d.free = append(d.free, m)
 		}
@@ -104,7 +104,7 @@
 )
 
 // countSkipped counts a domain in which no group is closed for reallocation.
-func (s *step) countSkipped(reason SkipReason) { s.plan.Kept[reason]++ }
+func (s *step) countSkipped(reason SkipReason) { s.plan.Skipped[reason]++ }
 
 // reallocate closes groups of a domain for reallocation if that gains enough utility and not too
 // many domains are being changed already. It reports whether it closed any.
@@ -158,8 +158,8 @@
 // allocation returns the current and desired numbers of instances in groups of each model.
 func (s *step) allocation(alive int) *allocation {
 	alloc := newShareAllocation(s.engine.Models, alive, &s.policy)
-	if len(s.Work) == len(s.engine.Models) {
-		alloc = newDemandAllocation(s.engine, s.Work, &s.policy)
+	if len(s.Demand) == len(s.engine.Models) {
+		alloc = newDemandAllocation(s.engine, s.Demand, &s.policy)
 	}
 	for _, g := range s.groups {
 		if i := s.modelIndex(g.model); i >= 0 && g.failure == "" && g.donorSince.IsZero() && !s.isDraining(g) {
@@ -206,7 +206,7 @@
 // is ignored: it cannot join a group until a load has completed.
 func (s *step) isSettling(free []*Member) bool {
 	return slices.ContainsFunc(free, func(m *Member) bool {
-		return s.now.Sub(m.Seen) < s.policy.SettleDelay && (s.Quiet || !m.hasNoModel())
+		return s.now.Sub(m.FirstSeen) < s.policy.SettleDelay && (s.BeforeTraffic || !m.hasNoModel())
 	})
 }
 
@@ -227,7 +227,7 @@
 // weight store. Before the first request loads are nearly free, so every instance is eligible. An
 // instance whose last model is scarcer is reserved for that model, which it can serve soonest.
 func (s *step) isEligible(m *Member, model *catalog.Model) bool {
-	if s.Quiet || model.Load <= 0 {
+	if s.BeforeTraffic || model.Load <= 0 {
 		return true
 	}
 	isReserved := m.Model != model.Name && s.marginalUtility(m.Model) > s.policy.ScarcityRatio*s.marginalUtility(model.Name)
--- a/coordination/placement/drawn_test.go
+++ b/coordination/placement/drawn_test.go
@@ -65,7 +65,7 @@
 		sim.run(14 * time.Second)
 		checkPlacement(t, sim)
 		alive, _ := sim.countServing()
-		sim.nodes[0].planner.Work = drawDemand(t, sim.engine, alive, "work")
+		sim.nodes[0].planner.Demand = drawDemand(t, sim.engine, alive, "work")
 		sim.run(45 * time.Second)
 		before := sim.groupKeys()
 		sim.run(10 * time.Second)
--- a/coordination/placement/epochs.go
+++ b/coordination/placement/epochs.go
@@ -15,23 +15,23 @@
 	ownerBits  = offsetBits + eraBits
 )
 
-// Epochs generates the epochs of one node incarnation. Each is greater than all epochs
+// EpochGenerator generates the epochs of one node incarnation. Each is greater than all epochs
 // observed or generated before, and no other node generates the same one. It is safe for
 // concurrent use.
-type Epochs struct {
+type EpochGenerator struct {
 	owner   state.Epoch
 	mu      sync.Mutex
 	highest state.Epoch
 }
 
-// NewEpochs returns the Epochs of the node incarnation whose entry was written at an offset in
+// NewEpochGenerator returns the EpochGenerator of the node incarnation whose entry was written at an offset in
 // an era of the store. The store reuses an offset only in a later era.
-func NewEpochs(era, offset int64) *Epochs {
-	return &Epochs{owner: state.Epoch(era)&(1<<eraBits-1)<<offsetBits | state.Epoch(offset)&(1<<offsetBits-1)}
+func NewEpochGenerator(era, offset int64) *EpochGenerator {
+	return &EpochGenerator{owner: state.Epoch(era)&(1<<eraBits-1)<<offsetBits | state.Epoch(offset)&(1<<offsetBits-1)}
 }
 
 // Next returns a new epoch that is greater than seen.
-func (e *Epochs) Next(seen state.Epoch) state.Epoch {
+func (e *EpochGenerator) Next(seen state.Epoch) state.Epoch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.highest = (max(seen, e.highest)>>ownerBits+1)<<ownerBits | e.owner
@@ -41,15 +41,15 @@
 // supersededStep is the number of epochs to skip when an instance has seen an epoch unknown to this node.
 const supersededStep = 64
 
-// Behind skips epochs after an instance has reported one that this node has not observed.
-func (e *Epochs) Behind() {
+// SkipAhead skips epochs after an instance has reported one that this node has not observed.
+func (e *EpochGenerator) SkipAhead() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.highest += supersededStep << ownerBits
 }
 
 // Observe records an epoch seen elsewhere; later epochs are greater.
-func (e *Epochs) Observe(seen state.Epoch) {
+func (e *EpochGenerator) Observe(seen state.Epoch) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.highest = max(e.highest, seen)
--- a/coordination/placement/epochs_test.go
+++ b/coordination/placement/epochs_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			a, b := placement.NewEpochs(c.a.era, c.a.offset), placement.NewEpochs(c.b.era, c.b.offset)
+			a, b := placement.NewEpochGenerator(c.a.era, c.a.offset), placement.NewEpochGenerator(c.b.era, c.b.offset)
 			generated := map[state.Epoch]bool{}
 			for range 1000 {
 				generated[a.Next(0)] = true
--- a/coordination/placement/formation.go
+++ b/coordination/placement/formation.go
@@ -49,13 +49,13 @@
 	head := s.headOf(g)
 	switch {
 	case g.failure != "":
-		s.plan.Avoid[key] = g.failure
+		s.plan.ExcludedGroups[key] = g.failure
 		s.dissolve(key, g)
 	case s.isDraining(g):
-		s.plan.Avoid[key] = "a member is leaving"
+		s.plan.ExcludedGroups[key] = "a member is leaving"
 		s.drain(key, g, head)
 	case !g.donorSince.IsZero():
-		s.plan.Avoid[key] = "its members are needed elsewhere"
+		s.plan.ExcludedGroups[key] = "its members are needed elsewhere"
 		s.drain(key, g, head)
 	default:
 		s.bringUp(key, g, head)
@@ -125,14 +125,14 @@
 		case id == "" && s.now.Sub(g.trackedSince) < s.policy.UnknownMemberTimeout:
 		case id == "":
 			return fmt.Sprintf("rank %d is unknown", rank)
-		case m == nil || m.Gone:
+		case m == nil || m.Ended:
 			return fmt.Sprintf("%s is gone", id)
 		case m.Lost:
 			return fmt.Sprintf("%s does not answer", id)
-		case m.Superseded == key:
+		case m.SupersededGroup == key:
 			return fmt.Sprintf("%s has seen a later epoch", id)
-		case !m.Known:
-			s.plan.Ask = append(s.plan.Ask, id)
+		case !m.MembershipKnown:
+			s.plan.Probes = append(s.plan.Probes, id)
 		case m.Membership.Key() != key && g.joined[id]:
 			return fmt.Sprintf("%s has left", id)
 		case m.Membership.Key() != key && s.now.After(joinDeadline):
@@ -174,7 +174,7 @@
 		s.enforceCloseTimeout(g, head)
 		return
 	}
-	s.plan.Watch = true
+	s.plan.InTransition = true
 	ready := true
 	for _, id := range g.members {
 		m := s.byID[id]
@@ -192,7 +192,7 @@
 	}
 	model := s.engine.Model(g.model)
 	if ready && model != nil && len(g.members) == model.Size {
-		s.addOrder(head, Order{Action: Open, Key: key, Why: "all members are ready"})
+		s.addOrder(head, Order{Action: Open, Key: key, Reason: "all members are ready"})
 	}
 }
 
@@ -216,8 +216,8 @@
 	if m.Membership.Group != "" {
 		return
 	}
-	expect := m.Orders
-	s.addOrder(m, Order{Action: Join, Key: key, Model: g.model, Members: g.members, Expect: &expect, Why: "forming"})
+	expect := m.AcceptedOrders
+	s.addOrder(m, Order{Action: Join, Key: key, Model: g.model, Members: g.members, ExpectedOrders: &expect, Reason: "forming"})
 }
 
 // dissolve dissolves a group that cannot serve: all reachable members are ordered to leave.
@@ -230,8 +230,8 @@
 			continue
 		}
 		allLeft = false
-		s.plan.Watch = true
-		s.addOrder(m, Order{Action: Leave, Key: key, Why: g.failure})
+		s.plan.InTransition = true
+		s.addOrder(m, Order{Action: Leave, Key: key, Reason: g.failure})
 	}
 	if allLeft {
 		delete(s.groups, key)
@@ -245,16 +245,16 @@
 		g.failure = "a member is leaving"
 		return
 	}
-	s.plan.Watch = true
+	s.plan.InTransition = true
 	switch head.Membership.State {
 	case fleet.Open:
-		s.addOrder(head, Order{Action: Close, Key: key, Why: s.plan.Avoid[key]})
+		s.addOrder(head, Order{Action: Close, Key: key, Reason: s.plan.ExcludedGroups[key]})
 	case fleet.Closing:
 		if !g.donorSince.IsZero() && s.now.Sub(g.donorSince) > s.policy.CloseTimeout {
 			g.failure = "closing takes too long"
 		}
 	default:
-		g.failure = s.plan.Avoid[key]
+		g.failure = s.plan.ExcludedGroups[key]
 	}
 }
 
--- a/coordination/placement/order.go
+++ b/coordination/placement/order.go
@@ -30,11 +30,11 @@
 	Stage Action = "stage"
 )
 
-// ErrReplaced means that another instance answers at the address of an instance, so the latter has ended.
-var ErrReplaced = errors.New("placement: another instance has the address")
+// ErrAddressReused means that another instance answers at the address of an instance, so the latter has ended.
+var ErrAddressReused = errors.New("placement: another instance has the address")
 
-// ErrUnreadable means that the answer of an instance is not a valid report.
-var ErrUnreadable = errors.New("placement: report not readable")
+// ErrInvalidReport means that the answer of an instance is not a valid report.
+var ErrInvalidReport = errors.New("placement: report not readable")
 
 // Order is a command to one incarnation of an instance.
 type Order struct {
@@ -45,10 +45,10 @@
 	Model    string
 	// Members are the members of the group by rank; the first is the head.
 	Members []state.InstanceID
-	// Expect, if set, is the number of orders that the instance must have accepted before this one.
-	Expect *int64
-	// Why is the reason that is logged.
-	Why string
+	// ExpectedOrders, if set, is the number of orders that the instance must have accepted before this one.
+	ExpectedOrders *int64
+	// Reason is the reason that is logged.
+	Reason string
 }
 
 // Reply is the answer of an instance to an order.
@@ -58,8 +58,8 @@
 const (
 	// Unanswered orders may have been accepted, or may still be carried out later.
 	Unanswered Reply = "unanswered"
-	// Begun orders are being carried out.
-	Begun Reply = "begun"
+	// Started orders are being carried out.
+	Started Reply = "begun"
 	// Done orders have been carried out, or had no effect because the instance was already in the requested state.
 	Done Reply = "done"
 	// Refused orders have no effect.
--- a/coordination/placement/planner.go
+++ b/coordination/placement/planner.go
@@ -16,30 +16,30 @@
 // Member is the planner's view of an instance.
 type Member struct {
 	fleet.Instance
-	// Orders is the number of orders that the instance has accepted; it is valid only if Counted is set.
-	Orders  int64
-	Counted bool
-	// Known reports whether the membership is known from recent information.
-	Known bool
+	// AcceptedOrders is the number of orders that the instance has accepted; it is valid only if OrdersKnown is set.
+	AcceptedOrders int64
+	OrdersKnown    bool
+	// MembershipKnown reports whether the membership is known from recent information.
+	MembershipKnown bool
 	// Unlisted reports whether the instance has been missing from the list for longer than
 	// a heartbeat interval: it may be leaving, and as a head it would receive no requests.
 	Unlisted bool
-	// Lost reports whether the instance does not answer, Gone whether its process has certainly ended.
-	Lost bool
-	Gone bool
+	// Lost reports whether the instance does not answer, Ended whether its process has certainly ended.
+	Lost  bool
+	Ended bool
 	// Far reports whether the instance does not answer this node but may answer others. Its
 	// group continues to serve those, but no orders can be sent to it.
 	Far bool
-	// Pending reports whether an order to the instance is still unanswered.
-	Pending bool
-	// Superseded is the group that the instance last refused to join because it had seen a later epoch.
-	Superseded fleet.GroupKey
-	// Seen is when the instance was first seen.
-	Seen time.Time
+	// OrderPending reports whether an order to the instance is still unanswered.
+	OrderPending bool
+	// SupersededGroup is the group that the instance last refused to join because it had seen a later epoch.
+	SupersededGroup fleet.GroupKey
+	// FirstSeen is when the instance was first seen.
+	FirstSeen time.Time
 }
 
 // usable reports whether the instance can become a member of a new group.
-func (m *Member) usable() bool { return !m.Lost && !m.Far && !m.Gone && !m.Draining && !m.Unlisted }
+func (m *Member) usable() bool { return !m.Lost && !m.Far && !m.Ended && !m.Draining && !m.Unlisted }
 
 // hasNoModel reports whether the instance has neither a loaded nor a staged model.
 func (m *Member) hasNoModel() bool { return m.Model == "" && len(m.Staged) == 0 }
@@ -68,11 +68,11 @@
 	staging   map[state.InstanceID]Staging
 	// stagingEvaluatedAt is the time at which the models to stage were last evaluated.
 	stagingEvaluatedAt time.Time
-	// Quiet reports whether no request has arrived yet, in which case loads are nearly free.
-	Quiet bool
-	// Work is the demand for each model: the average number of slots that its requests occupy
+	// BeforeTraffic reports whether no request has arrived yet, in which case loads are nearly free.
+	BeforeTraffic bool
+	// Demand is the demand for each model: the average number of slots that its requests occupy
 	// in groups of pace 1. It is nil if unknown.
-	Work []float64
+	Demand []float64
 }
 
 // NewPlanner returns a Planner. The function nextEpoch must return a new epoch that is greater
@@ -94,21 +94,21 @@
 // Plan is the result of one planning step.
 type Plan struct {
 	Orders []Order
-	// Ask lists the instances to probe for a report.
-	Ask []state.InstanceID
-	// Watch reports whether a transition is in progress whose completion should be noticed quickly.
-	Watch bool
-	// Serving is the number of open groups of each model, Free the number of usable instances in no group.
-	Serving map[string]int
-	Free    int
-	// Wanted is the desired number of instances in groups of each model.
-	Wanted map[string]float64
-	// Kept is the number of domains in which no group is closed for reallocation, by reason.
-	Kept map[SkipReason]int
-	// Spares describes the loaded and staged models of each free instance, for the log.
-	Spares []string
-	// Avoid holds the groups that must not receive new requests, with the reason.
-	Avoid map[fleet.GroupKey]string
+	// Probes lists the instances to probe for a report.
+	Probes []state.InstanceID
+	// InTransition reports whether a transition is in progress whose completion should be noticed quickly.
+	InTransition bool
+	// OpenGroups is the number of open groups of each model, FreeInstances the number of usable instances in no group.
+	OpenGroups    map[string]int
+	FreeInstances int
+	// DesiredInstances is the desired number of instances in groups of each model.
+	DesiredInstances map[string]float64
+	// Skipped is the number of domains in which no group is closed for reallocation, by reason.
+	Skipped map[SkipReason]int
+	// SpareDescriptions describes the loaded and staged models of each free instance, for the log.
+	SpareDescriptions []string
+	// ExcludedGroups holds the groups that must not receive new requests, with the reason.
+	ExcludedGroups map[fleet.GroupKey]string
 }
 
 // step holds the state of one call of Step.
@@ -135,7 +135,7 @@
 		now:            now,
 		byID:           make(map[state.InstanceID]*Member, len(members)),
 		membersByGroup: map[fleet.GroupKey][]*Member{},
-		plan:           Plan{Avoid: map[fleet.GroupKey]string{}, Kept: map[SkipReason]int{}},
+		plan:           Plan{ExcludedGroups: map[fleet.GroupKey]string{}, Skipped: map[SkipReason]int{}},
 	}
 	if p.startedAt.IsZero() {
 		p.startedAt = now
@@ -144,7 +144,7 @@
 		m := &members[i]
 		s.byID[m.ID] = m
 		s.highestEpoch = max(s.highestEpoch, m.Membership.Epoch)
-		if m.Membership.Group != "" && !m.Gone {
+		if m.Membership.Group != "" && !m.Ended {
 			s.membersByGroup[m.Membership.Key()] = append(s.membersByGroup[m.Membership.Key()], m)
 		}
 	}
@@ -195,14 +195,14 @@
 // that is unknown, the instance is probed instead.
 func (s *step) addOrder(m *Member, o Order) {
 	last := orderKey{o.Action, o.Key}
-	if m.Pending || (s.sent[m.ID].orderKey == last && s.now.Sub(s.sent[m.ID].at) < s.policy.OrderInterval) {
+	if m.OrderPending || (s.sent[m.ID].orderKey == last && s.now.Sub(s.sent[m.ID].at) < s.policy.OrderInterval) {
 		return
 	}
-	if o.Action == Join && (!m.Counted || !m.Known) {
-		s.plan.Ask = append(s.plan.Ask, m.ID)
+	if o.Action == Join && (!m.OrdersKnown || !m.MembershipKnown) {
+		s.plan.Probes = append(s.plan.Probes, m.ID)
 		return
 	}
-	m.Pending = true
+	m.OrderPending = true
 	s.sent[m.ID] = sentOrder{last, s.now}
 	o.Instance, o.Address = m.ID, m.Address
 	s.plan.Orders = append(s.plan.Orders, o)
@@ -221,21 +221,21 @@
 
 // summarize fills in the counts of open groups, desired instances and free instances.
 func (s *step) summarize() {
-	s.plan.Serving = map[string]int{}
-	s.plan.Wanted = map[string]float64{}
+	s.plan.OpenGroups = map[string]int{}
+	s.plan.DesiredInstances = map[string]float64{}
 	for i, m := range s.engine.Models {
-		s.plan.Wanted[m.Name] = math.Round(s.alloc.desired[i])
+		s.plan.DesiredInstances[m.Name] = math.Round(s.alloc.desired[i])
 	}
 	for _, g := range s.groups {
 		if g.opened && g.failure == "" {
-			s.plan.Serving[g.model]++
+			s.plan.OpenGroups[g.model]++
 		}
 	}
 	for _, id := range s.ids {
 		m := s.byID[id]
 		if m.usable() && m.Membership.Group == "" && !s.assigned[id] {
-			s.plan.Free++
-			s.plan.Spares = append(s.plan.Spares, fmt.Sprintf("%s: %s has %q and %v", m.Domain, id, m.Model, m.Staged))
+			s.plan.FreeInstances++
+			s.plan.SpareDescriptions = append(s.plan.SpareDescriptions, fmt.Sprintf("%s: %s has %q and %v", m.Domain, id, m.Model, m.Staged))
 		}
 	}
 }
@@ -248,7 +248,7 @@
 	maps.DeleteFunc(s.sent, func(_ state.InstanceID, at sentOrder) bool { return s.now.Sub(at.at) > orderRetention })
 	maps.DeleteFunc(s.staging, func(id state.InstanceID, st Staging) bool {
 		m := s.byID[id]
-		return m == nil || m.Gone || m.Lost || m.HasStaged(st.Model) || !s.mayBeInProgress(st)
+		return m == nil || m.Ended || m.Lost || m.HasStaged(st.Model) || !s.mayBeInProgress(st)
 	})
 }
 
--- a/coordination/placement/property_test.go
+++ b/coordination/placement/property_test.go
@@ -151,12 +151,12 @@
 // previous group for the model of the new one: it would open the group with too few members.
 func TestRecoveredGroupIsNotOpenedWithoutAllMembers(t *testing.T) {
 	g := NewWithT(t)
-	p := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
+	p := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next)
 	now := time.Unix(1000, 0)
 	members := func(s fleet.MemberState, loaded string) []placement.Member {
 		var list []placement.Member
 		for rank, id := range []state.InstanceID{"a", "b"} {
-			m := placement.Member{Known: true, Counted: true, Seen: now.Add(-time.Minute)}
+			m := placement.Member{MembershipKnown: true, OrdersKnown: true, FirstSeen: now.Add(-time.Minute)}
 			m.ID, m.Service, m.Domain, m.Model, m.Loaded = id, "lm", "d", "small", loaded
 			if loaded != "" {
 				m.Model = loaded
@@ -171,7 +171,7 @@
 	for _, o := range plan.Orders {
 		g.Expect(o.Action).NotTo(Equal(placement.Open), "group has two members, its model needs four")
 	}
-	plan = placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next).Step(now, members(fleet.Ready, "small"))
+	plan = placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next).Step(now, members(fleet.Ready, "small"))
 	g.Expect(plan.Orders).To(HaveLen(1), "group has two members, its model needs two")
 	g.Expect(plan.Orders[0].Action).To(Equal(placement.Open))
 }
@@ -188,7 +188,7 @@
 	sim := newSimulation(1, 2, 8, 1)
 	sim.faultsEnabled = false
 	sim.setLeading(sim.nodes[0], true)
-	sim.nodes[0].planner.Quiet = true
+	sim.nodes[0].planner.BeforeTraffic = true
 	sim.run(10 * time.Second)
 	spare := sim.addTarget("d0")
 	spare.Staged = nil
--- a/coordination/placement/relayout_test.go
+++ b/coordination/placement/relayout_test.go
@@ -72,8 +72,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-			p.Work = c.demand
+			p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next)
+			p.Demand = c.demand
 			members := func() []placement.Member { return groupsOfFour("d", 9, "large", "small") }
 			eligibleAt := testStart.Add(placement.DefaultPolicy().DonorAge)
 			p.Step(testStart, members())
@@ -96,8 +96,8 @@
 	for n := range 15 {
 		members = append(members, freeInstance(state.InstanceID(fmt.Sprintf("z%02d", n)), "large", "small"))
 	}
-	p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-	p.Work = []float64{80, 250}
+	p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next)
+	p.Demand = []float64{80, 250}
 	p.Step(testStart, members)
 	knownAt := testStart.Add(placement.DefaultPolicy().UnknownMemberTimeout)
 	g.Expect(closedGroups(p.Step(knownAt.Add(-time.Second), members))).To(BeEmpty(), "members may still be unknown")
--- a/coordination/placement/stage.go
+++ b/coordination/placement/stage.go
@@ -10,9 +10,9 @@
 
 // Staging is a load of a model to a host that is in progress.
 type Staging struct {
-	Instance state.InstanceID
-	Model    string
-	Since    time.Time
+	Instance  state.InstanceID
+	Model     string
+	StartedAt time.Time
 }
 
 // Stagings returns the stagings in progress, sorted by instance.
@@ -25,20 +25,20 @@
 	return list
 }
 
-// Adopt records stagings that another planner has ordered, so that they are not ordered again
+// RecordStagings records stagings that another planner has ordered, so that they are not ordered again
 // and count toward the load limits of the weight store.
-func (p *Planner) Adopt(list []Staging) {
+func (p *Planner) RecordStagings(list []Staging) {
 	for _, st := range list {
 		if _, known := p.staging[st.Instance]; !known {
 			p.staging[st.Instance] = st
-			p.loadTimes = append(p.loadTimes, st.Since)
+			p.loadTimes = append(p.loadTimes, st.StartedAt)
 		}
 	}
 }
 
 // reserveLoad reports whether the limits of the weight store allow another load, and if so counts it.
 func (s *step) reserveLoad() bool {
-	if !s.Quiet && len(s.staging) >= max(s.engine.LoadsAtOnce, 1) {
+	if !s.BeforeTraffic && len(s.staging) >= max(s.engine.LoadsAtOnce, 1) {
 		return false
 	}
 	s.loadTimes = slices.DeleteFunc(s.loadTimes, func(t time.Time) bool { return s.now.Sub(t) > s.policy.LoadWindow })
@@ -46,7 +46,7 @@
 	if s.now.Sub(s.startedAt) < s.policy.LoadWindow {
 		maxLoads /= 2 // the previous leader may have ordered loads that it had not reported
 	}
-	if !s.Quiet && len(s.loadTimes) >= maxLoads {
+	if !s.BeforeTraffic && len(s.loadTimes) >= maxLoads {
 		return false
 	}
 	s.loadTimes = append(s.loadTimes, s.now)
@@ -57,12 +57,12 @@
 // store supports few concurrent loads, so free instances come first, in descending order of the
 // utility gain for their domain. Members of groups stage only while loads are nearly free.
 func (s *step) stage() {
-	if s.Quiet || len(s.staging) < max(s.engine.LoadsAtOnce, 1) {
+	if s.BeforeTraffic || len(s.staging) < max(s.engine.LoadsAtOnce, 1) {
 		for _, l := range s.wantedLoads() {
 			s.stageModel(l.member, l.model)
 		}
 	}
-	if s.Quiet {
+	if s.BeforeTraffic {
 		s.stageAlternates(s.isServing)
 		s.stageAlternates(s.isSpare)
 	}
@@ -77,15 +77,15 @@
 
 // wantedLoads returns the loads to free instances that gain enough utility, the highest gain first.
 func (s *step) wantedLoads() []wantedLoad {
-	if !s.Quiet && s.now.Sub(s.stagingEvaluatedAt) < s.policy.StagingInterval {
+	if !s.BeforeTraffic && s.now.Sub(s.stagingEvaluatedAt) < s.policy.StagingInterval {
 		return nil
 	}
 	s.stagingEvaluatedAt = s.now
 	// Staged models are used after traffic has begun, so the gain is computed as if loads were
 	// no longer nearly free.
-	quiet := s.Quiet
-	s.Quiet = false
-	defer func() { s.Quiet = quiet }()
+	quiet := s.BeforeTraffic
+	s.BeforeTraffic = false
+	defer func() { s.BeforeTraffic = quiet }()
 	var list []wantedLoad
 	for _, name := range sortedDomainNames(s.domains) {
 		for i := range s.engine.Models {
@@ -137,13 +137,13 @@
 // the order of another leader never completes, and no other load is ordered to the instance while
 // this one counts as in progress, so the time is bounded.
 func (s *step) mayBeInProgress(st Staging) bool {
-	return s.now.Sub(st.Since) <= min(s.maxJoinTime(st.Model)+s.policy.JoinMargin, s.policy.StagingTimeout)
+	return s.now.Sub(st.StartedAt) <= min(s.maxJoinTime(st.Model)+s.policy.JoinMargin, s.policy.StagingTimeout)
 }
 
 // isSpare reports whether an instance is usable, is neither in nor assigned to a group, and was
 // first seen more than twice the settle delay ago.
 func (s *step) isSpare(m *Member) bool {
-	return m.usable() && m.Membership.Group == "" && !s.assigned[m.ID] && s.now.Sub(m.Seen) > 2*s.policy.SettleDelay && s.domains[m.Domain] != nil
+	return m.usable() && m.Membership.Group == "" && !s.assigned[m.ID] && s.now.Sub(m.FirstSeen) > 2*s.policy.SettleDelay && s.domains[m.Domain] != nil
 }
 
 // marginalUtility returns the marginal utility of one more instance in groups of a model, or 0 if
@@ -157,11 +157,11 @@
 
 // stageModel orders an instance to load a model to its host, if the limits of the weight store allow it.
 func (s *step) stageModel(m *Member, model string) {
-	if m.Pending || !m.usable() || model == "" || m.HasStaged(model) || s.staging[m.ID].Model != "" || !s.reserveLoad() {
+	if m.OrderPending || !m.usable() || model == "" || m.HasStaged(model) || s.staging[m.ID].Model != "" || !s.reserveLoad() {
 		return
 	}
-	s.staging[m.ID] = Staging{Instance: m.ID, Model: model, Since: s.now}
-	s.addOrder(m, Order{Action: Stage, Model: model, Why: "for a later repair"})
+	s.staging[m.ID] = Staging{Instance: m.ID, Model: model, StartedAt: s.now}
+	s.addOrder(m, Order{Action: Stage, Model: model, Reason: "for a later repair"})
 }
 
 // expectedUtility returns the utility of the groups that a domain can form from free instances:
--- a/coordination/placement/staging_test.go
+++ b/coordination/placement/staging_test.go
@@ -17,7 +17,7 @@
 
 // freeInstance returns a free instance of domain d with the given last model and staged models.
 func freeInstance(id state.InstanceID, model string, staged ...string) placement.Member {
-	m := placement.Member{Known: true, Counted: true, Seen: testStart.Add(-time.Minute)}
+	m := placement.Member{MembershipKnown: true, OrdersKnown: true, FirstSeen: testStart.Add(-time.Minute)}
 	m.ID, m.Service, m.Domain, m.Model, m.Staged = id, "lm", "d", model, staged
 	return m
 }
@@ -51,15 +51,15 @@
 	members := func() []placement.Member {
 		return []placement.Member{groupMember("a", 0), groupMember("b", 1), freeInstance("c", ""), freeInstance("e", "")}
 	}
-	first := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
+	first := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next)
 	loading := stagedInstances(first.Step(testStart, members()))
 	g.Expect(loading).NotTo(BeEmpty())
-	next := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 2).Next)
-	next.Adopt(first.Stagings())
+	next := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 2).Next)
+	next.RecordStagings(first.Stagings())
 	g.Expect(next.Stagings()).To(Equal(first.Stagings()))
 	again := stagedInstances(next.Step(testStart.Add(time.Second), members()))
 	g.Expect(again).NotTo(ContainElements(loading))
-	uninformed := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 3).Next)
+	uninformed := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 3).Next)
 	g.Expect(stagedInstances(uninformed.Step(testStart.Add(time.Second), members()))).To(ContainElements(loading), "a leader that does not know of the loads orders them")
 }
 
@@ -75,9 +75,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			recent := freeInstance("z", c.model)
-			recent.Seen = testStart
+			recent.FirstSeen = testStart
 			members := []placement.Member{freeInstance("a", "small"), freeInstance("b", "small"), recent}
-			p := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
+			p := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next)
 			joins := 0
 			for _, o := range p.Step(testStart, members).Orders {
 				if o.Action == placement.Join {
@@ -110,7 +110,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			p := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
+			p := placement.NewPlanner(engine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next)
 			g.Expect(countStageOrders(p.Step(testStart, append(c.before, freeInstance("z", ""))), "z", c.model)).To(Equal(1))
 			again := 0
 			for at := time.Second; at <= c.within; at += time.Second {
--- a/coordination/placement/step_bench_test.go
+++ b/coordination/placement/step_bench_test.go
@@ -36,8 +36,8 @@
 		{"serving, large model short", false, nil},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-			p.Quiet, p.Work = c.quiet, c.demand
+			p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next)
+			p.BeforeTraffic, p.Demand = c.quiet, c.demand
 			members := largeService()
 			now := testStart
 			for b.Loop() {
--- a/coordination/placement/world_test.go
+++ b/coordination/placement/world_test.go
@@ -66,7 +66,7 @@
 // node simulates a node with its own view of the targets; it plans placement while it leads.
 type node struct {
 	number       uint64
-	epochs       *placement.Epochs
+	epochs       *placement.EpochGenerator
 	roster       *roster.Roster
 	planner      *placement.Planner
 	leading      bool
@@ -152,7 +152,7 @@
 	sim.registrationTimes = append(sim.registrationTimes, sim.now)
 	n := &node{
 		number: number,
-		epochs: placement.NewEpochs(sim.era, int64(len(sim.registrationTimes))),
+		epochs: placement.NewEpochGenerator(sim.era, int64(len(sim.registrationTimes))),
 		roster: roster.New(roster.Config{HeartbeatInterval: heartbeatInterval, StallTimeout: stallTimeout, MaxReportLag: reportLag + 80*time.Millisecond, Policy: roster.DefaultPolicy()}),
 		cursor: &source.Cursor{Settle: settleTime},
 	}
@@ -271,9 +271,9 @@
 func (sim *simulation) handleOrder(t *target, o placement.Order) placement.Reply {
 	if sim.trace != nil {
 		sim.trace(fmt.Sprintf("%s: %s %s %s %s (%s), membership %+v, orders accepted %d, expected %v", sim.now.Sub(time.Unix(1000, 0)), o.Action, o.Instance,
-			o.Key.Group, o.Model, o.Why, t.Membership, t.orders, expectedOrders(o)))
+			o.Key.Group, o.Model, o.Reason, t.Membership, t.orders, expectedOrders(o)))
 	}
-	if t.dead || (o.Expect != nil && *o.Expect != t.orders) {
+	if t.dead || (o.ExpectedOrders != nil && *o.ExpectedOrders != t.orders) {
 		return placement.Refused
 	}
 	if o.Action == placement.Join {
@@ -285,7 +285,7 @@
 			t.Staged = append(slices.Clone(t.Staged), o.Model)
 		}
 		sim.recordChange(t)
-		return placement.Begun
+		return placement.Started
 	}
 	if t.Membership.Key() != o.Key {
 		return placement.Refused
@@ -313,15 +313,15 @@
 	}
 	t.orders++
 	sim.recordChange(t)
-	return placement.Begun
+	return placement.Started
 }
 
 // expectedOrders returns the number of accepted orders that an order expects, or -1.
 func expectedOrders(o placement.Order) int64 {
-	if o.Expect == nil {
+	if o.ExpectedOrders == nil {
 		return -1
 	}
-	return *o.Expect
+	return *o.ExpectedOrders
 }
 
 // handleJoin makes a target a member of a group, and checks that its current group does not serve.
@@ -347,7 +347,7 @@
 	t.readyAt = sim.now.Add(joinTime)
 	t.orders++
 	sim.recordChange(t)
-	return placement.Begun
+	return placement.Started
 }
 
 // advance applies the state changes of a target that are due.
@@ -501,7 +501,7 @@
 	for _, o := range plan.Orders {
 		sim.send(n, o, n.roster.BeginOrder(o.Instance))
 	}
-	for _, id := range plan.Ask {
+	for _, id := range plan.Probes {
 		sim.probe(n, id)
 	}
 	for _, in := range n.roster.ProbeCandidates(sim.now) {
@@ -543,7 +543,7 @@
 		}
 		n.roster.RecordOrderReply(o, life, reply, sim.now)
 		if reply == placement.Superseded {
-			n.epochs.Behind()
+			n.epochs.SkipAhead()
 		}
 	})
 }
@@ -555,7 +555,7 @@
 	}
 	n.leading, n.leadingSince = leading, sim.now
 	n.planner = placement.NewPlanner(sim.engine, placement.DefaultPolicy(), n.epochs.Next)
-	n.planner.Work = sim.demand
+	n.planner.Demand = sim.demand
 }
 
 // injectFault injects a random fault with a low probability.
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -305,7 +305,7 @@
 		e.ordersKnown = false
 		e.orderedAt = now
 		return
-	case placement.Begun:
+	case placement.Started:
 		e.orders++
 	case placement.Done:
 	}
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -68,7 +68,7 @@
 			r.RecordReport("i1", fleet.Report{Born: first, Membership: member, Orders: 7, Asked: now})
 		}},
 		{"a late reply to an order", func(r *roster.Roster, incarnation roster.IncarnationNumber, now time.Time) {
-			r.RecordOrderReply(placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key()}, incarnation, placement.Begun, now)
+			r.RecordOrderReply(placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key()}, incarnation, placement.Started, now)
 		}},
 		{"a failed probe sent before it", func(r *roster.Roster, _ roster.IncarnationNumber, _ time.Time) {
 			r.RecordFailure("i1", start.Add(4*time.Second))
@@ -92,9 +92,9 @@
 				m := onlyMember(r, now.Add(20*time.Millisecond))
 				g.Expect(m.Membership).To(Equal(fleet.Membership{}), "it is in no group")
 				g.Expect(m.Lost).To(BeFalse(), "its failures belong to another incarnation")
-				g.Expect(m.Pending).To(BeFalse(), "no order to it is in flight")
+				g.Expect(m.OrderPending).To(BeFalse(), "no order to it is in flight")
 				g.Expect(m.Model).To(BeEmpty(), "it has no model")
-				g.Expect(m.Counted && m.Orders > 0).To(BeFalse(), "its order count starts again")
+				g.Expect(m.OrdersKnown && m.AcceptedOrders > 0).To(BeFalse(), "its order count starts again")
 				g.Expect(m.Born).To(Equal(second))
 			})
 		}
@@ -108,18 +108,18 @@
 	r.ApplyFreshEntry(free, start.Add(1100*time.Millisecond))
 	m := onlyMember(r, start.Add(1100*time.Millisecond))
 	g.Expect(m.Membership).To(Equal(member))
-	g.Expect(m.Counted).To(BeTrue())
+	g.Expect(m.OrdersKnown).To(BeTrue())
 }
 
 func TestMembershipChangeInvalidatesOrderCount(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster()
 	r.RecordReport("i1", fleet.Report{Orders: 0, Asked: start.Add(time.Second)})
-	g.Expect(onlyMember(r, start.Add(time.Second)).Counted).To(BeTrue())
+	g.Expect(onlyMember(r, start.Add(time.Second)).OrdersKnown).To(BeTrue())
 	joined := free
 	joined.Membership, joined.Position = member, 6
 	r.ApplyFreshEntry(joined, start.Add(1100*time.Millisecond))
-	g.Expect(onlyMember(r, start.Add(1100*time.Millisecond)).Counted).To(BeFalse())
+	g.Expect(onlyMember(r, start.Add(1100*time.Millisecond)).OrdersKnown).To(BeFalse())
 }
 
 func TestReportOlderThanListIsIgnored(t *testing.T) {
@@ -131,7 +131,7 @@
 	r.RecordReport("i1", fleet.Report{Orders: 1, Asked: start.Add(1100 * time.Millisecond)})
 	m := onlyMember(r, start.Add(1100*time.Millisecond))
 	g.Expect(m.Membership).To(Equal(member))
-	g.Expect(m.Counted).To(BeFalse())
+	g.Expect(m.OrdersKnown).To(BeFalse())
 }
 
 func TestMembershipKnownOnlyWhileInstanceWritesEntries(t *testing.T) {
@@ -147,7 +147,7 @@
 			r := newRoster()
 			now := start.Add(c.at)
 			r.RecordListRead(now)
-			NewWithT(t).Expect(onlyMember(r, now).Known).To(Equal(c.known))
+			NewWithT(t).Expect(onlyMember(r, now).MembershipKnown).To(Equal(c.known))
 		})
 	}
 }
@@ -158,9 +158,9 @@
 	r.RecordReport("i1", fleet.Report{Asked: start.Add(time.Second)})
 	o := placement.Order{Action: placement.Join, Instance: "i1", Key: member.Key(), Members: nil}
 	at := start.Add(1500 * time.Millisecond)
-	r.RecordOrderReply(o, r.BeginOrder("i1"), placement.Begun, at)
+	r.RecordOrderReply(o, r.BeginOrder("i1"), placement.Started, at)
 	g.Expect(onlyMember(r, at).Membership.State).To(Equal(fleet.Joining))
-	g.Expect(onlyMember(r, at).Orders).To(Equal(int64(1)))
+	g.Expect(onlyMember(r, at).AcceptedOrders).To(Equal(int64(1)))
 	// A report of the state before the order does not undo it.
 	r.RecordReport("i1", fleet.Report{Asked: at.Add(50 * time.Millisecond)})
 	g.Expect(onlyMember(r, at.Add(50*time.Millisecond)).Membership.Key()).To(Equal(member.Key()))
@@ -225,7 +225,7 @@
 			in.Position = 8
 			c.read(r, in, now)
 			r.RecordListRead(now)
-			NewWithT(t).Expect(onlyMember(r, now).Known).To(Equal(c.known))
+			NewWithT(t).Expect(onlyMember(r, now).MembershipKnown).To(Equal(c.known))
 		})
 	}
 }
@@ -289,7 +289,7 @@
 	g.Expect(r.ProbeCandidates(now)).To(BeEmpty())
 	r.RecordFailure("i1", now.Add(-100*time.Millisecond))
 	r.RecordFailure("i1", now)
-	g.Expect(onlyMember(r, now).Gone).To(BeFalse())
+	g.Expect(onlyMember(r, now).Ended).To(BeFalse())
 	g.Expect(r.ProbeCandidates(now)).To(HaveLen(1))
 }
 
@@ -312,12 +312,12 @@
 			if c.replaced {
 				r.RecordReplaced("i1", start.Add(8*time.Second))
 			}
-			g.Expect(onlyMember(r, start.Add(9*time.Second)).Gone).To(BeTrue())
+			g.Expect(onlyMember(r, start.Add(9*time.Second)).Ended).To(BeTrue())
 			again := free
 			again.Position = 9
 			r.ApplyFreshEntry(again, start.Add(10*time.Second))
 			m := onlyMember(r, start.Add(10*time.Second))
-			g.Expect(m.Gone).To(Equal(!c.revived))
+			g.Expect(m.Ended).To(Equal(!c.revived))
 			g.Expect(m.Lost).To(Equal(!c.revived))
 		})
 	}
--- a/coordination/roster/view.go
+++ b/coordination/roster/view.go
@@ -23,16 +23,16 @@
 		}
 		lost := r.unreachableFromAll(e, now)
 		list = append(list, placement.Member{
-			Instance:   e.current(),
-			Orders:     e.orders,
-			Counted:    e.ordersKnown,
-			Known:      r.membershipKnown(e, since, now),
-			Lost:       lost,
-			Far:        !lost && e.lost(now),
-			Gone:       e.gone,
-			Pending:    e.orderPending,
-			Superseded: e.superseded,
-			Seen:       e.firstSeen,
+			Instance:        e.current(),
+			AcceptedOrders:  e.orders,
+			OrdersKnown:     e.ordersKnown,
+			MembershipKnown: r.membershipKnown(e, since, now),
+			Lost:            lost,
+			Far:             !lost && e.lost(now),
+			Ended:           e.gone,
+			OrderPending:    e.orderPending,
+			SupersededGroup: e.superseded,
+			FirstSeen:       e.firstSeen,
 		})
 	}
 	slices.SortFunc(list, func(a, b placement.Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
--- a/transport/entry/backpressure_test.go
+++ b/transport/entry/backpressure_test.go
@@ -75,7 +75,7 @@
 			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
 		}, nil},
 		{"to a question", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
-		{"to a question, with a failure", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrUnreadable},
+		{"to a question, with a failure", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrInvalidReport},
 		{"to an order", func(n *observed) {
 			n.placer.order(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.BeginOrder("i"))
 		}, nil},
--- a/transport/entry/endings.go
+++ b/transport/entry/endings.go
@@ -79,7 +79,7 @@
 			n.reported(m, rep)
 			return true
 		}
-		if errors.Is(err, placement.ErrUnreadable) || errors.Is(err, placement.ErrReplaced) {
+		if errors.Is(err, placement.ErrInvalidReport) || errors.Is(err, placement.ErrAddressReused) {
 			return true // what is no report, or another process's, came over the same link
 		}
 	}
@@ -146,7 +146,7 @@
 // the instance has ended since requests broke off on it.
 func (n *Node) judgeReport(in fleet.Incarnation, asked time.Time, rep fleet.Report, err error) {
 	switch {
-	case errors.Is(err, placement.ErrReplaced):
+	case errors.Is(err, placement.ErrAddressReused):
 		n.ended(in, proofReplaced)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		n.refused(in)
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -124,11 +124,11 @@
 	}
 	defer n.told(m, rep) // after the roster knows of a later life
 	n.judgeReport(m.Incarnation(), asked, rep, err)
-	if errors.Is(err, placement.ErrReplaced) {
+	if errors.Is(err, placement.ErrAddressReused) {
 		n.RecordReplaced(m.ID)
 		return false
 	}
-	if errors.Is(err, placement.ErrUnreadable) {
+	if errors.Is(err, placement.ErrInvalidReport) {
 		n.unreadable(m.ID, asked, err)
 		return true
 	}
--- a/transport/entry/placer.go
+++ b/transport/entry/placer.go
@@ -23,7 +23,7 @@
 
 	mu       sync.Mutex
 	planners map[state.ServiceName]*placement.Planner
-	epochs   *placement.Epochs
+	epochs   *placement.EpochGenerator
 	avoid    []Formation
 	asking   map[state.InstanceID]bool
 	asked    map[state.InstanceID]time.Time
@@ -97,15 +97,15 @@
 			continue
 		}
 		planner := p.planner(s)
-		planner.Quiet = p.n.set.FirstStart && !p.n.peers.anyArrived()
-		planner.Work = p.n.set.Policy.Demand.WorkOf(s.Name, s.Engine, asked)
+		planner.BeforeTraffic = p.n.set.FirstStart && !p.n.peers.anyArrived()
+		planner.Demand = p.n.set.Policy.Demand.WorkOf(s.Name, s.Engine, asked)
 		members := p.n.roster.Members(s.Name, since, now)
 		plan := planner.Step(now, members)
 		staging[s.Name] = planner.Stagings()
-		for key := range plan.Avoid {
+		for key := range plan.ExcludedGroups {
 			avoid = append(avoid, Formation{Group: key.Group, Epoch: key.Epoch})
 		}
-		watch = watch || plan.Watch
+		watch = watch || plan.InTransition
 		p.tell(now, s.Name, plan, len(members))
 		p.n.roster.SetMaxReportLag(s.Engine.ReportLag + p.n.policy.ReportMargin)
 		p.carryOut(ctx, members, plan)
@@ -132,7 +132,7 @@
 	}
 	p.told = now
 	p.n.log.WithFields(log.Fields{
-		"service": service, "groups": plan.Serving, "wanted": plan.Wanted, "kept": plan.Kept, "free": plan.Free, "spares": plan.Spares, "instances": instances, "failing": avoidedText(plan.Avoid),
+		"service": service, "groups": plan.OpenGroups, "wanted": plan.DesiredInstances, "kept": plan.Skipped, "free": plan.FreeInstances, "spares": plan.SpareDescriptions, "instances": instances, "failing": avoidedText(plan.ExcludedGroups),
 	}).Info("supply")
 	p.n.log.WithFields(p.n.load.fields()).Info("leader load")
 }
@@ -154,7 +154,7 @@
 	pl := p.planners[s.Name]
 	if pl == nil {
 		pl = placement.NewPlanner(s.Engine, p.n.set.Policy.Placement, p.nextEpoch)
-		pl.Adopt(p.staging[s.Name])
+		pl.RecordStagings(p.staging[s.Name])
 		p.planners[s.Name] = pl
 	}
 	pl.SetEngine(s.Engine)
@@ -168,7 +168,7 @@
 	var list []Staging
 	for service, under := range p.staging {
 		for _, st := range under {
-			list = append(list, Staging{Service: service, Instance: st.Instance, Model: st.Model, AgeMS: age(now.Sub(st.Since))})
+			list = append(list, Staging{Service: service, Instance: st.Instance, Model: st.Model, AgeMS: age(now.Sub(st.StartedAt))})
 		}
 	}
 	return list
@@ -180,7 +180,7 @@
 	byService := map[state.ServiceName][]placement.Staging{}
 	for _, st := range list {
 		since := asked.Add(-time.Duration(st.AgeMS) * time.Millisecond)
-		byService[st.Service] = append(byService[st.Service], placement.Staging{Instance: st.Instance, Model: st.Model, Since: since})
+		byService[st.Service] = append(byService[st.Service], placement.Staging{Instance: st.Instance, Model: st.Model, StartedAt: since})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,9 +196,9 @@
 }
 
 // makeEpochs returns the node's epochs; p.mu is held.
-func (p *placer) makeEpochs() *placement.Epochs {
+func (p *placer) makeEpochs() *placement.EpochGenerator {
 	if p.epochs == nil {
-		p.epochs = placement.NewEpochs(source.Era(p.n.number.Load()), source.Offset(p.n.number.Load()))
+		p.epochs = placement.NewEpochGenerator(source.Era(p.n.number.Load()), source.Offset(p.n.number.Load()))
 	}
 	return p.epochs
 }
@@ -213,7 +213,7 @@
 	p.mu.Unlock()
 	epochs.Observe(seen)
 	if behind {
-		epochs.Behind()
+		epochs.SkipAhead()
 	}
 }
 
@@ -227,7 +227,7 @@
 		life := p.n.roster.BeginOrder(o.Instance)
 		go p.order(ctx, o, life)
 	}
-	for _, id := range plan.Ask {
+	for _, id := range plan.Probes {
 		if m := byID[id]; m != nil {
 			p.askOnce(ctx, m.Instance)
 		}
@@ -250,17 +250,17 @@
 	p.n.Count("order." + string(o.Action) + "." + string(reply))
 	fields := log.Fields{
 		"action": o.Action, "instance": o.Instance, "group": o.Key.Group, "epoch": o.Key.Epoch, "model": o.Model,
-		"why": o.Why, "reply": reply, "ms": p.n.clock.Since(began).Milliseconds(),
+		"why": o.Reason, "reply": reply, "ms": p.n.clock.Since(began).Milliseconds(),
 	}
 	if err != nil {
 		fields["error"] = err.Error()
 	}
-	if o.Expect != nil {
-		fields["expect"] = *o.Expect
+	if o.ExpectedOrders != nil {
+		fields["expect"] = *o.ExpectedOrders
 	}
 	p.n.log.WithFields(fields).Info("order")
 	switch {
-	case errors.Is(err, placement.ErrReplaced):
+	case errors.Is(err, placement.ErrAddressReused):
 		p.n.RecordReplaced(o.Instance)
 	case reply == placement.Unanswered && !p.n.delayed(callCtx, began, p.n.policy.OrderTimeout):
 		p.n.roster.RecordFailure(o.Instance, began)
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -179,11 +179,11 @@
 		ended bool
 	}{
 		{"its address refuses connections", fleet.Report{}, os.NewSyscallError("connect", syscall.ECONNREFUSED), true},
-		{"another process answers", fleet.Report{}, placement.ErrReplaced, true},
+		{"another process answers", fleet.Report{}, placement.ErrAddressReused, true},
 		{"it has started again", fleet.Report{Born: born.Add(time.Second)}, nil, true},
 		{"it answers", fleet.Report{Born: born}, nil, false},
 		{"it answers, but tells no start", fleet.Report{}, nil, false},
-		{"it answers no report", fleet.Report{}, placement.ErrUnreadable, false},
+		{"it answers no report", fleet.Report{}, placement.ErrInvalidReport, false},
 		{"it is silent", fleet.Report{}, context.DeadlineExceeded, false},
 		{"its connection is reset", fleet.Report{}, os.NewSyscallError("read", syscall.ECONNRESET), false},
 	} {
--- a/transport/entry/querydeath_test.go
+++ b/transport/entry/querydeath_test.go
@@ -200,7 +200,7 @@
 		return fleet.Report{}, err
 	}
 	_ = conn.Close()
-	return fleet.Report{}, placement.ErrUnreadable
+	return fleet.Report{}, placement.ErrInvalidReport
 }
 
 // post sends a request with a body to a node and returns the status and the text of the answer.
