--- a/protocol/peer/convert.go
+++ b/protocol/peer/convert.go
@@ -28,9 +28,9 @@
 		Applied:     uint64(n.Applied),
 		Ready:       n.Ready,
 		Stopping:    n.Stopping,
-		LogAgeMs:    Milliseconds(n.LogAge),
-		Held:        uint32(max(0, n.Held)),
-		Demand:      uint32(max(0, n.Demand)),
+		LogAgeMs:    Milliseconds(n.LogLag),
+		Held:        uint32(max(0, n.InFlight)),
+		Demand:      uint32(max(0, n.RequestRate)),
 		AgeMs:       Milliseconds(age),
 		Models:      n.Models,
 	}
@@ -50,11 +50,11 @@
 		Applied:     state.Offset(m.GetApplied()),
 		Ready:       m.GetReady(),
 		Stopping:    m.GetStopping(),
-		LogAge:      Duration(m.GetLogAgeMs()),
-		Held:        int(m.GetHeld()),
-		Demand:      int(m.GetDemand()),
+		LogLag:      Duration(m.GetLogAgeMs()),
+		InFlight:    int(m.GetHeld()),
+		RequestRate: int(m.GetDemand()),
 		Models:      m.GetModels(),
-		SaidAt:      asked.Add(-Duration(m.GetAgeMs())),
+		RequestedAt: asked.Add(-Duration(m.GetAgeMs())),
 	}, nil
 }
 
@@ -68,9 +68,9 @@
 		Rank:        uint32(r.Rank),
 		Phase:       string(r.Phase),
 		Leaving:     r.Leaving,
-		Held:        uint32(r.Load.Held),
+		Held:        uint32(r.Load.InFlight),
 		Tokens:      uint64(r.Load.Tokens),
-		Slots:       uint32(r.Load.Slots),
+		Slots:       uint32(r.Load.BatchSlots),
 		AgeMs:       Milliseconds(age),
 	}
 }
@@ -85,7 +85,7 @@
 		Rank:        int(m.GetRank()),
 		Phase:       evidence.Phase(m.GetPhase()),
 		Leaving:     m.GetLeaving(),
-		Load:        evidence.Load{Held: int(m.GetHeld()), Tokens: int64(m.GetTokens()), Slots: int(m.GetSlots())},
+		Load:        evidence.Load{InFlight: int(m.GetHeld()), Tokens: int64(m.GetTokens()), BatchSlots: int(m.GetSlots())},
 	}
 }
 
@@ -94,11 +94,11 @@
 	d := evidence.Delta{Version: m.GetVersion()}
 	ages := make([]time.Duration, 0, len(m.GetChanged()))
 	for _, r := range m.GetChanged() {
-		d.Changed = append(d.Changed, evidence.Entry{Report: decodeReport(r)})
+		d.Changed = append(d.Changed, evidence.TimedReport{Report: decodeReport(r)})
 		ages = append(ages, Duration(r.GetAgeMs()))
 	}
 	for _, id := range m.GetLost() {
-		d.Lost = append(d.Lost, state.InstanceID(id))
+		d.Expired = append(d.Expired, state.InstanceID(id))
 	}
 	return d, ages
 }
--- a/protocol/target/target.go
+++ b/protocol/target/target.go
@@ -119,7 +119,7 @@
 	resp, _, err := c.control.Do(req)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return evidence.Report{}, fmt.Errorf("%w: %w", probe.ErrDown, err)
+		return evidence.Report{}, fmt.Errorf("%w: %w", probe.ErrNotListening, err)
 	case err != nil:
 		return evidence.Report{}, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
@@ -169,7 +169,7 @@
 		Rank:        w.Rank,
 		Phase:       w.Phase,
 		Leaving:     w.Leaving,
-		Load:        evidence.Load{Held: w.Held, Tokens: w.Tokens, Slots: w.Slots},
+		Load:        evidence.Load{InFlight: w.Held, Tokens: w.Tokens, BatchSlots: w.Slots},
 	}, nil
 }
 
@@ -282,7 +282,7 @@
 		Delimited:   resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
 		Body:        resp.Body,
 		Notice:      notice(resp),
-	}, retry.Run, nil
+	}, retry.Completed, nil
 }
 
 // request builds the HTTP request of a call.
--- a/transport/caller/caller.go
+++ b/transport/caller/caller.go
@@ -128,7 +128,7 @@
 		return
 	}
 	names := s.c.OpenModels()
-	for _, n := range s.c.Directory.Live("", s.c.Clock.Now()) {
+	for _, n := range s.c.Directory.LivePeers("", s.c.Clock.Now()) {
 		names = append(names, n.Models...)
 	}
 	slices.Sort(names)
@@ -176,7 +176,7 @@
 	if !s.known(pool) {
 		return notRun(http.StatusNotFound, CodeNotFound, "%s is not configured", pool)
 	}
-	f := notRun(http.StatusServiceUnavailable, Code(admission.CodeNoGroup), "no hall that team %s may use has a whole group for %s", q.team.Name, pool)
+	f := notRun(http.StatusServiceUnavailable, Code(admission.CodeNoWholeGroup), "no hall that team %s may use has a whole group for %s", q.team.Name, pool)
 	return s.comeBack(f, pool)
 }
 
@@ -210,13 +210,13 @@
 // again reports whether a failed attempt may be repeated, and counts why or why not.
 func (s *Server) again(ctx context.Context, q *request, o retry.Outcome, f *Failure, repeatable bool) bool {
 	switch {
-	case !retry.Allowed(o, repeatable):
+	case !retry.CanRetry(o, repeatable):
 		s.c.Count("retry-denied.not-repeatable")
 	case ctx.Err() != nil || !s.c.Clock.Now().Before(q.deadline):
 		s.c.Count("retry-denied.deadline")
 	case s.quarantined(q) != nil:
 		s.c.Count("retry-denied.quarantined")
-	case !s.c.Budget.Take():
+	case !s.c.Budget.TryTake():
 		s.c.Count("retry-denied.budget")
 	default:
 		s.c.Count("retry." + string(f.Code))
--- a/transport/caller/completion.go
+++ b/transport/caller/completion.go
@@ -25,7 +25,7 @@
 		return f
 	}
 	defer done()
-	s.c.Budget.Attempt()
+	s.c.Budget.RecordAttempt()
 	if q.stream {
 		return s.streamed(ctx, w, q)
 	}
@@ -61,7 +61,7 @@
 // noGroup is the failure when no candidate is open: that of the last attempt, if there was one.
 func (s *Server) noGroup(pool string, last *Failure) *Failure {
 	if last == nil {
-		last = withOutcome(retry.NotRun, Code(admission.CodeNoGroup), "no whole group is left for the request")
+		last = withOutcome(retry.NotRun, Code(admission.CodeNoWholeGroup), "no whole group is left for the request")
 	}
 	if last.Outcome != retry.NotRun {
 		return last
@@ -93,7 +93,7 @@
 	h := w.Header()
 	h.Set("Content-Type", ans.ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	h.Set(HeaderOutcome, string(retry.Run))
+	h.Set(HeaderOutcome, string(retry.Completed))
 	h.Set(HeaderRequestID, id)
 	w.WriteHeader(ans.Status)
 	_, _ = w.Write(body)
--- a/transport/caller/ticket.go
+++ b/transport/caller/ticket.go
@@ -79,7 +79,7 @@
 	if q.forwarded {
 		return false, gone
 	}
-	for _, n := range s.c.Directory.Known() {
+	for _, n := range s.c.Directory.Peers() {
 		if n.Name != node || n.Incarnation != incarnation {
 			continue
 		}
@@ -122,7 +122,7 @@
 	switch o {
 	case retry.NotRun:
 		t.book.GiveBack(t.text)
-	case retry.Run:
+	case retry.Completed:
 		t.book.Finish(t.text, result)
 	}
 }
--- a/transport/entry/backpressure_test.go
+++ b/transport/entry/backpressure_test.go
@@ -50,7 +50,7 @@
 	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: lines, Level: log.InfoLevel})
 	in := fleet.Instance{ID: "i", Born: time.UnixMilli(5000).UTC(), Service: "lm", Address: testAddress(9)}
-	n.roster.Listed(in, clock.Now())
+	n.roster.ApplyFreshEntry(in, clock.Now())
 	return &observed{n, in, clock, lines}
 }
 
@@ -72,31 +72,31 @@
 		err  error
 	}{
 		{"to a request", func(n *observed) {
-			n.Told(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
+			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
 		}, nil},
 		{"to a question", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
-		{"to a question, with a failure", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrUnreadable},
+		{"to a question, with a failure", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrInvalidReport},
 		{"to an order", func(n *observed) {
-			n.placer.order(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.Ordering("i"))
+			n.placer.order(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.BeginOrder("i"))
 		}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			n := observe(&noticing{notice: fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, err: c.err})
 			c.call(n)
-			until, cooling := n.CoolingDown(&n.in)
+			until, cooling := n.CooldownUntil(&n.in)
 			g.Expect(cooling).To(BeTrue())
 			g.Expect(until).To(Equal(n.clock.Now().Add(3 * time.Second)))
-			g.Expect(n.Leaving(&n.in)).To(BeTrue())
+			g.Expect(n.IsLeaving(&n.in)).To(BeTrue())
 			c.call(n)
 			g.Expect(n.logged("cooldown began")).To(Equal(1))
 			g.Expect(n.logged("instance leaving")).To(Equal(1))
 			n.clock.Advance(3 * time.Second)
 			n.logCooldowns()
-			_, cooling = n.CoolingDown(&n.in)
+			_, cooling = n.CooldownUntil(&n.in)
 			g.Expect(cooling).To(BeFalse())
 			g.Expect(n.logged("cooldown ended")).To(Equal(1))
-			g.Expect(n.Leaving(&n.in)).To(BeTrue())
+			g.Expect(n.IsLeaving(&n.in)).To(BeTrue())
 		})
 	}
 }
@@ -115,14 +115,14 @@
 			g := NewWithT(t)
 			targets := &noticing{err: c.err}
 			n := observe(targets)
-			n.Told(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
+			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
 			for range 20 {
 				n.clock.Advance(100 * time.Millisecond)
 				n.report(context.Background(), n.in, n.clock.Now())
 			}
 			g.Expect(targets.asked).To(Equal(2))
 			v, _ := n.roster.Get("i", n.clock.Now())
-			g.Expect(v.Lost).To(Equal(c.lost))
+			g.Expect(v.Unreachable).To(Equal(c.lost))
 			n.clock.Advance(time.Second)
 			n.report(context.Background(), n.in, n.clock.Now())
 			g.Expect(targets.asked).To(Equal(3))
@@ -134,9 +134,9 @@
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	for range 3 {
-		n.Told(&n.in, fleet.Notice{CooldownFault: retryafter.ErrValue}, "r1", time.Time{})
+		n.RecordNotice(&n.in, fleet.Notice{CooldownFault: retryafter.ErrValue}, "r1", time.Time{})
 	}
-	_, cooling := n.CoolingDown(&n.in)
+	_, cooling := n.CooldownUntil(&n.in)
 	g.Expect(cooling).To(BeFalse())
 	g.Expect(n.logged("cooldown not read")).To(Equal(1))
 }
@@ -144,21 +144,21 @@
 func TestALaterLifeIsNeitherCoolingDownNorLeaving(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
-	n.Told(&n.in, fleet.Notice{Cooldown: time.Minute, Leaving: true}, "r1", time.Time{})
+	n.RecordNotice(&n.in, fleet.Notice{Cooldown: time.Minute, Leaving: true}, "r1", time.Time{})
 	next := n.in
 	next.Born, next.Position = next.Born.Add(time.Second), next.Position+1
-	n.roster.Listed(next, n.clock.Now())
-	_, cooling := n.CoolingDown(&next)
+	n.roster.ApplyFreshEntry(next, n.clock.Now())
+	_, cooling := n.CooldownUntil(&next)
 	g.Expect(cooling).To(BeFalse())
-	g.Expect(n.Leaving(&next)).To(BeFalse())
-	n.Told(&n.in, fleet.Notice{Leaving: true}, "r2", time.Time{}) // a late answer of the earlier life
-	g.Expect(n.Leaving(&next)).To(BeFalse())
+	g.Expect(n.IsLeaving(&next)).To(BeFalse())
+	n.RecordNotice(&n.in, fleet.Notice{Leaving: true}, "r2", time.Time{}) // a late answer of the earlier life
+	g.Expect(n.IsLeaving(&next)).To(BeFalse())
 }
 
 func TestOperatorsSeeWhichInstancesAreCoolingDown(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
-	n.Told(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
+	n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
 	n.clock.Advance(time.Second)
 	mux := http.NewServeMux()
 	n.handleOperators(mux)
@@ -176,17 +176,17 @@
 	leader, a, b := numbered(g, "leader", 1), numbered(g, "a", 2), numbered(g, "b", 3)
 	in := fleet.Instance{ID: "i", Born: time.UnixMilli(5000).UTC(), Service: "lm", Position: 5, Address: testAddress(9)}
 	for _, n := range []*Node{leader, a, b} {
-		n.roster.Listed(in, n.clock.Now())
+		n.roster.ApplyFreshEntry(in, n.clock.Now())
 	}
 	exchange(g, b, leader)
-	a.Told(&in, fleet.Notice{Leaving: true}, "r1", time.Time{})
+	a.RecordNotice(&in, fleet.Notice{Leaving: true}, "r1", time.Time{})
 	exchange(g, a, leader)
 	newer := in
 	newer.Position = 7
-	b.roster.Listed(newer, b.clock.Now())
+	b.roster.ApplyFreshEntry(newer, b.clock.Now())
 	exchange(g, b, leader)
 	for _, n := range []*Node{leader, a, b} {
-		g.Expect(n.Leaving(&in)).To(BeTrue(), n.set.Name)
+		g.Expect(n.IsLeaving(&in)).To(BeTrue(), n.set.Name)
 		v, _ := n.roster.Get("i", n.clock.Now())
 		g.Expect(v.Draining).To(BeTrue(), n.set.Name)
 	}
--- a/transport/entry/endings.go
+++ b/transport/entry/endings.go
@@ -27,27 +27,27 @@
 	proofReborn   endProof = "it has started again"
 )
 
-// Broken implements gateway.Quarantine.
-func (n *Node) Broken(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time) {
+// RecordInterruption implements gateway.Quarantine.
+func (n *Node) RecordInterruption(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time) {
 	var lives []fleet.Incarnation
 	for i := range instances {
 		// The members of a group that stands still have just been asked: only those that did
 		// not answer may have ended, one or two of 16.
-		if len(instances) == 1 || n.roster.Failures(instances[i].ID) > 0 {
+		if len(instances) == 1 || n.roster.ConsecutiveFailures(instances[i].ID) > 0 {
 			lives = append(lives, instances[i].Incarnation())
 		}
 	}
-	n.ledger.Broken(f, lives, began, n.clock.Now())
+	n.ledger.RecordInterruption(f, lives, began, n.clock.Now())
 }
 
-// Refused implements gateway.Quarantine.
-func (n *Node) Refused(c *dispatch.Candidate) { go n.refused(c.Incarnation()) }
+// RecordConnectionRefused implements gateway.Quarantine.
+func (n *Node) RecordConnectionRefused(c *dispatch.Candidate) { go n.refused(c.Incarnation()) }
 
 // refused judges a refused connection to an instance on which requests broke off. A hall that is cut
 // off by resets refuses on behalf of instances that live: it proves an ending only if another
 // instance of the hall answers, and the connection is refused still.
 func (n *Node) refused(in fleet.Incarnation) {
-	if !n.ledger.Examine(in, n.clock.Now()) {
+	if !n.ledger.BeginInvestigation(in, n.clock.Now()) {
 		return
 	}
 	v, known := n.roster.Get(in.ID, n.clock.Now())
@@ -79,7 +79,7 @@
 			n.reported(m, rep)
 			return true
 		}
-		if errors.Is(err, placement.ErrUnreadable) || errors.Is(err, placement.ErrReplaced) {
+		if errors.Is(err, placement.ErrInvalidReport) || errors.Is(err, placement.ErrAddressReused) {
 			return true // what is no report, or another process's, came over the same link
 		}
 	}
@@ -108,7 +108,7 @@
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	rank := func(m *fleet.Instance) int {
 		r := 0
-		if n.roster.Failures(m.ID) > 0 {
+		if n.roster.ConsecutiveFailures(m.ID) > 0 {
 			r += 2
 		}
 		if m.Domain == of.Domain {
@@ -123,7 +123,7 @@
 // ended records that an instance has ended, and has the leader told at once of the
 // requests that it had under way.
 func (n *Node) ended(in fleet.Incarnation, proof endProof) {
-	requests := n.ledger.Ended(in, n.clock.Now())
+	requests := n.ledger.RecordEnding(in, n.clock.Now())
 	if len(requests) == 0 {
 		return
 	}
@@ -134,7 +134,7 @@
 
 // alive records that an instance answered a question.
 func (n *Node) alive(in fleet.Incarnation, asked time.Time) {
-	if !n.ledger.Alive(in, asked) {
+	if !n.ledger.RecordProbeResponse(in, asked) {
 		return
 	}
 	n.Count("quarantine.back")
@@ -146,7 +146,7 @@
 // the instance has ended since requests broke off on it.
 func (n *Node) judgeReport(in fleet.Incarnation, asked time.Time, rep fleet.Report, err error) {
 	switch {
-	case errors.Is(err, placement.ErrReplaced):
+	case errors.Is(err, placement.ErrAddressReused):
 		n.ended(in, proofReplaced)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		n.refused(in)
@@ -160,7 +160,7 @@
 
 // askDoubted asks the instances on which requests broke off whether they live.
 func (n *Node) askDoubted() {
-	for _, in := range n.ledger.Due(n.clock.Now()) {
+	for _, in := range n.ledger.NextProbes(n.clock.Now()) {
 		v, known := n.roster.Get(in.ID, n.clock.Now())
 		switch {
 		case !known:
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -15,25 +15,25 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Heard implements gateway.Health.
-func (n *Node) Heard(id state.InstanceID, at time.Time) { n.roster.Heard(id, at) }
+// RecordResponse implements gateway.FailureDetector.
+func (n *Node) RecordResponse(id state.InstanceID, at time.Time) { n.roster.RecordResponse(id, at) }
 
-// Failed implements gateway.Health.
-func (n *Node) Failed(id state.InstanceID, at time.Time) {
-	n.roster.Failed(id, at)
+// RecordFailure implements gateway.FailureDetector.
+func (n *Node) RecordFailure(id state.InstanceID, at time.Time) {
+	n.roster.RecordFailure(id, at)
 	n.suspect(id, at)
 	n.touch()
 }
 
-// Replaced implements gateway.Health.
-func (n *Node) Replaced(id state.InstanceID) {
-	n.roster.Replaced(id, n.clock.Now())
+// RecordReplaced implements gateway.FailureDetector.
+func (n *Node) RecordReplaced(id state.InstanceID) {
+	n.roster.RecordReplaced(id, n.clock.Now())
 	n.touch()
 }
 
-// Suspect implements gateway.Health: it asks all members of a group whether they
+// ProbeGroup implements gateway.FailureDetector: it asks all members of a group whether they
 // live, and gives the group's requests up if one does not.
-func (n *Node) Suspect(c *dispatch.Candidate) {
+func (n *Node) ProbeGroup(c *dispatch.Candidate) {
 	go func() {
 		silent := n.askAll(c.Members)
 		if len(silent) == 0 {
@@ -44,7 +44,7 @@
 			"group": c.Membership.Group, "epoch": c.Membership.Epoch, "head": c.ID, "silent": silent, "held": c.Held(),
 		}).Warn("group stands still")
 		n.touch()
-		n.gate.Watch.CutStalled(c.ID)
+		n.gate.StallDetector.CancelGroup(c.ID)
 	}()
 }
 
@@ -85,11 +85,11 @@
 
 // question asks an instance for its report once.
 func (n *Node) question(ctx context.Context, m fleet.Instance, asked time.Time) (fleet.Report, error) {
-	if !n.cooldowns.Question(m.Incarnation(), asked) {
+	if !n.cooldowns.TryProbe(m.Incarnation(), asked) {
 		n.Count("probes.cooling-down")
 		return fleet.Report{}, errNotAsked
 	}
-	if !n.limits.Question(m.Incarnation(), n.asker(m.ID), asked) {
+	if !n.limits.TryProbe(m.Incarnation(), n.asker(m.ID), asked) {
 		n.Count("probes.rate-limited")
 		return fleet.Report{}, errNotAsked
 	}
@@ -104,13 +104,13 @@
 	if !rep.Born.IsZero() {
 		m.Born = rep.Born
 	}
-	n.Told(&m, rep.Notice, "", rep.Asked)
+	n.RecordNotice(&m, rep.Notice, "", rep.Asked)
 }
 
 // reported records the report of an instance, and then what it asks for: the roster knows of a
 // later life by then.
 func (n *Node) reported(m fleet.Instance, rep fleet.Report) {
-	n.roster.Reported(m.ID, rep)
+	n.roster.RecordReport(m.ID, rep)
 	n.told(m, rep)
 }
 
@@ -124,11 +124,11 @@
 	}
 	defer n.told(m, rep) // after the roster knows of a later life
 	n.judgeReport(m.Incarnation(), asked, rep, err)
-	if errors.Is(err, placement.ErrReplaced) {
-		n.Replaced(m.ID)
+	if errors.Is(err, placement.ErrAddressReused) {
+		n.RecordReplaced(m.ID)
 		return false
 	}
-	if errors.Is(err, placement.ErrUnreadable) {
+	if errors.Is(err, placement.ErrInvalidReport) {
 		n.unreadable(m.ID, asked, err)
 		return true
 	}
@@ -139,24 +139,24 @@
 		return true
 	}
 	if err != nil {
-		n.Failed(m.ID, asked)
+		n.RecordFailure(m.ID, asked)
 		n.logFailedProbe(m.ID, asked, err)
 		return false
 	}
-	n.roster.Reported(m.ID, rep)
+	n.roster.RecordReport(m.ID, rep)
 	return true
 }
 
 // connectionTo returns over which connection an instance is called next: a new one if its
 // last call failed.
 func (n *Node) connectionTo(id state.InstanceID) Connection {
-	return Connection(n.roster.Failures(id) > 0)
+	return Connection(n.roster.ConsecutiveFailures(id) > 0)
 }
 
 // logFailedProbe logs a failed probe as long as the instance does not yet count as
 // lost for it, so that a dead instance is logged once or twice.
 func (n *Node) logFailedProbe(id state.InstanceID, asked time.Time, err error) {
-	failures := n.roster.Failures(id)
+	failures := n.roster.ConsecutiveFailures(id)
 	if failures > n.set.Policy.Roster.LostFailures {
 		return
 	}
@@ -172,7 +172,7 @@
 		return false
 	}
 	now := n.clock.Now()
-	return n.health.Delayed(began, now) || localhealth.Overran(began.Add(timeout), now)
+	return n.health.DelayedSince(began, now) || localhealth.DetectedLate(began.Add(timeout), now)
 }
 
 // watchHealth measures how late the node's own timers are.
@@ -184,9 +184,9 @@
 		}
 		now := n.clock.Now()
 		delay := now.Sub(began) - n.policy.HealthInterval
-		n.health.Observe(delay, now)
+		n.health.RecordDelay(delay, now)
 		n.load.timer(delay)
-		n.gate.Watch.Look()
+		n.gate.StallDetector.Check()
 		n.dealLimits(now)
 		n.askDoubted()
 	}
@@ -205,7 +205,7 @@
 // known of it stays. The first such answer of an instance is logged.
 func (n *Node) unreadable(id state.InstanceID, asked time.Time, err error) {
 	n.Count("reports.unreadable")
-	n.roster.Heard(id, asked)
+	n.roster.RecordResponse(id, asked)
 	if _, known := n.garbled.LoadOrStore(id, true); !known {
 		n.log.WithError(err).WithField("instance", id).Warn("report not read")
 	}
--- a/transport/entry/limithistory_test.go
+++ b/transport/entry/limithistory_test.go
@@ -113,9 +113,9 @@
 	set := &Settings{Name: name, Hall: "hall", Peer: testAddress(int(h.number)), Capacity: 1, Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}}, h.clock, &log.Logger{Handler: discard.New()})
 	n.number.Store(h.number)
-	n.dealer = ratelimit.NewDealer(set.Policy.RateLimit, h.rng.Float64)
+	n.dealer = ratelimit.NewAllocator(set.Policy.RateLimit, h.rng.Float64)
 	h.g.Expect(n.know.Learn([]byte("x"))).Error().NotTo(HaveOccurred())
-	n.roster.Listed(h.in, h.clock.Now())
+	n.roster.ApplyFreshEntry(h.in, h.clock.Now())
 	n.peers.setComplete()
 	for _, o := range h.nodes {
 		n.peers.learn(o.peers.self())
@@ -202,7 +202,7 @@
 
 // send has a node send a request if it may; the answer names the limit.
 func (h *limitHistory) send(n *historyNode, now time.Time) {
-	if !n.Open(&h.in) || !n.Send(&h.in) {
+	if !n.CanSend(&h.in) || !n.TrySend(&h.in) {
 		return
 	}
 	h.sent = append(h.sent, historySend{now, n})
@@ -211,7 +211,7 @@
 			if n.told.IsZero() && h.said.Limited {
 				n.told = h.clock.Now()
 			}
-			n.Told(&h.in, fleet.Notice{RateLimit: h.said}, "", now)
+			n.RecordNotice(&h.in, fleet.Notice{RateLimit: h.said}, "", now)
 		}
 	})
 }
--- a/transport/entry/node.go
+++ b/transport/entry/node.go
@@ -51,10 +51,10 @@
 	demand *demand.Meter
 	ledger *quarantine.Ledger
 	// cooldowns are the instances that asked this node to send them nothing for a while.
-	cooldowns *cooldown.Book
+	cooldowns *cooldown.Tracker
 	// limits are the instances that take only so many requests a second from all nodes together.
-	limits  *ratelimit.Book
-	dealer  *ratelimit.Dealer
+	limits  *ratelimit.Tracker
+	dealer  *ratelimit.Allocator
 	pool    *direct.Pool
 	metrics metrics.Registry
 	log     *log.Logger
@@ -102,7 +102,7 @@
 		clock:   clock,
 		ports:   ports,
 		know:    NewKnowledge(ports.Decoder, set.StrictKeys, set.KeysWithin, clock),
-		roster:  roster.New(roster.Config{Beat: set.BeatInterval, Stall: set.StallTime, Indirect: true, Policy: set.Policy.Roster}),
+		roster:  roster.New(roster.Config{HeartbeatInterval: set.BeatInterval, StallTimeout: set.StallTime, IndirectProbes: true, Policy: set.Policy.Roster}),
 		table:   dispatch.NewTable(set.Hall, set.Policy.Dispatch),
 		pool:    direct.NewPool(direct.Dialer{Timeout: dialTimeout, Silence: silence}, clock.Now),
 		metrics: metrics.NewRegistry(),
@@ -110,9 +110,9 @@
 		ledger:  quarantine.NewLedger(set.Policy.Quarantine),
 
 		writeAgain: make(chan struct{}, 1),
-		cooldowns:  cooldown.NewBook(set.Policy.Cooldown),
-		limits:     ratelimit.NewBook(set.Policy.RateLimit),
-		dealer:     ratelimit.NewDealer(set.Policy.RateLimit, rand.Float64),
+		cooldowns:  cooldown.NewTracker(set.Policy.Cooldown),
+		limits:     ratelimit.NewTracker(set.Policy.RateLimit),
+		dealer:     ratelimit.NewAllocator(set.Policy.RateLimit, rand.Float64),
 		log:        logger,
 		started:    clock.Now(),
 		changed:    make(chan struct{}, 1),
@@ -123,7 +123,7 @@
 		leavers:    map[fleet.Incarnation]time.Time{},
 	}
 	n.gate = gateway.New(gateway.Options{
-		Clock: clock, Dialect: ports.Dialect, Catalogs: n.know, Table: n.table, Health: n, Recorder: n, Quarantine: n, Backpressure: n, Pool: n.pool, Demand: n.demand, Policy: set.Policy.Gateway,
+		Clock: clock, Codec: ports.Dialect, Catalogs: n.know, Table: n.table, FailureDetector: n, Recorder: n, Quarantine: n, Backpressure: n, Pool: n.pool, Demand: n.demand, Policy: set.Policy.Gateway,
 		Retry: set.Retry,
 	})
 	n.peers = newPeers(n)
@@ -140,8 +140,8 @@
 	sampleAlpha = 0.015
 )
 
-// Time implements gateway.Recorder: histograms are in microseconds.
-func (n *Node) Time(name string, d time.Duration) {
+// ObserveDuration implements gateway.Recorder: histograms are in microseconds.
+func (n *Node) ObserveDuration(name string, d time.Duration) {
 	h := n.metrics.GetOrRegister(name+".us", func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	})
@@ -150,8 +150,8 @@
 	}
 }
 
-// Decide implements gateway.Recorder.
-func (n *Node) Decide(d event.Decision) { n.log.WithFields(d).Info(d.Name()) }
+// LogDecision implements gateway.Recorder.
+func (n *Node) LogDecision(d event.Decision) { n.log.WithFields(d).Info(d.Name()) }
 
 // Run runs the node until ctx ends, then stops it within the time for a planned stop.
 func (n *Node) Run(ctx context.Context) error {
@@ -223,7 +223,7 @@
 // timed reports whether an instance may have come to count as lost by time alone.
 func (n *Node) timed(views []roster.View) bool {
 	for i := range views {
-		if views[i].Lost || views[i].Draining || views[i].Unlisted {
+		if views[i].Unreachable || views[i].Draining || views[i].Unlisted {
 			return true
 		}
 	}
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -33,14 +33,14 @@
 	for i := range 3 {
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprintf("%s-i%d", n.set.Name, i)), Life: "1"}
 		at := n.clock.Now().Add(time.Duration(i-5) * time.Second)
-		n.ledger.Broken(f, []fleet.Incarnation{in}, at.Add(-time.Second), at)
-		n.ledger.Ended(in, at)
+		n.ledger.RecordInterruption(f, []fleet.Incarnation{in}, at.Add(-time.Second), at)
+		n.ledger.RecordEnding(in, at)
 	}
 }
 
 // holds reports whether a node holds a request back.
 func holds(n *Node, f quarantine.Fingerprint) bool {
-	_, held := n.HeldUntil(f)
+	_, held := n.QuarantinedUntil(f)
 	return held
 }
 
@@ -96,8 +96,8 @@
 	for i, n := range nodes {
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprintf("i%d", i))}
 		at := n.clock.Now().Add(time.Duration(i-5) * time.Second)
-		n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in}, at.Add(-time.Second), at)
-		n.ledger.Ended(in, at)
+		n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in}, at.Add(-time.Second), at)
+		n.ledger.RecordEnding(in, at)
 	}
 	for range 2 {
 		for _, n := range nodes {
@@ -179,11 +179,11 @@
 		ended bool
 	}{
 		{"its address refuses connections", fleet.Report{}, os.NewSyscallError("connect", syscall.ECONNREFUSED), true},
-		{"another process answers", fleet.Report{}, placement.ErrReplaced, true},
+		{"another process answers", fleet.Report{}, placement.ErrAddressReused, true},
 		{"it has started again", fleet.Report{Born: born.Add(time.Second)}, nil, true},
 		{"it answers", fleet.Report{Born: born}, nil, false},
 		{"it answers, but tells no start", fleet.Report{}, nil, false},
-		{"it answers no report", fleet.Report{}, placement.ErrUnreadable, false},
+		{"it answers no report", fleet.Report{}, placement.ErrInvalidReport, false},
 		{"it is silent", fleet.Report{}, context.DeadlineExceeded, false},
 		{"its connection is reset", fleet.Report{}, os.NewSyscallError("read", syscall.ECONNRESET), false},
 	} {
@@ -193,11 +193,11 @@
 			set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
 			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: proofs{c.rep, c.err}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "i", Born: born, Service: "lm", Address: testAddress(9)}
-			n.roster.Listed(in, clock.Now())
-			n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
+			n.roster.ApplyFreshEntry(in, clock.Now())
+			n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
 			clock.Advance(time.Millisecond)
 			n.report(t.Context(), in, clock.Now())
-			d, _ := n.ledger.Since(0, 0)
+			d, _ := n.ledger.ChangesSince(0, 0)
 			g.Expect(d.Endings).To(HaveLen(map[bool]int{true: 1}[c.ended]))
 		})
 	}
@@ -236,15 +236,15 @@
 			set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
 			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: halls{answering: c.answering}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "a0", Service: "lm", Address: testAddress(9), Hall: "near", Domain: "a"}
-			n.roster.Listed(in, clock.Now())
+			n.roster.ApplyFreshEntry(in, clock.Now())
 			for i, id := range near {
-				n.roster.Listed(fleet.Instance{ID: state.InstanceID(id), Service: "lm", Address: testAddress(10 + i), Hall: "near", Domain: id[:1]}, clock.Now())
+				n.roster.ApplyFreshEntry(fleet.Instance{ID: state.InstanceID(id), Service: "lm", Address: testAddress(10 + i), Hall: "near", Domain: id[:1]}, clock.Now())
 			}
-			n.roster.Listed(fleet.Instance{ID: "far", Service: "lm", Address: testAddress(20), Hall: "far", Domain: "c"}, clock.Now())
-			n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
+			n.roster.ApplyFreshEntry(fleet.Instance{ID: "far", Service: "lm", Address: testAddress(20), Hall: "far", Domain: "c"}, clock.Now())
+			n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
 			clock.Advance(time.Millisecond)
 			n.report(t.Context(), in, clock.Now())
-			d, _ := n.ledger.Since(0, 0)
+			d, _ := n.ledger.ChangesSince(0, 0)
 			g.Expect(d.Endings).To(HaveLen(map[bool]int{true: 1}[c.ended]))
 		})
 	}
@@ -268,13 +268,13 @@
 	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: silentConnections{}}, clock, &log.Logger{Handler: discard.New()})
 	in := fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9)}
-	n.roster.Listed(in, clock.Now())
+	n.roster.ApplyFreshEntry(in, clock.Now())
 	for range 2 { // twice in a row
 		clock.Advance(time.Second)
 		g.Expect(n.ask(t.Context(), in)).To(BeTrue())
 		v, known := n.roster.Get(in.ID, clock.Now())
 		g.Expect(known).To(BeTrue())
-		g.Expect(v.Lost).To(BeFalse())
+		g.Expect(v.Unreachable).To(BeFalse())
 	}
 }
 
@@ -303,12 +303,12 @@
 	g := NewWithT(t)
 	n := numbered(g, "a", 1)
 	for endings := range 3 {
-		g.Expect(n.Suspected(deadlyRequest)).To(Equal(endings == 2))
+		g.Expect(n.IsSuspected(deadlyRequest)).To(Equal(endings == 2))
 		g.Expect(holds(n, deadlyRequest)).To(BeFalse())
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprint("i", endings)), Life: "1"}
 		at := n.clock.Now().Add(time.Duration(endings-5) * time.Second)
-		n.ledger.Broken(deadlyRequest, []fleet.Incarnation{in}, at.Add(-time.Second), at)
-		n.ledger.Ended(in, at)
+		n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in}, at.Add(-time.Second), at)
+		n.ledger.RecordEnding(in, at)
 		n.clock.(*clockwork.FakeClock).Advance(100 * time.Millisecond)
 	}
 	g.Expect(holds(n, deadlyRequest)).To(BeTrue())
--- a/transport/entry/querydeath_test.go
+++ b/transport/entry/querydeath_test.go
@@ -200,7 +200,7 @@
 		return fleet.Report{}, err
 	}
 	_ = conn.Close()
-	return fleet.Report{}, placement.ErrUnreadable
+	return fleet.Report{}, placement.ErrInvalidReport
 }
 
 // post sends a request with a body to a node and returns the status and the text of the answer.
@@ -265,6 +265,6 @@
 // startCrashNodes starts nodes that know each other and waits until all of them serve.
 func startCrashNodes(t *testing.T, s *store, count int) []*running {
 	return startServing(t, s, count, func(string) entry.Ports {
-		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: dialect{}}
+		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: codec{}}
 	})
 }
--- a/transport/node/control.go
+++ b/transport/node/control.go
@@ -83,12 +83,12 @@
 	if c := n.Routing.Get(g.Name); c != nil && c.Held() > 0 {
 		return false
 	}
-	if n.InForce() < g.Drained || !n.Directory.ClearedOf(g, now, goneAfter) {
+	if n.InForce() < g.Drained || !n.Directory.IsDrained(g, now, goneAfter) {
 		return false
 	}
 	e, ok := n.Evidence.Get(g.Members[0])
-	fresh := ok && now.Sub(e.Asked) < n.Settings.EvidenceWindow
-	return !fresh || e.Group != g.Name || e.Load.Held == 0
+	fresh := ok && now.Sub(e.ProbedAt) < n.Settings.EvidenceWindow
+	return !fresh || e.Group != g.Name || e.Load.InFlight == 0
 }
 
 // proposalMine reports whether a proposal falls to this node.
@@ -101,7 +101,7 @@
 	case op.DissolveGroup != nil:
 		hall, key = view.ByName[op.DissolveGroup.Group].Hall, string(op.DissolveGroup.Group)
 	}
-	return hall == n.Settings.Hall && n.Directory.Mine("propose/"+key, now)
+	return hall == n.Settings.Hall && n.Directory.Owns("propose/"+key, now)
 }
 
 // propose appends operations as one command of the node itself.
@@ -158,7 +158,7 @@
 		}
 		one := repair.Group{Group: g, Seats: n.missingSeats(g, now, seen), Weight: 1}
 		c := n.Routing.Get(g.Name)
-		mine := n.Directory.Mine("repair/"+g.Domain, now)
+		mine := n.Directory.Owns("repair/"+g.Domain, now)
 		switch whole := c != nil && c.Whole(now); {
 		case len(one.Seats) > 0 && mine:
 			in.Broken = append(in.Broken, one)
@@ -192,11 +192,11 @@
 
 // isMissing reports whether a member is silent, or leaving while nothing is left at its group.
 func (n *Node) isMissing(g *state.Group, id state.InstanceID, now time.Time) bool {
-	if n.Evidence.Leaving(id) {
+	if n.Evidence.IsLeaving(id) {
 		return n.cleared(g, now)
 	}
 	e, ok := n.Evidence.Get(id)
-	return !ok || e.Phase == evidence.PhaseDown || now.Sub(e.Asked) > missingWindows*n.Settings.EvidenceWindow
+	return !ok || e.Phase == evidence.PhaseDown || now.Sub(e.ProbedAt) > missingWindows*n.Settings.EvidenceWindow
 }
 
 // since returns for how long a member has been missing.
--- a/transport/node/loops.go
+++ b/transport/node/loops.go
@@ -103,8 +103,8 @@
 		case <-n.Doubted:
 		case <-tick.Chan():
 		}
-		for _, in := range n.Quarantine.Due(n.Clock.Now()) {
-			n.prober.Ask(ctx, in.ID)
+		for _, in := range n.Quarantine.NextProbes(n.Clock.Now()) {
+			n.prober.ProbeInstance(ctx, in.ID)
 		}
 	}
 }
@@ -162,16 +162,16 @@
 }
 
 // sources returns what the prober works on.
-func (n *Node) sources() probe.Sources {
-	return probe.Sources{
+func (n *Node) sources() probe.Hooks {
+	return probe.Hooks{
 		Instances: n.hallInstances,
-		Mine: func(id state.InstanceID) bool {
-			return n.Directory.Mine("probe/"+string(id), n.Clock.Now())
+		Owns: func(id state.InstanceID) bool {
+			return n.Directory.Owns("probe/"+string(id), n.Clock.Now())
 		},
-		View:     n.Follower.View,
-		MayOrder: n.LogFresh,
-		Observed: n.observed,
-		Count:    n.Count,
+		StateView:        n.Follower.View,
+		MayOrder:         n.LogFresh,
+		OnReport:         n.observed,
+		IncrementCounter: n.Count,
 	}
 }
 
@@ -224,9 +224,9 @@
 	down := e.Phase == evidence.PhaseDown
 	var requests []quarantine.Fingerprint
 	if down {
-		requests = n.Quarantine.Down(id, now)
+		requests = n.Quarantine.RecordDown(id, now)
 	} else {
-		requests = n.Quarantine.Current(fleet.Incarnation{ID: id, Life: e.Incarnation}, e.Asked, now)
+		requests = n.Quarantine.RecordIncarnation(fleet.Incarnation{ID: id, Life: e.Incarnation}, e.ProbedAt, now)
 	}
 	if len(requests) > 0 {
 		n.Count("quarantine.endings")
@@ -267,8 +267,8 @@
 			leaving = append(leaving, i.ID)
 		}
 	}
-	n.Evidence.SetListed(leaving)
-	n.prober.AskUnseen(ctx)
+	n.Evidence.SetLeavingByList(leaving)
+	n.prober.ProbeUnreported(ctx)
 	select {
 	case n.refresh <- struct{}{}:
 	default:
@@ -281,7 +281,7 @@
 	arrived := float64(n.Arrived.Swap(0)) / capacityInterval.Seconds()
 	n.Demand.Store(int64(keep*float64(n.Demand.Load()) + (1-keep)*arrived))
 	n.UpdateCapacity()
-	n.Claims.SetRate(n.Settings.AppendRate / float64(1+len(n.Directory.Live("", n.Clock.Now()))))
+	n.Claims.SetRate(n.Settings.AppendRate / float64(1+len(n.Directory.LivePeers("", n.Clock.Now()))))
 }
 
 // snapshotRound appends a snapshot when one is due and it falls to this node.
@@ -291,7 +291,7 @@
 		return
 	}
 	names := []string{n.Settings.Name}
-	for _, p := range n.Directory.Live("", n.Clock.Now()) {
+	for _, p := range n.Directory.LivePeers("", n.Clock.Now()) {
 		names = append(names, p.Name)
 	}
 	late := due > state.Offset(2*n.Settings.SnapshotEvery)
--- a/transport/operator/show.go
+++ b/transport/operator/show.go
@@ -113,9 +113,9 @@
 		}
 		reports, phase, age := "", "", "never"
 		if e, ok := s.c.Evidence.Get(id); ok {
-			reports, phase, age = string(e.Group), string(e.Phase), now.Sub(e.Asked).Round(time.Millisecond).String()
+			reports, phase, age = string(e.Group), string(e.Phase), now.Sub(e.ProbedAt).Round(time.Millisecond).String()
 		}
-		t.add(id, p.Hall, p.Domain, p.Address, s.c.Evidence.Leaving(id), ordered, epoch, reports, phase, age)
+		t.add(id, p.Hall, p.Domain, p.Address, s.c.Evidence.IsLeaving(id), ordered, epoch, reports, phase, age)
 	}
 	t.sort()
 	return t
@@ -168,9 +168,9 @@
 	t := &table{columns: []string{"node", hallColumn, "address", "applied", "ready", "stopping", "held", "demand", "log-age", "heard"}}
 	now := s.c.Clock.Now()
 	self := s.c.Self()
-	t.add(self.Name, self.Hall, self.Address, self.Applied, self.Ready, self.Stopping, self.Held, self.Demand, self.LogAge.Round(time.Millisecond), "self")
-	for _, n := range s.c.Directory.Known() {
-		t.add(n.Name, n.Hall, n.Address, n.Applied, n.Ready, n.Stopping, n.Held, n.Demand, n.LogAge.Round(time.Millisecond), now.Sub(n.SaidAt).Round(time.Millisecond))
+	t.add(self.Name, self.Hall, self.Address, self.Applied, self.Ready, self.Stopping, self.InFlight, self.RequestRate, self.LogLag.Round(time.Millisecond), "self")
+	for _, n := range s.c.Directory.Peers() {
+		t.add(n.Name, n.Hall, n.Address, n.Applied, n.Ready, n.Stopping, n.InFlight, n.RequestRate, n.LogLag.Round(time.Millisecond), now.Sub(n.RequestedAt).Round(time.Millisecond))
 	}
 	t.sort()
 	return t
@@ -199,12 +199,12 @@
 	s.c.Follower.Read(func(st *state.State) {
 		for _, team := range st.Teams() {
 			share := team.Halls[s.c.Settings.Hall]
-			t.add("team", team.Name, s.c.TeamLimit(share), s.c.Teams.Held(team.Name), 0)
+			t.add("team", team.Name, s.c.TeamLimit(share), s.c.Teams.InUse(team.Name), 0)
 		}
 	})
 	for _, name := range s.c.Pools.Names() {
 		p := s.c.Pools.Get(name)
-		held, waiting := p.Held()
+		held, waiting := p.InUse()
 		t.add("pool", name, p.Capacity(), held, waiting)
 	}
 	t.sort()
