--- a/coordination/statelog/fake_test.go
+++ b/coordination/statelog/fake_test.go
@@ -10,21 +10,21 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// errLost is an append whose answer was lost.
-var errLost = errors.New("answer lost")
+// errLost is the error of an append whose response was lost.
+var errLost = errors.New("response lost")
 
-// fakeLog is a log in memory with faults.
+// fakeLog is an in-memory log with fault injection.
 type fakeLog struct {
 	mu      sync.Mutex
 	first   state.Offset
 	entries []state.Entry
 	now     time.Time
-	// appendFault is asked before each append: whether it takes effect, how often, and the error returned.
+	// appendFault is called for each append. It returns how many times the record is appended, and the error of the append.
 	appendFault func() (times int, err error)
 	down        bool
 }
 
-// newFakeLog returns an empty log without faults.
+// newFakeLog returns an empty log that injects no faults.
 func newFakeLog(now time.Time) *fakeLog {
 	return &fakeLog{first: 1, now: now, appendFault: func() (int, error) { return 1, nil }}
 }
@@ -71,14 +71,14 @@
 	l.first += state.Offset(n)
 }
 
-// fakePeers serve from one follower.
+// fakePeers serves the state of one follower.
 type fakePeers struct{ f *statelog.Follower }
 
 // Snapshot implements statelog.Peers.
 func (p *fakePeers) Snapshot(_ context.Context, newerThan state.Offset) (snap *state.Snapshot, err error) {
 	p.f.Read(func(s *state.State) {
 		if s.Offset() <= newerThan {
-			err = errors.New("nothing newer")
+			err = errors.New("no newer snapshot")
 			return
 		}
 		snap, err = s.Snapshot()
@@ -90,7 +90,7 @@
 func (p *fakePeers) Records(_ context.Context, from state.Offset, most int) ([]state.Entry, error) {
 	entries, held := p.f.Recent(from, most)
 	if !held {
-		return nil, errors.New("not held")
+		return nil, errors.New("entries not retained")
 	}
 	return entries, nil
 }
--- a/coordination/statelog/follower.go
+++ b/coordination/statelog/follower.go
@@ -14,21 +14,21 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Config bounds a Follower.
+// Config holds the limits and intervals of a Follower.
 type Config struct {
-	// PageSize is the greatest number of entries asked for at once.
+	// PageSize is the maximum number of entries per read.
 	PageSize int
-	// PollWait is how long the log may hold a read open for new entries.
+	// PollWait is how long a read may wait in the log for new entries.
 	PollWait time.Duration
-	// RetryDelay is the pause after a failed read.
+	// RetryDelay is the delay after a failed read.
 	RetryDelay time.Duration
-	// RecentEntries is how many entries are kept for peers.
+	// RecentEntries is how many recent entries are retained for peers; up to twice as many are held.
 	RecentEntries int
-	// SnapshotEvery is the number of offsets between two snapshots.
+	// SnapshotEvery is the interval between snapshots, in offsets.
 	SnapshotEvery state.Offset
 }
 
-// DefaultConfig returns the bounds that a node uses.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		PageSize:      500,
@@ -39,7 +39,7 @@
 	}
 }
 
-// Follower holds a node's copy of the state and moves it forward only.
+// Follower holds a node's copy of the state. Its offset never decreases.
 type Follower struct {
 	cfg   Config
 	log   Log
@@ -50,9 +50,9 @@
 	st      *state.State
 	recent  []state.Entry
 	stopped error
-	// halted is closed when the fold stops.
+	// halted is closed when replay stops.
 	halted chan struct{}
-	// era is that of the log when it was first read, begun that it was.
+	// era is the era of the log at the first read; begun reports whether there was one.
 	era     int64
 	begun   bool
 	changed chan struct{}
@@ -65,7 +65,7 @@
 	lastSnapshot atomic.Uint64
 }
 
-// NewFollower returns a Follower with the empty state.
+// NewFollower returns a Follower with an empty state; peers may be nil.
 func NewFollower(cfg Config, log Log, peers Peers, clock clockwork.Clock) *Follower {
 	f := &Follower{
 		cfg:     cfg,
@@ -91,7 +91,7 @@
 	return f.st.Offset()
 }
 
-// HeadAge returns how long ago the node last held everything that the log held; false before the first time.
+// HeadAge returns the time since the start of the last read that reached the head of the log, or false if none has.
 func (f *Follower) HeadAge() (time.Duration, bool) {
 	at := f.headAt.Load()
 	if at == 0 {
@@ -100,21 +100,21 @@
 	return time.Duration(steady.Nanos(f.clock.Now()) - at), true
 }
 
-// Whole reports whether the node has once held all that the log, or while the log
-// was silent a peer, could show. Until then its state may be one of the past.
+// Whole reports whether the node has ever caught up with the log or, while the log was
+// unavailable, with a peer. Until then its state may be outdated.
 func (f *Follower) Whole() bool { return f.whole.Load() }
 
-// Stopped returns why the fold has stopped, or nil.
+// Stopped returns the error that stopped replay, or nil.
 func (f *Follower) Stopped() error {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.stopped
 }
 
-// Halted returns a channel that is closed when the fold stops.
+// Halted returns a channel that is closed when replay stops.
 func (f *Follower) Halted() <-chan struct{} { return f.halted }
 
-// Read calls fn with the state; fn must neither keep nor change it.
+// Read calls fn with the state; fn must neither retain nor modify it.
 func (f *Follower) Read(fn func(s *state.State)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -128,7 +128,7 @@
 	return f.changed
 }
 
-// Run follows the log until ctx ends or the fold must stop.
+// Run follows the log until ctx ends or replay stops.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := f.Step(ctx)
@@ -150,13 +150,13 @@
 	}
 }
 
-// Step reads once from the log, or from a peer when the log fails.
+// Step reads once from the log, or from a peer if the log fails.
 func (f *Follower) Step(ctx context.Context) error {
 	asked := f.clock.Now()
 	from := f.Applied() + 1
 	wait := f.cfg.PollWait
 	if f.headAt.Load() == 0 {
-		wait = 0 // a new node is not ready before it knows where the log ends
+		wait = 0 // a new node becomes ready only after it has reached the head of the log
 	}
 	page, err := f.log.Read(ctx, from, f.cfg.PageSize, wait)
 	if err != nil {
@@ -178,9 +178,9 @@
 	return nil
 }
 
-// checkEra stops the fold when the log has come back from an older copy. Offsets are claims,
-// fencing tokens and the order of commands here: nothing that is read or appended from then on
-// can be told from what they meant before.
+// checkEra stops replay if the log was restored from a backup. Offsets decide claims, serve as
+// fencing tokens and order commands. After a restore they are reused, so a record cannot be
+// distinguished from an earlier one with the same offset.
 func (f *Follower) checkEra(page Page) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,13 +197,13 @@
 	return f.stopped
 }
 
-// stop ends the fold for good, and the waiting of all whose records it would have shown. f.mu is held.
+// stop stops replay for good and releases everyone who waits for a record to be read back. The caller holds mu.
 func (f *Follower) stop(why error) {
 	f.stopped = why
 	close(f.halted)
 }
 
-// stepFromPeers takes entries, or a snapshot when those are gone, from a peer.
+// stepFromPeers applies entries from a peer, or installs its snapshot if the entries are not available.
 func (f *Follower) stepFromPeers(ctx context.Context, from state.Offset) error {
 	if f.peers == nil {
 		return ErrNoState
@@ -222,14 +222,14 @@
 	return f.Install(snap)
 }
 
-// jump passes over trimmed entries by a snapshot that the log or a peer still holds.
+// jump skips trimmed entries by installing a snapshot from the log or from a peer.
 func (f *Follower) jump(ctx context.Context, first state.Offset) error {
 	snap, err := f.findSnapshot(ctx, first)
 	if err != nil && f.peers != nil {
 		snap, err = f.peers.Snapshot(ctx, f.Applied())
 	}
 	if err != nil {
-		return fmt.Errorf("%w: the log begins at %d: %w", ErrNoState, first, err)
+		return fmt.Errorf("%w: the log starts at offset %d: %w", ErrNoState, first, err)
 	}
 	return f.Install(snap)
 }
@@ -258,12 +258,12 @@
 	return newest, nil
 }
 
-// usable reports whether a record holds a snapshot from which the retained log goes on.
+// usable reports whether a record holds a snapshot from which the retained log can be replayed without a gap.
 func usable(r *state.Record, first state.Offset) bool {
 	return r.Kind == state.KindSnapshot && r.Snapshot != nil && r.Snapshot.At+1 >= first
 }
 
-// Install replaces the state by a newer snapshot.
+// Install replaces the state with a newer snapshot.
 func (f *Follower) Install(snap *state.Snapshot) error {
 	st, err := state.Restore(snap)
 	if err != nil {
@@ -272,7 +272,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if st.Offset() <= f.st.Offset() {
-		return fmt.Errorf("%w: %d offered, %d held", state.ErrBackwards, st.Offset(), f.st.Offset())
+		return fmt.Errorf("%w: got offset %d, have %d", state.ErrBackwards, st.Offset(), f.st.Offset())
 	}
 	f.st = st
 	f.recent = nil
@@ -286,7 +286,7 @@
 	return nil
 }
 
-// apply folds entries into the state, passing over those already applied.
+// apply applies entries to the state and skips those already applied.
 func (f *Follower) apply(entries []state.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -309,7 +309,7 @@
 	return nil
 }
 
-// applyOne folds one entry; it stops the fold on a record that is not understood.
+// applyOne applies one entry; it stops replay on an unknown record.
 func (f *Follower) applyOne(e state.Entry) error {
 	o, err := f.st.Apply(e)
 	if errors.Is(err, state.ErrUnknownRecord) {
@@ -324,7 +324,7 @@
 	return f.snapshotPoint(e)
 }
 
-// keep remembers an entry for peers.
+// keep retains an entry for peers.
 func (f *Follower) keep(e state.Entry) {
 	f.recent = append(f.recent, e)
 	if len(f.recent) > 2*f.cfg.RecentEntries {
@@ -332,9 +332,9 @@
 	}
 }
 
-// publish makes the applied state visible to the request path and wakes waiters.
+// publish makes the applied state visible to the request path and signals Changed.
 //
-// Claims change nothing in the View, so it is rebuilt only after a command.
+// Claims do not affect the View, so it is rebuilt only after a command that changed the state.
 func (f *Follower) publish() {
 	if f.view.Load().Offset != f.st.LastAccepted() {
 		f.view.Store(NewView(f.st))
@@ -343,7 +343,7 @@
 	f.changed = make(chan struct{})
 }
 
-// Recent returns up to most entries from an offset on, or false if they are no longer held.
+// Recent returns at most most entries starting at offset from, or false if they are no longer retained.
 func (f *Follower) Recent(from state.Offset, most int) ([]state.Entry, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/coordination/statelog/follower_test.go
+++ b/coordination/statelog/follower_test.go
@@ -18,7 +18,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// config returns small bounds, so that pages, snapshots and trims come often.
+// config returns small limits, so that page boundaries, snapshots and trims are frequent.
 func config() statelog.Config {
 	return statelog.Config{PageSize: 3, RecentEntries: 4, SnapshotEvery: 5, RetryDelay: time.Second}
 }
@@ -39,8 +39,8 @@
 	return d
 }
 
-// TestFollowersAgree lets followers read at their own pace while appends are
-// lost and doubled, the log is trimmed behind snapshots, and the log is down.
+// TestFollowersAgree checks that followers reading at different speeds converge while appends
+// are lost or duplicated, the log is trimmed behind snapshots, and the log is unavailable.
 func TestFollowersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
@@ -71,7 +71,7 @@
 				i := rapid.IntRange(0, len(followers)-1).Draw(t, "follower")
 				_ = followers[i].Step(ctx)
 				if now := followers[i].Applied(); now < applied[i] {
-					t.Fatalf("follower %d went back from %d to %d", i, applied[i], now)
+					t.Fatalf("follower %d: offset decreased from %d to %d", i, applied[i], now)
 				}
 				applied[i] = followers[i].Applied()
 			}
@@ -85,7 +85,7 @@
 				t.Fatalf("follower %d: %v", i, err)
 			}
 			if digest(f) != digest(source) {
-				t.Fatalf("follower %d at %d differs from the source at %d", i, f.Applied(), source.Applied())
+				t.Fatalf("state of follower %d at offset %d differs from the source at offset %d", i, f.Applied(), source.Applied())
 			}
 		}
 	})
@@ -113,10 +113,10 @@
 		accepted bool
 		want     error
 	}{
-		{"answered", 1, nil, true, nil},
-		{"answer lost", 1, errLost, true, nil},
-		{"answer lost, appended twice", 2, errLost, true, nil},
-		{"answer lost, never appended", 0, errLost, false, statelog.ErrUnsettled},
+		{"acknowledged", 1, nil, true, nil},
+		{"response lost", 1, errLost, true, nil},
+		{"response lost, appended twice", 2, errLost, true, nil},
+		{"response lost, never appended", 0, errLost, false, statelog.ErrUnsettled},
 		{"certainly not appended", 0, statelog.ErrNotAppended, false, statelog.ErrNotAppended},
 	}
 	for _, c := range cases {
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestVoidSettlesAnUnsettledCommand lets the lost append arrive after the void.
+// TestVoidSettlesAnUnsettledCommand checks that a delayed command is refused if its void was appended first.
 func TestVoidSettlesAnUnsettledCommand(t *testing.T) {
 	g := NewWithT(t)
 	l := newFakeLog(time.Now())
@@ -220,8 +220,8 @@
 	g.Expect(errors.Is(f.Step(ctx), statelog.ErrStopped)).To(BeTrue())
 }
 
-// TestPartOfTheLogIsNotTheWholeState covers a node that is still catching up,
-// with the log or, while that is silent, with a peer.
+// TestPartOfTheLogIsNotTheWholeState covers a node that is still catching up with the log or,
+// while the log is unavailable, with a peer.
 func TestPartOfTheLogIsNotTheWholeState(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
@@ -251,17 +251,17 @@
 	g.Expect(empty.Whole()).To(BeFalse())
 }
 
-// Offsets are given out again by a log that came back from an older copy, so that a reader
-// waits for ever, or reads other records than those that it believes to read.
+// A log that was restored from a backup reuses offsets. A follower that reads on would wait for
+// offsets beyond the new head, or read other records than those once written at these offsets.
 func TestALogThatComesBackFromAnOlderCopyIsFollowedNoFurther(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		pages []statelog.Page
 		stops bool
 	}{
-		{"it ends where it did", []statelog.Page{{Head: 0}, {Head: 0}}, false},
-		{"its first era is a later one", []statelog.Page{{Era: 3}, {Era: 3}}, false},
-		{"another era", []statelog.Page{{Era: 3}, {Era: 4}}, true},
+		{"unchanged head", []statelog.Page{{Head: 0}, {Head: 0}}, false},
+		{"first era above zero", []statelog.Page{{Era: 3}, {Era: 3}}, false},
+		{"era changes", []statelog.Page{{Era: 3}, {Era: 4}}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -286,7 +286,7 @@
 	}
 }
 
-// pagesLog answers reads with given pages, the last of them again and again.
+// pagesLog returns the given pages in order and repeats the last one.
 type pagesLog struct {
 	statelog.Log
 	pages []statelog.Page
--- a/coordination/statelog/settle.go
+++ b/coordination/statelog/settle.go
@@ -11,8 +11,8 @@
 
 // Do appends a command or void record and waits until its outcome is read back.
 //
-// ErrNotAppended is returned only when the one attempt made certainly failed;
-// ErrUnsettled when ctx ends while the record may still take effect.
+// It appends at most once. It returns ErrNotAppended only if the record was certainly not
+// appended, and ErrUnsettled if ctx ends or replay stops while the record may still take effect.
 func (f *Follower) Do(ctx context.Context, r *state.Record) (state.Outcome, error) {
 	data, err := r.Encode()
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// await returns a channel that gets the outcome of an id, at once if it is settled.
+// await returns a channel that receives the outcome of a record ID, immediately if it is already known.
 func (f *Follower) await(id string) chan state.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,7 +49,7 @@
 	return ch
 }
 
-// wake hands an outcome to all that wait for its id; the caller holds mu.
+// wake sends an outcome to all waiters for its ID; the caller holds mu.
 func (f *Follower) wake(o state.Outcome) {
 	for _, ch := range f.waiters[o.ID] {
 		ch <- o
@@ -57,7 +57,7 @@
 	delete(f.waiters, o.ID)
 }
 
-// forsake gives up waiting for an id.
+// forsake removes a waiter for a record ID.
 func (f *Follower) forsake(id string, ch chan state.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +69,7 @@
 	f.waiters[id] = rest
 }
 
-// Append appends a record without waiting for it to be read back.
+// Append appends a record without waiting until it is read back.
 func (f *Follower) Append(ctx context.Context, r *state.Record) error {
 	data, err := r.Encode()
 	if err != nil {
--- a/coordination/statelog/snapshot.go
+++ b/coordination/statelog/snapshot.go
@@ -7,8 +7,9 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// snapshotPoint takes a snapshot at every multiple of SnapshotEvery and
-// compares it with the one that another node has written for the same offset.
+// snapshotPoint takes a snapshot at every multiple of SnapshotEvery. If the entry is a
+// snapshot of the same offset written by another node, it compares the digests and stops
+// replay on a mismatch.
 func (f *Follower) snapshotPoint(e state.Entry) error {
 	if f.st.Offset()%f.cfg.SnapshotEvery == 0 {
 		snap, err := f.st.Snapshot()
@@ -29,15 +30,15 @@
 	return nil
 }
 
-// raiseLastSnapshot notes the newest snapshot known to be in the log.
+// raiseLastSnapshot records the offset of the newest snapshot known to be in the log.
 func (f *Follower) raiseLastSnapshot(at state.Offset) {
 	if uint64(at) > f.lastSnapshot.Load() {
 		f.lastSnapshot.Store(uint64(at))
 	}
 }
 
-// SnapshotDue returns how many offsets the state has moved since the last
-// snapshot in the log, or 0 when no newer one was taken.
+// SnapshotDue returns how many offsets the state has advanced since the last snapshot in
+// the log, or 0 if this node has not taken a newer one.
 func (f *Follower) SnapshotDue() state.Offset {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -48,7 +49,7 @@
 	return f.st.Offset() - last
 }
 
-// WriteSnapshot appends the newest snapshot taken here to the log.
+// WriteSnapshot appends the newest snapshot taken by this node to the log.
 func (f *Follower) WriteSnapshot(ctx context.Context, by string) error {
 	f.mu.RLock()
 	snap := f.own
--- a/coordination/statelog/statelog.go
+++ b/coordination/statelog/statelog.go
@@ -1,7 +1,7 @@
-// Package statelog keeps a node's copy of the agreed state in step with the
-// platform's log, and settles what the node itself has appended.
+// Package statelog replays the platform's log into a node's copy of the replicated
+// state and determines the outcome of the records that the node appends.
 //
-// Nothing is reported as accepted before it has been read back at its offset.
+// A record is reported as accepted only after it has been read back at its offset.
 package statelog
 
 import (
@@ -14,26 +14,26 @@
 
 // Errors of this package.
 var (
-	// ErrNotAppended means the log certainly holds no record of this append.
+	// ErrNotAppended means that the record is certainly not in the log.
 	ErrNotAppended = errors.New("statelog: the record was not appended")
-	// ErrUnsettled means the append may or may not take effect; the id settles it later.
+	// ErrUnsettled means that the append may or may not take effect; the outcome can be looked up by ID later.
 	ErrUnsettled = errors.New("statelog: not known whether the record was appended")
-	// ErrStopped means the fold met a record that it must not pass.
+	// ErrStopped means that replay has stopped for good and applies no further record.
 	ErrStopped = errors.New("statelog: the fold has stopped")
-	// ErrRestored means that the log came back from an older copy of itself: records that this node
-	// has acted on may be gone, and their offsets given to others.
+	// ErrRestored means that the log was restored from a backup: records that this node has
+	// acted on may be missing, and their offsets may be reused.
 	ErrRestored = errors.New("statelog: the log came back from an older copy")
-	// ErrNoState means that neither the log nor a peer can show the whole state.
-	ErrNoState = errors.New("statelog: no source shows the whole state")
+	// ErrNoState means that neither the log nor a peer provides the complete state.
+	ErrNoState = errors.New("statelog: neither the log nor a peer provides the complete state")
 )
 
-// Page is one answer of the log.
+// Page is the response to one read of the log.
 type Page struct {
-	// Era counts how often the log came back from an older copy of itself.
+	// Era counts how often the log was restored from a backup.
 	Era int64
-	// First is the oldest offset that the log still holds.
+	// First is the oldest offset that the log retains.
 	First state.Offset
-	// Head is the newest offset in the log when it answered; 0 when it is empty.
+	// Head is the newest offset in the log at the time of the read; 0 if the log is empty.
 	Head    state.Offset
 	Entries []state.Entry
 }
@@ -41,16 +41,16 @@
 // Log is the platform's append-only log.
 type Log interface {
 	// Append adds a record and returns its offset. ErrNotAppended is returned
-	// only if the record certainly did not get in; any other error leaves it open.
+	// only if the record was certainly not appended; after any other error it may have been.
 	Append(ctx context.Context, data []byte) (state.Offset, error)
-	// Read returns entries from an offset on, waiting up to wait for the first.
+	// Read returns at most most entries starting at offset from, and waits up to wait for the first.
 	Read(ctx context.Context, from state.Offset, most int, wait time.Duration) (Page, error)
 }
 
-// Peers are the other nodes as sources of the state.
+// Peers provides the state held by other nodes.
 type Peers interface {
-	// Snapshot returns a state newer than an offset, or an error.
+	// Snapshot returns a snapshot newer than an offset, or an error.
 	Snapshot(ctx context.Context, newerThan state.Offset) (*state.Snapshot, error)
-	// Records returns entries from an offset on, as far as a peer holds them.
+	// Records returns at most most entries starting at offset from, as far as a peer retains them.
 	Records(ctx context.Context, from state.Offset, most int) ([]state.Entry, error)
 }
--- a/coordination/statelog/view.go
+++ b/coordination/statelog/view.go
@@ -2,9 +2,9 @@
 
 import "github.com/troutmast/troutmast/state"
 
-// View is what the request path needs of the state; it is never changed.
+// View is the part of the state that the request path needs. It is immutable.
 type View struct {
-	// Offset is that of the last command that changed something.
+	// Offset is the offset of the last command that changed the state.
 	Offset      state.Offset
 	Policy      state.Policy
 	Groups      []*state.Group
@@ -14,7 +14,7 @@
 	Services    map[state.ServiceName]*state.Service
 }
 
-// NewView copies what the request path needs out of the state.
+// NewView copies the part of the state that the request path needs.
 func NewView(s *state.State) *View {
 	v := &View{
 		Offset:      s.LastAccepted(),
