--- a/coordination/source/era.go
+++ b/coordination/source/era.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// eraShift is the place of the era in a position: 2^40 records of a topic fit below it.
+// eraShift is the number of bits of the offset in a position: an era has room for 2^40 records of a topic.
 const eraShift = 40
 
-// Position orders what was written into a topic, also where the store came back from an older
-// copy and gives the offsets since then out again: a later era comes after an earlier one.
+// Position combines an era and an offset into one number that orders the records of a topic.
+// A restore from a backup begins a new era, whose positions are above all earlier ones although
+// its offsets are reused.
 func Position(era, offset int64) int64 { return era<<eraShift | offset }
 
 // Era returns the era of a position.
@@ -15,36 +16,37 @@
 // Offset returns the offset of a position.
 func Offset(position int64) int64 { return position & (1<<eraShift - 1) }
 
-// Reading is what an answer to a read means to a reader.
+// Reading classifies the response to a read.
 type Reading int
 
-// The meanings of an answer.
+// Classes of responses.
 const (
-	// Stale is an answer of another era than the question was for: the offset that it was
-	// asked from names other records. It says nothing, and all must be read anew.
+	// Stale is a response of another era than the read was for, in which the requested offset
+	// refers to other records. The reader must discard it. After a restore, the cursor
+	// then requests the newest record of each key.
 	Stale Reading = iota
-	// Further holds the records that were written since the last read.
+	// Further holds the records written since the last read.
 	Further
 	// All holds the newest record of each key.
 	All
-	// Restored holds the newest record of each key as of an older copy: it may lack what was
-	// written after the copy was made, and show what was changed or dropped since.
+	// Restored holds the newest record of each key after a restore from a backup. It may lack
+	// records written after the backup was made, and hold records changed or deleted since.
 	Restored
 )
 
-// Cursor is how far a reader of a topic has come. The zero value is a reader that has read nothing.
+// Cursor tracks the progress of a reader of a topic. The zero value has read nothing.
 type Cursor struct {
-	// Settle is how long after a restoration records are written again that the copy lacks.
+	// Settle is how long after a restore writers take to write the records again that the backup lacks.
 	Settle time.Duration
 
 	begun bool
 	era   int64
 	next  int64
-	// again is when all is read once more after a restoration; zero for never.
+	// again is when to read the newest record of each key once more after a restore; zero if not scheduled.
 	again time.Time
 }
 
-// From returns the offset to read from at a time, or -1 to read the newest record of each key.
+// From returns the offset to read from at time now, or -1 to read the newest record of each key.
 func (c *Cursor) From(now time.Time) int64 {
 	if !c.begun || !c.again.IsZero() && !now.Before(c.again) {
 		return -1
@@ -52,14 +54,14 @@
 	return c.next
 }
 
-// Reset has all read anew: the records after the last read are gone.
+// Reset makes the next read return the newest record of each key, because the records after the last read are gone.
 func (c *Cursor) Reset() { c.next = -1 }
 
-// Take records the answer to a read from an offset, and returns what it means.
+// Take records the response to a read from offset from and returns its class.
 func (c *Cursor) Take(from int64, t Tail, now time.Time) Reading {
 	switch {
 	case c.begun && t.Era < c.era:
-		return Stale // on its way since before the restoration
+		return Stale // delayed response from before the restore
 	case from >= 0 && t.Era != c.era:
 		c.next = -1
 		return Stale
--- a/coordination/source/era_test.go
+++ b/coordination/source/era_test.go
@@ -9,7 +9,7 @@
 	"github.com/troutmast/troutmast/coordination/source"
 )
 
-// settle is how long after a restoration records are written again.
+// settle is how long after a restore records are written again.
 const settle = 2 * time.Second
 
 func TestPositionsOfALaterEraComeAfterAllOfAnEarlierOne(t *testing.T) {
@@ -31,22 +31,22 @@
 		answers []answer
 		next    int64
 	}{
-		{"the first", []answer{{0, source.Tail{Era: 4, End: 7}, -1, source.All}}, 7},
-		{"the next", []answer{{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 4, End: 9}, 7, source.Further}}, 9},
-		{"a store that tells no era", []answer{{0, source.Tail{End: 7}, -1, source.All}, {0, source.Tail{End: 9}, 7, source.Further}}, 9},
-		{"the store came back, and has grown past the old offset", []answer{
+		{"first read", []answer{{0, source.Tail{Era: 4, End: 7}, -1, source.All}}, 7},
+		{"incremental read", []answer{{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 4, End: 9}, 7, source.Further}}, 9},
+		{"store that reports no era", []answer{{0, source.Tail{End: 7}, -1, source.All}, {0, source.Tail{End: 9}, 7, source.Further}}, 9},
+		{"store restored and grown past the old offset", []answer{
 			{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 5, End: 12}, 7, source.Stale}, {0, source.Tail{Era: 5, End: 12}, -1, source.Restored},
 			{0, source.Tail{Era: 5, End: 13}, 12, source.Further},
 		}, 13},
-		{"an answer that was on its way since before", []answer{
+		{"delayed response from before the restore", []answer{
 			{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 5}, 7, source.Stale}, {0, source.Tail{Era: 5, End: 6}, -1, source.Restored},
 			{0, source.Tail{Era: 4, End: 9}, 6, source.Stale},
 		}, 6},
-		{"all is read once more when records have been written again", []answer{
+		{"full read repeated once records have been written again", []answer{
 			{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 5}, 7, source.Stale}, {0, source.Tail{Era: 5, End: 6}, -1, source.Restored},
 			{settle, source.Tail{Era: 5, End: 9}, -1, source.All}, {0, source.Tail{Era: 5, End: 10}, 9, source.Further},
 		}, 10},
-		{"it comes back again while the first time is being settled", []answer{
+		{"second restore before the settle time of the first has passed", []answer{
 			{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 5}, 7, source.Stale}, {0, source.Tail{Era: 5, End: 6}, -1, source.Restored},
 			{settle / 2, source.Tail{Era: 6, End: 8}, 6, source.Stale}, {0, source.Tail{Era: 6, End: 8}, -1, source.Restored},
 			{settle / 2, source.Tail{Era: 6, End: 9}, 8, source.Further}, {settle / 2, source.Tail{Era: 6, End: 9}, -1, source.All},
--- a/coordination/source/source.go
+++ b/coordination/source/source.go
@@ -1,53 +1,53 @@
-// Package source names what a platform's store gives to troutmast: keyed topics
-// whose newest records are kept for good, and the errors of reading them.
+// Package source defines how troutmast reads the platform's store: keyed topics, of which
+// the store retains the newest record of each key indefinitely, and the errors of reads.
 package source
 
 import "errors"
 
-// The errors of a store.
+// Errors of a store.
 var (
-	// ErrUnavailable means that the store did not answer, or would not.
+	// ErrUnavailable means that the store did not respond or refused the request.
 	ErrUnavailable = errors.New("source: store unavailable")
-	// ErrTrimmed means that the records asked for are gone, or not there.
+	// ErrTrimmed means that the requested records were trimmed or do not exist.
 	ErrTrimmed = errors.New("source: records are gone")
 )
 
-// Topic names one of the keyed topics that the product uses.
+// Topic is the name of a keyed topic.
 type Topic string
 
 // The topics.
 const (
-	// Configuration holds the operator's configuration, whole.
+	// Configuration holds the operator's configuration as one record.
 	Configuration Topic = "configuration"
-	// Instances holds an entry of each target instance.
+	// Instances holds one entry per target instance.
 	Instances Topic = "instances"
-	// Nodes holds an entry of each entry node.
+	// Nodes holds one entry per entry node.
 	Nodes Topic = "nodes"
-	// Quarantine holds the requests that are held back because instances ended under them.
+	// Quarantine holds the requests that are quarantined because instances ended while serving them.
 	Quarantine Topic = "quarantine"
 )
 
-// Item is one record; one without a value drops its key.
+// Item is one record. A record without a value is a tombstone: it deletes its key.
 type Item struct {
 	Key    string
 	Value  []byte
 	Offset int64
 }
 
-// Place is where a record was written.
+// Place is the era and offset at which a record was written.
 type Place struct {
 	Era    int64
 	Offset int64
 }
 
-// Tail is the answer to a read.
+// Tail is the response to a read.
 type Tail struct {
-	// Era counts how often the store came back from an older copy of itself, after which it
-	// gives offsets out again; 0 if it does not tell.
+	// Era counts how often the store was restored from a backup, after which it reuses
+	// offsets; 0 if the store does not report it.
 	Era   int64
 	Items []Item
 	// End is the offset to read from next.
 	End int64
-	// Whole tells that no further record was there when the answer was given.
+	// Whole reports whether the read reached the end of the topic.
 	Whole bool
 }
