--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -1,6 +1,5 @@
-// Package claim makes sure that a call which may not be repeated runs at most
-// once: its key is claimed in the log, and only the holder of the first claim
-// may send it.
+// Package claim runs a non-idempotent call at most once: the key of the call is
+// claimed in the log, and only the holder of the first claim may send the call.
 package claim
 
 import (
@@ -18,37 +17,37 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Errors of this package. All but ErrUnknown mean that the call was not run by this attempt.
+// Errors of this package. All but ErrUnknown mean that this attempt did not run the call.
 var (
-	// ErrKey means the key is no UUIDv7.
-	ErrKey = errors.New("claim: the key is no UUIDv7")
-	// ErrNotCovered means the claim history does not reach back to the key's age.
-	ErrNotCovered = errors.New("claim: the key is older than the claim history, or lies in the future")
-	// ErrConflict means the key was used for a different call.
+	// ErrKey means that the key is not a UUIDv7.
+	ErrKey = errors.New("claim: the key is not a UUIDv7")
+	// ErrNotCovered means that the claim history does not cover the time of the key.
+	ErrNotCovered = errors.New("claim: the key is older than the claim history or from the future")
+	// ErrConflict means that the key was used for a different call.
 	ErrConflict = errors.New("claim: the key belongs to a different call")
-	// ErrUnsettled means the claim could not be read back in time.
-	ErrUnsettled = errors.New("claim: the log did not settle the claim in time")
-	// ErrUnknown means another attempt holds the key and its result is not known.
-	ErrUnknown = errors.New("claim: an earlier attempt holds the key and its result is not known")
+	// ErrUnsettled means that the claim was not read back from the log in time.
+	ErrUnsettled = errors.New("claim: the claim was not read back from the log in time")
+	// ErrUnknown means that an earlier attempt holds the key and its result is unknown.
+	ErrUnknown = errors.New("claim: an earlier attempt holds the key and its result is unknown")
 )
 
-// Follower is the part of the agreed state that claims need.
+// Follower provides the replicated state and the log.
 type Follower interface {
 	Read(fn func(s *state.State))
 	Changed() <-chan struct{}
 	Append(ctx context.Context, r *state.Record) error
-	// Halted is closed once the state is followed no further, Stopped tells why.
+	// Halted returns a channel that is closed when replay stops; Stopped returns the reason.
 	Halted() <-chan struct{}
 	Stopped() error
 }
 
-// maxBatch is the greatest number of claim operations in one record.
+// maxBatch is the maximum number of claim operations per record.
 const maxBatch = 500
 
-// appendTimeout bounds one append of a batch.
+// appendTimeout is the timeout of one append.
 const appendTimeout = 2 * time.Second
 
-// Manager claims keys for one node; safe for concurrent use.
+// Manager claims keys for one node. It is safe for concurrent use.
 type Manager struct {
 	node     string
 	follower Follower
@@ -71,11 +70,11 @@
 	}
 }
 
-// SetRate changes the number of appends a second.
+// SetRate sets the rate limit of appends, per second.
 func (m *Manager) SetRate(perSecond float64) { m.limiter.SetLimit(rate.Limit(perSecond)) }
 
-// Claim returns a holder that alone may run the call, or the recorded result of
-// an earlier attempt, or an error.
+// Claim returns the holder that may run the call, or the recorded result of an earlier
+// attempt, or an error.
 func (m *Manager) Claim(ctx context.Context, key state.ClaimKey, request string) (holder string, done *state.Result, err error) {
 	if _, ok := state.IDTime(key.Key); !ok {
 		return "", nil, ErrKey
@@ -105,7 +104,7 @@
 	}
 }
 
-// winner returns the holder when the look found its own claim.
+// winner returns the holder if the settled claim is its own.
 func winner(holder string, result *state.Result, err error) string {
 	if result != nil || err != nil {
 		return ""
@@ -113,7 +112,8 @@
 	return holder
 }
 
-// look reports whether the key is settled, and how it stands for this holder.
+// look reports whether the claim of a key is settled. If another attempt holds the key, it also
+// returns that attempt's result or an error.
 func (m *Manager) look(key state.ClaimKey, holder, request string) (settled bool, result *state.Result, err error) {
 	m.follower.Read(func(s *state.State) {
 		c, ok := s.Claim(key)
@@ -130,7 +130,7 @@
 	return settled, result, err
 }
 
-// earlier returns what an earlier attempt with the same key came to.
+// earlier returns the result of an earlier attempt with the same key.
 func earlier(c state.Claim, request string) (*state.Result, error) {
 	if c.Request != request {
 		return nil, ErrConflict
@@ -141,17 +141,17 @@
 	return c.Result, nil
 }
 
-// Finish records how the claimed call ended.
+// Finish records the result of the claimed call.
 func (m *Manager) Finish(key state.ClaimKey, holder string, result *state.Result) {
 	m.enqueue(state.ClaimOp{Key: key, Holder: holder, Result: result})
 }
 
-// GiveBack records that the claimed call certainly never left.
+// GiveBack releases the claim of a call that was certainly not sent.
 func (m *Manager) GiveBack(key state.ClaimKey, holder string) {
 	m.enqueue(state.ClaimOp{Key: key, Holder: holder, NotRun: true})
 }
 
-// enqueue puts an operation into the next batch.
+// enqueue adds an operation to the queue.
 func (m *Manager) enqueue(op state.ClaimOp) {
 	m.mu.Lock()
 	m.pending = append(m.pending, op)
@@ -162,7 +162,7 @@
 	}
 }
 
-// take removes up to maxBatch operations from the queue.
+// take removes at most maxBatch operations from the queue.
 func (m *Manager) take() []state.ClaimOp {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -186,7 +186,7 @@
 		case <-ctx.Done():
 			return
 		case <-m.follower.Halted():
-			return // nothing that is still to be appended would be read back
+			return // the remaining operations would not be read back
 		case <-m.wake:
 		}
 		for m.Pending() > 0 && m.follower.Stopped() == nil {
@@ -198,15 +198,15 @@
 	}
 }
 
-// flush appends one batch; after a failed or lost append the operations are
-// appended again, which is harmless since the first of them settles each.
+// flush appends one batch. After a failed append, or one whose response was lost, it queues the
+// operations again. Duplicates are harmless, since only the first of each has an effect.
 func (m *Manager) flush(ctx context.Context) {
 	batch := m.take()
 	err := m.appendBatch(ctx, batch)
 	if err == nil {
 		return
 	}
-	log.WithError(err).WithField("operations", len(batch)).Warn("claims not appended, trying again")
+	log.WithError(err).WithField("operations", len(batch)).Warn("claim operations not appended to the log; retrying")
 	m.mu.Lock()
 	m.pending = append(batch, m.pending...)
 	m.mu.Unlock()
--- a/coordination/control/control.go
+++ b/coordination/control/control.go
@@ -1,6 +1,6 @@
-// Package control turns the agreed state and the evidence into orders for
-// target instances and into proposals for the log. Its functions are pure:
-// two nodes that know the same reach the same orders and proposals.
+// Package control derives orders for target instances and proposals for the log
+// from the replicated state and the reports of instances. Its functions are pure:
+// two nodes with the same input derive the same orders and proposals.
 package control
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Order is what an instance is told to be; a target that checks fences refuses
-// one whose epoch is lower than the last it obeyed.
+// Order assigns an instance to a group or releases it. Its epoch is a fencing token: a target
+// that checks it refuses an order with a lower epoch than the last one it obeyed.
 type Order struct {
 	Instance state.InstanceID
-	// Group is empty for an order to release whatever is held.
+	// Group is empty if the order releases the instance from any group.
 	Group state.GroupName
 	Epoch state.Epoch
 	Rank  int
@@ -21,10 +21,11 @@
 	Model state.Model
 }
 
-// Need returns the order that an instance needs after its report, or false.
+// Need returns the order that brings an instance from the reported to the assigned state, or
+// false if none is needed.
 //
-// A report of a later epoch than the state knows means that this node is
-// behind: it orders nothing.
+// A report with a later epoch than the view's offset means that this node lags behind the log,
+// so it returns no order.
 func Need(v *statelog.View, r evidence.Report) (Order, bool) {
 	if r.Epoch > v.Offset {
 		return Order{}, false
@@ -46,7 +47,7 @@
 	return Order{Instance: r.Instance, Group: a.Group, Epoch: a.Epoch, Rank: a.Rank, Size: len(g.Members), Model: g.Model}, true
 }
 
-// strayOrder releases an instance that holds a group which the state does not give it.
+// strayOrder returns the order that releases an instance without an assignment from the group it reports.
 func strayOrder(v *statelog.View, r evidence.Report) (Order, bool) {
 	if r.Group == "" {
 		return Order{}, false
@@ -54,16 +55,16 @@
 	return Order{Instance: r.Instance, Epoch: v.Offset}, true
 }
 
-// Released reports whether an instance has itself reported the release it was ordered.
+// Released reports whether an instance has confirmed its release at the epoch of its assignment.
 func Released(a *state.Assignment, r evidence.Report) bool {
 	return a.Group == "" && r.Group == "" && r.Phase == evidence.PhaseIdle && r.Epoch == a.Epoch
 }
 
-// Cleared reports whether no node holds a request of a group any longer.
+// Cleared reports whether no request of a group is in flight on any node.
 type Cleared func(g *state.Group) bool
 
-// Proposals returns the changes that follow from what instances have reported:
-// released instances become free, and releasing groups without requests dissolve.
+// Proposals returns the operations that follow from the reports of instances: it frees
+// instances that confirmed their release, and dissolves releasing groups with no request in flight.
 func Proposals(v *statelog.View, get func(state.InstanceID) (evidence.TimedReport, bool), cleared Cleared) []state.Op {
 	var ops []state.Op
 	for _, a := range v.Assignments {
--- a/coordination/control/control_test.go
+++ b/coordination/control/control_test.go
@@ -18,7 +18,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// instance is a target that may or may not check fences.
+// instance is a simulated target that may or may not check fencing tokens.
 type instance struct {
 	id     state.InstanceID
 	checks bool
@@ -26,7 +26,7 @@
 	order  control.Order
 }
 
-// obey takes an order, also a stale one if the target does not check.
+// obey applies an order, even a stale one if the target does not check fencing tokens.
 func (i *instance) obey(o control.Order) {
 	if i.checks && o.Epoch < i.fence {
 		return
@@ -35,7 +35,7 @@
 	i.order = o
 }
 
-// report is what the target says of itself.
+// report returns the target's report.
 func (i *instance) report() evidence.Report {
 	r := evidence.Report{Instance: i.id, Incarnation: "1", Group: i.order.Group, Epoch: i.order.Epoch, Rank: i.order.Rank, Phase: evidence.PhaseIdle}
 	if r.Group != "" {
@@ -44,7 +44,7 @@
 	return r
 }
 
-// world is an agreed log with nodes that have read it to different offsets.
+// world simulates a log, target instances, and nodes that have read the log up to different offsets.
 type world struct {
 	t         *rapid.T
 	now       time.Time
@@ -54,7 +54,7 @@
 	delayed   []control.Order
 }
 
-// apply folds operations; a refusal is fine. Every state is kept, for nodes that are behind.
+// apply applies operations, which may be refused. It retains a view of every offset for nodes that lag behind.
 func (w *world) apply(ops ...state.Op) {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(w.now.UnixMilli())<<16)
@@ -71,7 +71,7 @@
 	w.views = append(w.views, statelog.NewView(w.st))
 }
 
-// wholeAt returns the groups of a view that are physically whole now, by their members' own reports.
+// wholeAt returns the members of the groups of a view that are complete according to their members' current reports.
 func (w *world) wholeAt(v *statelog.View) map[state.GroupName][]state.InstanceID {
 	table := evidence.NewTable()
 	for _, i := range w.instances {
@@ -86,7 +86,7 @@
 	return whole
 }
 
-// checkApart fails if an instance works for two groups at once, in the eyes of any two nodes.
+// checkApart fails if an instance serves two groups or epochs at once, across the views of all nodes.
 func (w *world) checkApart() {
 	owner := map[state.InstanceID]string{}
 	for n, v := range w.views {
@@ -94,7 +94,7 @@
 			key := fmt.Sprintf("%s epoch %d", name, v.ByName[name].Epoch)
 			for _, id := range members {
 				if other, ok := owner[id]; ok && other != key {
-					w.t.Fatalf("%s works for %s and, at offset %d, for %s", id, other, n, key)
+					w.t.Fatalf("instance %s serves %s and, in the view at offset %d, %s", id, other, n, key)
 				}
 				owner[id] = key
 			}
@@ -102,7 +102,7 @@
 	}
 }
 
-// order lets a node that has read up to a view order an instance, now or later.
+// order sends the order that a node with the given view derives for a random instance, immediately or delayed.
 func (w *world) order(v *statelog.View) {
 	i := w.instances[rapid.IntRange(0, len(w.instances)-1).Draw(w.t, "instance")]
 	o, needed := control.Need(v, i.report())
@@ -116,7 +116,7 @@
 	i.obey(o)
 }
 
-// deliver lets a delayed order arrive.
+// deliver delivers a delayed order, which stays queued and may be delivered again.
 func (w *world) deliver() {
 	if len(w.delayed) == 0 {
 		return
@@ -129,10 +129,10 @@
 	}
 }
 
-// TestNoInstanceWorksForTwoGroups lets nodes at different offsets order targets,
-// some of which do not check fences, with orders that arrive late, twice or
-// never, while operators and reports change the state. In the end, when all
-// nodes are up to date, every target obeys its newest order.
+// TestNoInstanceWorksForTwoGroups checks that stale orders never make an instance serve two
+// groups. Nodes at different offsets send orders that arrive late, twice or never, some targets
+// do not check fencing tokens, and operators and reports change the state. Once all nodes are up
+// to date, every instance must reach its assignment.
 func TestNoInstanceWorksForTwoGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, now: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC), st: state.New()}
@@ -160,7 +160,7 @@
 	})
 }
 
-// command draws an operator's command.
+// command applies a random operator command.
 func (w *world) command() {
 	g := state.GroupName(rapid.SampledFrom([]string{"g", "h", "k"}).Draw(w.t, "group"))
 	place := func() state.Place {
@@ -178,7 +178,7 @@
 	}
 }
 
-// proposals appends what follows from the reports.
+// proposals applies the proposals that follow from the reports.
 func (w *world) proposals() {
 	get := func(id state.InstanceID) (evidence.TimedReport, bool) {
 		for _, i := range w.instances {
@@ -193,7 +193,7 @@
 	}
 }
 
-// settle lets only nodes that are up to date order, and checks that every order is obeyed.
+// settle sends the orders of up-to-date nodes only, and checks that every instance reaches its assignment.
 func (w *world) settle() {
 	v := w.views[len(w.views)-1]
 	for range 3 {
@@ -207,22 +207,22 @@
 		a := v.Assignments[i.id]
 		switch {
 		case a == nil && i.order.Group != "":
-			w.t.Fatalf("%s is free but holds %s", i.id, i.order.Group)
+			w.t.Fatalf("instance %s has no assignment but is in group %s", i.id, i.order.Group)
 		case a != nil && (i.order.Group != a.Group || i.order.Epoch != a.Epoch):
-			w.t.Fatalf("%s is ordered %+v but holds %+v", i.id, a, i.order)
+			w.t.Fatalf("instance %s: assigned %+v, but its last order is %+v", i.id, a, i.order)
 		}
 	}
 }
 
-// TestNodeThatIsBehindOrdersNothing covers a report of an epoch that the node has not read yet.
+// TestNodeThatIsBehindOrdersNothing covers a report with an epoch that the node has not read yet.
 func TestNodeThatIsBehindOrdersNothing(t *testing.T) {
 	v := &statelog.View{Offset: 5, Assignments: map[state.InstanceID]*state.Assignment{"i": {Instance: "i", Epoch: 5}}}
 	r := evidence.Report{Instance: "i", Group: "g", Epoch: 9, Phase: evidence.PhaseReady}
 	if o, needed := control.Need(v, r); needed {
-		t.Errorf("a node at offset 5 orders %+v after a report of epoch 9", o)
+		t.Errorf("node at offset 5 returned order %+v for a report with epoch 9, want none", o)
 	}
 	r.Epoch = 4
 	if _, needed := control.Need(v, r); !needed {
-		t.Error("a report older than the order needs the order")
+		t.Error("got no order for a report with an older epoch than the assignment")
 	}
 }
--- a/coordination/ticket/ticket.go
+++ b/coordination/ticket/ticket.go
@@ -1,7 +1,8 @@
-// Package ticket lets a call that may not be repeated run at most once without
-// the platform's log: a ticket is minted by one incarnation of one node, and only
-// that incarnation may run the call that it stands for. What it remembers is
-// lost with the node; the call then is of unknown outcome, never run again.
+// Package ticket runs a non-idempotent call at most once without the platform's log.
+//
+// One incarnation of a node issues a ticket, and only that incarnation may run the call for it.
+// Tickets are held in memory: if the node ends, the outcome of the call is unknown and the call
+// is never run again.
 package ticket
 
 import (
@@ -20,31 +21,32 @@
 
 // Errors of this package.
 var (
-	// ErrFormat means a text is no ticket.
+	// ErrFormat means that a string is not a ticket.
 	ErrFormat = errors.New("ticket: not a ticket")
-	// ErrForeign means the ticket was minted by another incarnation.
+	// ErrForeign means that another incarnation issued the ticket.
 	ErrForeign = errors.New("ticket: minted by another node")
-	// ErrUnknown means the ticket was spent without a known result, or is forgotten.
+	// ErrUnknown means that the ticket was spent and has no known result, or that it expired.
 	ErrUnknown = errors.New("ticket: the call may have run")
-	// ErrConflict means the ticket was spent on a different call, or belongs to another team or service.
+	// ErrConflict means that the ticket was spent on a different call, or belongs to another team or service.
 	ErrConflict = errors.New("ticket: belongs to another call")
-	// ErrFull means the node remembers as many tickets as it may.
-	ErrFull = errors.New("ticket: no room for another ticket")
+	// ErrFull means that the node holds the maximum number of tickets.
+	ErrFull = errors.New("ticket: maximum number of tickets reached")
 )
 
-// prefix begins every ticket.
+// prefix is the first part of every ticket.
 const prefix = "tk"
 
-// Horizon is how long a ticket may be spent, and how long its result is kept.
+// Horizon is the TTL of a ticket and of its result, counted from when the ticket is issued.
 const Horizon = 10 * time.Minute
 
-// MaxTickets bounds what one node remembers; each takes about a kilobyte at most with its result.
+// MaxTickets is the maximum number of tickets that a node holds. A ticket with its result takes
+// at most about one kilobyte.
 const MaxTickets = 20000
 
-// shards is the number of independently locked parts of a Book.
+// shards is the number of independently locked shards of a Book.
 const shards = 16
 
-// Parse returns the node and the incarnation that minted a ticket.
+// Parse returns the node and the incarnation that issued a ticket.
 func Parse(text string) (node, incarnation string, err error) {
 	parts := strings.Split(text, "~")
 	if len(parts) != 4 || parts[0] != prefix || parts[1] == "" || parts[2] == "" {
@@ -53,10 +55,10 @@
 	return parts[1], parts[2], nil
 }
 
-// Is reports whether a text looks like a ticket.
+// Is reports whether a string has the prefix of a ticket.
 func Is(text string) bool { return strings.HasPrefix(text, prefix+"~") }
 
-// entry is what is remembered of one ticket.
+// entry is the state of one ticket.
 type entry struct {
 	team    state.TeamName
 	service state.ServiceName
@@ -66,7 +68,7 @@
 	result  *state.Result
 }
 
-// Book remembers the tickets of one incarnation, in shards under their own locks.
+// Book holds the tickets of one incarnation. It is safe for concurrent use.
 type Book struct {
 	node, incarnation string
 	clock             clockwork.Clock
@@ -87,12 +89,12 @@
 	return b
 }
 
-// shard returns the part that holds a ticket.
+// shard returns the shard of a ticket.
 func (b *Book) shard(ticket string) *shard {
 	return &b.shards[xxhash.Sum64String(ticket)%shards]
 }
 
-// Mint returns a new ticket for one call of a team to a service.
+// Mint issues a ticket for one call of a team to a service.
 func (b *Book) Mint(team state.TeamName, service state.ServiceName) (string, error) {
 	ticket := strings.Join([]string{prefix, b.node, b.incarnation, uuid.NewString()}, "~")
 	now := b.clock.Now()
@@ -109,7 +111,7 @@
 	return ticket, nil
 }
 
-// forget drops the tickets that have expired; the caller holds mu.
+// forget evicts expired tickets; the caller holds mu.
 func (s *shard) forget(now time.Time) {
 	for ticket, e := range s.m {
 		if !now.Before(e.expires) {
@@ -118,8 +120,8 @@
 	}
 }
 
-// Spend lets the caller run the call (nil, nil), or returns the result of the
-// run that has spent the ticket, or an error.
+// Spend marks a ticket as spent. It returns nil, nil if the caller may run the call, the result
+// of the call if the ticket was spent before, or an error.
 func (b *Book) Spend(ticket string, team state.TeamName, service state.ServiceName, request string) (*state.Result, error) {
 	node, incarnation, err := Parse(ticket)
 	if err != nil {
@@ -146,7 +148,7 @@
 	return nil, nil
 }
 
-// Finish records the result of the run that has spent a ticket.
+// Finish records the result of the call on which a ticket was spent.
 func (b *Book) Finish(ticket string, result *state.Result) {
 	s := b.shard(ticket)
 	s.mu.Lock()
@@ -156,7 +158,8 @@
 	}
 }
 
-// GiveBack lets a ticket be spent again: the call certainly never left.
+// GiveBack makes a ticket unspent after a call that was certainly not sent. It has no effect
+// once a result is recorded.
 func (b *Book) GiveBack(ticket string) {
 	s := b.shard(ticket)
 	s.mu.Lock()
--- a/coordination/ticket/ticket_test.go
+++ b/coordination/ticket/ticket_test.go
@@ -15,7 +15,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// book returns a book on a clock that the test drives, with one ticket.
+// book returns a Book with a fake clock and one ticket.
 func book(t *testing.T) (*ticket.Book, *clockwork.FakeClock, string) {
 	clock := clockwork.NewFakeClock()
 	b := ticket.NewBook("n", "1", clock)
@@ -36,24 +36,24 @@
 		result  *state.Result
 		err     error
 	}{
-		{"first", func(*ticket.Book, *clockwork.FakeClock, string) {}, "team", "r", nil, nil},
-		{"while it runs, or after it was lost", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) { _, _ = b.Spend(tk, "team", "svc", "r") }, "team", "r", nil, ticket.ErrUnknown},
-		{"after its result", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) {
+		{"unspent", func(*ticket.Book, *clockwork.FakeClock, string) {}, "team", "r", nil, nil},
+		{"spent, result unknown", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) { _, _ = b.Spend(tk, "team", "svc", "r") }, "team", "r", nil, ticket.ErrUnknown},
+		{"spent, result recorded", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) {
 			_, _ = b.Spend(tk, "team", "svc", "r")
 			b.Finish(tk, result)
 		}, "team", "r", result, nil},
-		{"given back", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) {
+		{"released", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) {
 			_, _ = b.Spend(tk, "team", "svc", "r")
 			b.GiveBack(tk)
 		}, "team", "r", nil, nil},
-		{"given back after its result", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) {
+		{"released after its result was recorded", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) {
 			_, _ = b.Spend(tk, "team", "svc", "r")
 			b.Finish(tk, result)
 			b.GiveBack(tk)
 		}, "team", "r", result, nil},
-		{"for another call", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) { _, _ = b.Spend(tk, "team", "svc", "other") }, "team", "r", nil, ticket.ErrConflict},
-		{"by another team", func(*ticket.Book, *clockwork.FakeClock, string) {}, "thief", "r", nil, ticket.ErrConflict},
-		{"too late", func(_ *ticket.Book, clock *clockwork.FakeClock, _ string) { clock.Advance(ticket.Horizon) }, "team", "r", nil, ticket.ErrUnknown},
+		{"spent on another call", func(b *ticket.Book, _ *clockwork.FakeClock, tk string) { _, _ = b.Spend(tk, "team", "svc", "other") }, "team", "r", nil, ticket.ErrConflict},
+		{"another team", func(*ticket.Book, *clockwork.FakeClock, string) {}, "thief", "r", nil, ticket.ErrConflict},
+		{"expired", func(_ *ticket.Book, clock *clockwork.FakeClock, _ string) { clock.Advance(ticket.Horizon) }, "team", "r", nil, ticket.ErrUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
