--- a/coordination/statelog/fake_test.go
+++ b/coordination/statelog/fake_test.go
@@ -10,8 +10,8 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// errLost is the error of an append whose response was lost.
-var errLost = errors.New("response lost")
+// errResponseLost is the error of an append whose response was lost.
+var errResponseLost = errors.New("response lost")
 
 // fakeLog is an in-memory log with fault injection.
 type fakeLog struct {
@@ -45,7 +45,7 @@
 }
 
 // Read implements statelog.Log; it never waits.
-func (l *fakeLog) Read(_ context.Context, from state.Offset, most int, _ time.Duration) (statelog.Page, error) {
+func (l *fakeLog) Read(_ context.Context, from state.Offset, limit int, _ time.Duration) (statelog.Page, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
@@ -54,7 +54,7 @@
 	page := statelog.Page{First: l.first, Head: l.first + state.Offset(len(l.entries)) - 1}
 	if from >= l.first && from <= page.Head {
 		i := int(from - l.first)
-		page.Entries = append(page.Entries, l.entries[i:min(i+most, len(l.entries))]...)
+		page.Entries = append(page.Entries, l.entries[i:min(i+limit, len(l.entries))]...)
 	}
 	return page, nil
 }
@@ -87,8 +87,8 @@
 }
 
 // Records implements statelog.Peers.
-func (p *fakePeers) Records(_ context.Context, from state.Offset, most int) ([]state.Entry, error) {
-	entries, held := p.f.Recent(from, most)
+func (p *fakePeers) Records(_ context.Context, from state.Offset, limit int) ([]state.Entry, error) {
+	entries, held := p.f.Recent(from, limit)
 	if !held {
 		return nil, errors.New("entries not retained")
 	}
--- a/coordination/statelog/follower.go
+++ b/coordination/statelog/follower.go
@@ -49,19 +49,19 @@
 	mu      sync.RWMutex
 	st      *state.State
 	recent  []state.Entry
-	stopped error
+	stopErr error
 	// halted is closed when replay stops.
 	halted chan struct{}
-	// era is the era of the log at the first read; begun reports whether there was one.
-	era     int64
-	begun   bool
-	changed chan struct{}
-	waiters map[string][]chan state.Outcome
-	own     *state.Snapshot
+	// era is the era of the log at the first read; eraKnown reports whether there was one.
+	era         int64
+	eraKnown    bool
+	changed     chan struct{}
+	waiters     map[string][]chan state.Outcome
+	ownSnapshot *state.Snapshot
 
 	view         atomic.Pointer[View]
-	headAt       atomic.Int64
-	whole        atomic.Bool
+	headReadAt   atomic.Int64
+	caughtUp     atomic.Bool
 	lastSnapshot atomic.Uint64
 }
 
@@ -93,7 +93,7 @@
 
 // HeadAge returns the time since the start of the last read that reached the head of the log, or false if none has.
 func (f *Follower) HeadAge() (time.Duration, bool) {
-	at := f.headAt.Load()
+	at := f.headReadAt.Load()
 	if at == 0 {
 		return 0, false
 	}
@@ -102,13 +102,13 @@
 
 // Whole reports whether the node has ever caught up with the log or, while the log was
 // unavailable, with a peer. Until then its state may be outdated.
-func (f *Follower) Whole() bool { return f.whole.Load() }
+func (f *Follower) Whole() bool { return f.caughtUp.Load() }
 
 // Stopped returns the error that stopped replay, or nil.
 func (f *Follower) Stopped() error {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.stopped
+	return f.stopErr
 }
 
 // Halted returns a channel that is closed when replay stops.
@@ -136,14 +136,14 @@
 			return err
 		}
 		if err != nil {
-			f.pause(ctx)
+			f.waitRetryDelay(ctx)
 		}
 	}
 	return ctx.Err()
 }
 
-// pause waits for the retry delay or the end of ctx.
-func (f *Follower) pause(ctx context.Context) {
+// waitRetryDelay waits for the retry delay or the end of ctx.
+func (f *Follower) waitRetryDelay(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-f.clock.After(f.cfg.RetryDelay):
@@ -152,10 +152,10 @@
 
 // Step reads once from the log, or from a peer if the log fails.
 func (f *Follower) Step(ctx context.Context) error {
-	asked := f.clock.Now()
+	requestedAt := f.clock.Now()
 	from := f.Applied() + 1
 	wait := f.cfg.PollWait
-	if f.headAt.Load() == 0 {
+	if f.headReadAt.Load() == 0 {
 		wait = 0 // a new node becomes ready only after it has reached the head of the log
 	}
 	page, err := f.log.Read(ctx, from, f.cfg.PageSize, wait)
@@ -166,14 +166,14 @@
 		return err
 	}
 	if page.First > from {
-		return f.jump(ctx, page.First)
+		return f.skipTrimmed(ctx, page.First)
 	}
 	if err := f.apply(page.Entries); err != nil {
 		return err
 	}
 	if f.Applied() >= page.Head {
-		f.headAt.Store(steady.Nanos(asked))
-		f.whole.Store(true)
+		f.headReadAt.Store(steady.Nanos(requestedAt))
+		f.caughtUp.Store(true)
 	}
 	return nil
 }
@@ -184,22 +184,22 @@
 func (f *Follower) checkEra(page Page) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stopped != nil {
-		return f.stopped
+	if f.stopErr != nil {
+		return f.stopErr
 	}
-	if !f.begun {
-		f.begun, f.era = true, page.Era
+	if !f.eraKnown {
+		f.eraKnown, f.era = true, page.Era
 	}
 	if page.Era == f.era && page.Head >= f.st.Offset() {
 		return nil
 	}
 	f.stop(fmt.Errorf("%w: %w (era %d, before %d; it ends at %d, %d were applied)", ErrStopped, ErrRestored, page.Era, f.era, page.Head, f.st.Offset()))
-	return f.stopped
+	return f.stopErr
 }
 
 // stop stops replay for good and releases everyone who waits for a record to be read back. The caller holds mu.
-func (f *Follower) stop(why error) {
-	f.stopped = why
+func (f *Follower) stop(cause error) {
+	f.stopErr = cause
 	close(f.halted)
 }
 
@@ -211,7 +211,7 @@
 	entries, err := f.peers.Records(ctx, from, f.cfg.PageSize)
 	if err == nil {
 		if len(entries) == 0 && from > 1 {
-			f.whole.Store(true)
+			f.caughtUp.Store(true)
 		}
 		return f.apply(entries)
 	}
@@ -219,11 +219,11 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNoState, err)
 	}
-	return f.Install(snap)
+	return f.InstallSnapshot(snap)
 }
 
-// jump skips trimmed entries by installing a snapshot from the log or from a peer.
-func (f *Follower) jump(ctx context.Context, first state.Offset) error {
+// skipTrimmed skips trimmed entries by installing a snapshot from the log or from a peer.
+func (f *Follower) skipTrimmed(ctx context.Context, first state.Offset) error {
 	snap, err := f.findSnapshot(ctx, first)
 	if err != nil && f.peers != nil {
 		snap, err = f.peers.Snapshot(ctx, f.Applied())
@@ -231,7 +231,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: the log starts at offset %d: %w", ErrNoState, first, err)
 	}
-	return f.Install(snap)
+	return f.InstallSnapshot(snap)
 }
 
 // findSnapshot returns the newest usable snapshot in the retained log.
@@ -243,7 +243,7 @@
 			return nil, err
 		}
 		for _, e := range page.Entries {
-			if r, err := state.DecodeRecord(e.Data); err == nil && usable(r, first) {
+			if r, err := state.DecodeRecord(e.Data); err == nil && isUsableSnapshot(r, first) {
 				newest = r.Snapshot
 			}
 		}
@@ -258,13 +258,13 @@
 	return newest, nil
 }
 
-// usable reports whether a record holds a snapshot from which the retained log can be replayed without a gap.
-func usable(r *state.Record, first state.Offset) bool {
+// isUsableSnapshot reports whether a record holds a snapshot from which the retained log can be replayed without a gap.
+func isUsableSnapshot(r *state.Record, first state.Offset) bool {
 	return r.Kind == state.KindSnapshot && r.Snapshot != nil && r.Snapshot.At+1 >= first
 }
 
-// Install replaces the state with a newer snapshot.
-func (f *Follower) Install(snap *state.Snapshot) error {
+// InstallSnapshot replaces the state with a newer snapshot.
+func (f *Follower) InstallSnapshot(snap *state.Snapshot) error {
 	st, err := state.Restore(snap)
 	if err != nil {
 		return err
@@ -276,10 +276,10 @@
 	}
 	f.st = st
 	f.recent = nil
-	f.raiseLastSnapshot(snap.At)
+	f.advanceLastSnapshot(snap.At)
 	for id := range f.waiters {
 		if o, ok := st.Outcome(id); ok {
-			f.wake(o)
+			f.notifyWaiters(o)
 		}
 	}
 	f.publish()
@@ -293,8 +293,8 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stopped != nil {
-		return f.stopped
+	if f.stopErr != nil {
+		return f.stopErr
 	}
 	for _, e := range entries {
 		if e.Offset <= f.st.Offset() {
@@ -314,18 +314,18 @@
 	o, err := f.st.Apply(e)
 	if errors.Is(err, state.ErrUnknownRecord) {
 		f.stop(fmt.Errorf("%w: %w", ErrStopped, err))
-		return f.stopped
+		return f.stopErr
 	}
 	if err != nil {
 		return err
 	}
-	f.keep(e)
-	f.wake(o)
-	return f.snapshotPoint(e)
+	f.retain(e)
+	f.notifyWaiters(o)
+	return f.processSnapshot(e)
 }
 
-// keep retains an entry for peers.
-func (f *Follower) keep(e state.Entry) {
+// retain stores an entry for peers, and drops the oldest entries beyond the limit.
+func (f *Follower) retain(e state.Entry) {
 	f.recent = append(f.recent, e)
 	if len(f.recent) > 2*f.cfg.RecentEntries {
 		f.recent = append([]state.Entry(nil), f.recent[len(f.recent)-f.cfg.RecentEntries:]...)
@@ -343,8 +343,8 @@
 	f.changed = make(chan struct{})
 }
 
-// Recent returns at most most entries starting at offset from, or false if they are no longer retained.
-func (f *Follower) Recent(from state.Offset, most int) ([]state.Entry, bool) {
+// Recent returns at most limit entries starting at offset from, or false if they are no longer retained.
+func (f *Follower) Recent(from state.Offset, limit int) ([]state.Entry, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	if from > f.st.Offset() {
@@ -354,5 +354,5 @@
 		return nil, false
 	}
 	i := int(from - f.recent[0].Offset)
-	return append([]state.Entry(nil), f.recent[i:min(i+most, len(f.recent))]...), true
+	return append([]state.Entry(nil), f.recent[i:min(i+limit, len(f.recent))]...), true
 }
--- a/coordination/statelog/follower_test.go
+++ b/coordination/statelog/follower_test.go
@@ -18,13 +18,13 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// config returns small limits, so that page boundaries, snapshots and trims are frequent.
-func config() statelog.Config {
+// smallConfig returns small limits, so that page boundaries, snapshots and trims are frequent.
+func smallConfig() statelog.Config {
 	return statelog.Config{PageSize: 3, RecentEntries: 4, SnapshotEvery: 5, RetryDelay: time.Second}
 }
 
-// team returns a record that creates a team.
-func team(name string) *state.Record {
+// teamRecord returns a record that creates a team.
+func teamRecord(name string) *state.Record {
 	r, err := state.NewRecord(state.KindCommand, "t")
 	if err != nil {
 		panic(err)
@@ -39,25 +39,25 @@
 	return d
 }
 
-// TestFollowersAgree checks that followers reading at different speeds converge while appends
+// TestFollowersConverge checks that followers reading at different speeds converge while appends
 // are lost or duplicated, the log is trimmed behind snapshots, and the log is unavailable.
-func TestFollowersAgree(t *testing.T) {
+func TestFollowersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
 		clock := clockwork.NewFakeClock()
 		l := newFakeLog(time.Now())
-		source := statelog.NewFollower(config(), l, nil, clock)
+		source := statelog.NewFollower(smallConfig(), l, nil, clock)
 		followers := []*statelog.Follower{source}
 		for range 3 {
-			followers = append(followers, statelog.NewFollower(config(), l, &fakePeers{source}, clock))
+			followers = append(followers, statelog.NewFollower(smallConfig(), l, &fakePeers{source}, clock))
 		}
 		applied := make([]state.Offset, len(followers))
 		for step := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 7).Draw(t, "act") {
 			case 0, 1:
 				times := rapid.IntRange(0, 2).Draw(t, "times")
-				l.appendFault = func() (int, error) { return times, errLost }
-				_ = source.Append(ctx, team(fmt.Sprint(step%7)))
+				l.appendFault = func() (int, error) { return times, errResponseLost }
+				_ = source.Append(ctx, teamRecord(fmt.Sprint(step%7)))
 				l.appendFault = func() (int, error) { return 1, nil }
 			case 2:
 				if source.SnapshotDue() > 0 && !l.down {
@@ -91,8 +91,8 @@
 	})
 }
 
-// stepping steps a follower until the test ends.
-func stepping(t *testing.T, f *statelog.Follower) {
+// runSteps steps a follower until the test ends.
+func runSteps(t *testing.T, f *statelog.Follower) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -105,7 +105,7 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-func TestDoSettlesByReadingBack(t *testing.T) {
+func TestDoReturnsOutcomeReadBack(t *testing.T) {
 	cases := []struct {
 		name     string
 		times    int
@@ -114,73 +114,73 @@
 		want     error
 	}{
 		{"acknowledged", 1, nil, true, nil},
-		{"response lost", 1, errLost, true, nil},
-		{"response lost, appended twice", 2, errLost, true, nil},
-		{"response lost, never appended", 0, errLost, false, statelog.ErrUnsettled},
+		{"response lost", 1, errResponseLost, true, nil},
+		{"response lost, appended twice", 2, errResponseLost, true, nil},
+		{"response lost, never appended", 0, errResponseLost, false, statelog.ErrUnsettled},
 		{"certainly not appended", 0, statelog.ErrNotAppended, false, statelog.ErrNotAppended},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			l := newFakeLog(time.Now())
-			f := statelog.NewFollower(config(), l, nil, clockwork.NewRealClock())
-			stepping(t, f)
+			f := statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())
+			runSteps(t, f)
 			l.mu.Lock()
 			l.appendFault = func() (int, error) { return c.times, c.err }
 			l.mu.Unlock()
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			o, err := f.Do(ctx, team("a"))
+			o, err := f.Do(ctx, teamRecord("a"))
 			g.Expect(errors.Is(err, c.want)).To(BeTrue(), "%v", err)
 			g.Expect(o.Accepted).To(Equal(c.accepted))
 		})
 	}
 }
 
-// TestVoidSettlesAnUnsettledCommand checks that a delayed command is refused if its void was appended first.
-func TestVoidSettlesAnUnsettledCommand(t *testing.T) {
+// TestVoidRefusesDelayedCommand checks that a delayed command is refused if its void was appended first.
+func TestVoidRefusesDelayedCommand(t *testing.T) {
 	g := NewWithT(t)
 	l := newFakeLog(time.Now())
-	f := statelog.NewFollower(config(), l, nil, clockwork.NewRealClock())
-	stepping(t, f)
-	late := team("a")
+	f := statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())
+	runSteps(t, f)
+	delayed := teamRecord("a")
 	void, err := state.NewRecord(state.KindVoid, "t")
 	g.Expect(err).NotTo(HaveOccurred())
-	void.Void = late.ID
+	void.Void = delayed.ID
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	o, err := f.Do(ctx, void)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(o.Accepted).To(BeTrue())
-	o, err = f.Do(ctx, late)
+	o, err = f.Do(ctx, delayed)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(o.Reason).To(Equal(state.ReasonVoided))
 }
 
-func TestUnknownRecordStopsTheFold(t *testing.T) {
+func TestUnknownRecordStopsReplay(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	l := newFakeLog(time.Now())
-	f := statelog.NewFollower(config(), l, nil, clockwork.NewRealClock())
+	f := statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())
 	_, _ = l.Append(ctx, []byte(`{"v":1,"id":"x","kind":"of-a-later-version"}`))
-	g.Expect(f.Append(ctx, team("a"))).To(Succeed())
+	g.Expect(f.Append(ctx, teamRecord("a"))).To(Succeed())
 	g.Expect(errors.Is(f.Step(ctx), statelog.ErrStopped)).To(BeTrue())
 	g.Expect(f.Applied()).To(BeZero())
 	g.Expect(errors.Is(f.Stopped(), state.ErrUnknownRecord)).To(BeTrue())
-	_, err := f.Do(ctx, team("b"))
+	_, err := f.Do(ctx, teamRecord("b"))
 	g.Expect(errors.Is(err, statelog.ErrStopped)).To(BeTrue())
 }
 
-func TestTrimmedLogWithoutSnapshotGivesNoState(t *testing.T) {
+func TestTrimmedLogWithoutSnapshotReturnsErrNoState(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	l := newFakeLog(time.Now())
-	source := statelog.NewFollower(config(), l, nil, clockwork.NewRealClock())
+	source := statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())
 	for i := range 9 {
-		g.Expect(source.Append(ctx, team(fmt.Sprint(i)))).To(Succeed())
+		g.Expect(source.Append(ctx, teamRecord(fmt.Sprint(i)))).To(Succeed())
 	}
 	l.trim(4)
-	f := statelog.NewFollower(config(), l, nil, clockwork.NewRealClock())
+	f := statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())
 	g.Expect(errors.Is(f.Step(ctx), statelog.ErrNoState)).To(BeTrue())
 	g.Expect(f.Applied()).To(BeZero())
 	_, read := f.HeadAge()
@@ -191,24 +191,24 @@
 	g := NewWithT(t)
 	ctx := context.Background()
 	l := newFakeLog(time.Now())
-	f := statelog.NewFollower(config(), l, nil, clockwork.NewRealClock())
-	g.Expect(f.Append(ctx, team("a"))).To(Succeed())
+	f := statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())
+	g.Expect(f.Append(ctx, teamRecord("a"))).To(Succeed())
 	g.Expect(f.Step(ctx)).To(Succeed())
 	var old *state.Snapshot
 	f.Read(func(s *state.State) { old, _ = s.Snapshot() })
-	g.Expect(f.Append(ctx, team("b"))).To(Succeed())
+	g.Expect(f.Append(ctx, teamRecord("b"))).To(Succeed())
 	g.Expect(f.Step(ctx)).To(Succeed())
-	g.Expect(errors.Is(f.Install(old), state.ErrBackwards)).To(BeTrue())
+	g.Expect(errors.Is(f.InstallSnapshot(old), state.ErrBackwards)).To(BeTrue())
 	g.Expect(f.Applied()).To(Equal(state.Offset(2)))
 }
 
-func TestDifferentSnapshotOfTheSameOffsetStopsTheFold(t *testing.T) {
+func TestSnapshotDigestMismatchStopsReplay(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	l := newFakeLog(time.Now())
-	f := statelog.NewFollower(config(), l, nil, clockwork.NewRealClock())
+	f := statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())
 	for i := range 5 {
-		g.Expect(f.Append(ctx, team(fmt.Sprint(i)))).To(Succeed())
+		g.Expect(f.Append(ctx, teamRecord(fmt.Sprint(i)))).To(Succeed())
 	}
 	for range 2 {
 		g.Expect(f.Step(ctx)).To(Succeed())
@@ -220,15 +220,15 @@
 	g.Expect(errors.Is(f.Step(ctx), statelog.ErrStopped)).To(BeTrue())
 }
 
-// TestPartOfTheLogIsNotTheWholeState covers a node that is still catching up with the log or,
+// TestFollowerIsNotWholeUntilCaughtUp covers a node that is still catching up with the log or,
 // while the log is unavailable, with a peer.
-func TestPartOfTheLogIsNotTheWholeState(t *testing.T) {
+func TestFollowerIsNotWholeUntilCaughtUp(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	l := newFakeLog(time.Now())
-	source := statelog.NewFollower(config(), l, nil, clockwork.NewRealClock())
+	source := statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())
 	for i := range 4 {
-		g.Expect(source.Append(ctx, team(fmt.Sprint(i)))).To(Succeed())
+		g.Expect(source.Append(ctx, teamRecord(fmt.Sprint(i)))).To(Succeed())
 	}
 	g.Expect(source.Step(ctx)).To(Succeed())
 	g.Expect(source.Applied()).To(Equal(state.Offset(3)))
@@ -237,23 +237,23 @@
 	g.Expect(source.Whole()).To(BeTrue())
 
 	l.down = true
-	late := statelog.NewFollower(config(), l, &fakePeers{source}, clockwork.NewRealClock())
-	_ = late.Step(ctx)
-	g.Expect(late.Applied()).To(Equal(state.Offset(3)))
-	g.Expect(late.Whole()).To(BeFalse())
-	_ = late.Step(ctx)
-	_ = late.Step(ctx)
-	g.Expect(late.Applied()).To(Equal(state.Offset(4)))
-	g.Expect(late.Whole()).To(BeTrue())
+	follower := statelog.NewFollower(smallConfig(), l, &fakePeers{source}, clockwork.NewRealClock())
+	_ = follower.Step(ctx)
+	g.Expect(follower.Applied()).To(Equal(state.Offset(3)))
+	g.Expect(follower.Whole()).To(BeFalse())
+	_ = follower.Step(ctx)
+	_ = follower.Step(ctx)
+	g.Expect(follower.Applied()).To(Equal(state.Offset(4)))
+	g.Expect(follower.Whole()).To(BeTrue())
 
-	empty := statelog.NewFollower(config(), l, &fakePeers{statelog.NewFollower(config(), l, nil, clockwork.NewRealClock())}, clockwork.NewRealClock())
+	empty := statelog.NewFollower(smallConfig(), l, &fakePeers{statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())}, clockwork.NewRealClock())
 	_ = empty.Step(ctx)
 	g.Expect(empty.Whole()).To(BeFalse())
 }
 
 // A log that was restored from a backup reuses offsets. A follower that reads on would wait for
 // offsets beyond the new head, or read other records than those once written at these offsets.
-func TestALogThatComesBackFromAnOlderCopyIsFollowedNoFurther(t *testing.T) {
+func TestRestoredLogStopsReplay(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		pages []statelog.Page
--- a/coordination/statelog/settle.go
+++ b/coordination/statelog/settle.go
@@ -21,8 +21,8 @@
 	if err := f.Stopped(); err != nil {
 		return state.Outcome{}, fmt.Errorf("%w: %w", ErrNotAppended, err)
 	}
-	ch := f.await(r.ID)
-	defer f.forsake(r.ID, ch)
+	ch := f.addWaiter(r.ID)
+	defer f.removeWaiter(r.ID, ch)
 	if _, err := f.log.Append(ctx, data); errors.Is(err, ErrNotAppended) {
 		return state.Outcome{}, err
 	}
@@ -36,8 +36,8 @@
 	}
 }
 
-// await returns a channel that receives the outcome of a record ID, immediately if it is already known.
-func (f *Follower) await(id string) chan state.Outcome {
+// addWaiter returns a channel that receives the outcome of a record ID, immediately if it is already known.
+func (f *Follower) addWaiter(id string) chan state.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ch := make(chan state.Outcome, 1)
@@ -49,24 +49,24 @@
 	return ch
 }
 
-// wake sends an outcome to all waiters for its ID; the caller holds mu.
-func (f *Follower) wake(o state.Outcome) {
+// notifyWaiters sends an outcome to all waiters for its ID; the caller holds mu.
+func (f *Follower) notifyWaiters(o state.Outcome) {
 	for _, ch := range f.waiters[o.ID] {
 		ch <- o
 	}
 	delete(f.waiters, o.ID)
 }
 
-// forsake removes a waiter for a record ID.
-func (f *Follower) forsake(id string, ch chan state.Outcome) {
+// removeWaiter removes a waiter for a record ID.
+func (f *Follower) removeWaiter(id string, ch chan state.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rest := slices.DeleteFunc(f.waiters[id], func(c chan state.Outcome) bool { return c == ch })
-	if len(rest) == 0 {
+	remaining := slices.DeleteFunc(f.waiters[id], func(c chan state.Outcome) bool { return c == ch })
+	if len(remaining) == 0 {
 		delete(f.waiters, id)
 		return
 	}
-	f.waiters[id] = rest
+	f.waiters[id] = remaining
 }
 
 // Append appends a record without waiting until it is read back.
--- a/coordination/statelog/snapshot.go
+++ b/coordination/statelog/snapshot.go
@@ -7,31 +7,31 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// snapshotPoint takes a snapshot at every multiple of SnapshotEvery. If the entry is a
+// processSnapshot takes a snapshot at every multiple of SnapshotEvery. If the entry is a
 // snapshot of the same offset written by another node, it compares the digests and stops
 // replay on a mismatch.
-func (f *Follower) snapshotPoint(e state.Entry) error {
+func (f *Follower) processSnapshot(e state.Entry) error {
 	if f.st.Offset()%f.cfg.SnapshotEvery == 0 {
 		snap, err := f.st.Snapshot()
 		if err != nil {
 			return err
 		}
-		f.own = snap
+		f.ownSnapshot = snap
 	}
 	r, err := state.DecodeRecord(e.Data)
 	if err != nil || r.Kind != state.KindSnapshot || r.Snapshot == nil {
 		return nil
 	}
-	if f.own != nil && f.own.At == r.Snapshot.At && f.own.Digest != r.Snapshot.Digest {
-		f.stopped = fmt.Errorf("%w: the state at %d differs from the one written by %s", ErrStopped, r.Snapshot.At, r.By)
-		return f.stopped
+	if f.ownSnapshot != nil && f.ownSnapshot.At == r.Snapshot.At && f.ownSnapshot.Digest != r.Snapshot.Digest {
+		f.stopErr = fmt.Errorf("%w: the state at %d differs from the one written by %s", ErrStopped, r.Snapshot.At, r.By)
+		return f.stopErr
 	}
-	f.raiseLastSnapshot(r.Snapshot.At)
+	f.advanceLastSnapshot(r.Snapshot.At)
 	return nil
 }
 
-// raiseLastSnapshot records the offset of the newest snapshot known to be in the log.
-func (f *Follower) raiseLastSnapshot(at state.Offset) {
+// advanceLastSnapshot records the offset of the newest snapshot known to be in the log.
+func (f *Follower) advanceLastSnapshot(at state.Offset) {
 	if uint64(at) > f.lastSnapshot.Load() {
 		f.lastSnapshot.Store(uint64(at))
 	}
@@ -43,21 +43,21 @@
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	last := state.Offset(f.lastSnapshot.Load())
-	if f.own == nil || f.own.At <= last {
+	if f.ownSnapshot == nil || f.ownSnapshot.At <= last {
 		return 0
 	}
 	return f.st.Offset() - last
 }
 
 // WriteSnapshot appends the newest snapshot taken by this node to the log.
-func (f *Follower) WriteSnapshot(ctx context.Context, by string) error {
+func (f *Follower) WriteSnapshot(ctx context.Context, author string) error {
 	f.mu.RLock()
-	snap := f.own
+	snap := f.ownSnapshot
 	f.mu.RUnlock()
 	if snap == nil {
 		return nil
 	}
-	r, err := state.NewRecord(state.KindSnapshot, by)
+	r, err := state.NewRecord(state.KindSnapshot, author)
 	if err != nil {
 		return err
 	}
--- a/coordination/statelog/statelog.go
+++ b/coordination/statelog/statelog.go
@@ -43,14 +43,14 @@
 	// Append adds a record and returns its offset. ErrNotAppended is returned
 	// only if the record was certainly not appended; after any other error it may have been.
 	Append(ctx context.Context, data []byte) (state.Offset, error)
-	// Read returns at most most entries starting at offset from, and waits up to wait for the first.
-	Read(ctx context.Context, from state.Offset, most int, wait time.Duration) (Page, error)
+	// Read returns at most limit entries starting at offset from, and waits up to wait for the first.
+	Read(ctx context.Context, from state.Offset, limit int, wait time.Duration) (Page, error)
 }
 
 // Peers provides the state held by other nodes.
 type Peers interface {
 	// Snapshot returns a snapshot newer than an offset, or an error.
 	Snapshot(ctx context.Context, newerThan state.Offset) (*state.Snapshot, error)
-	// Records returns at most most entries starting at offset from, as far as a peer retains them.
-	Records(ctx context.Context, from state.Offset, most int) ([]state.Entry, error)
+	// Records returns at most limit entries starting at offset from, as far as a peer retains them.
+	Records(ctx context.Context, from state.Offset, limit int) ([]state.Entry, error)
 }
