--- a/coordination/source/era.go
+++ b/coordination/source/era.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// eraShift is the number of bits of the offset in a position: an era has room for 2^40 records of a topic.
-const eraShift = 40
+// offsetBits is the number of bits of the offset in a position: an era has room for 2^40 records of a topic.
+const offsetBits = 40
 
 // Position combines an era and an offset into one number that orders the records of a topic.
 // A restore from a backup begins a new era, whose positions are above all earlier ones although
 // its offsets are reused.
-func Position(era, offset int64) int64 { return era<<eraShift | offset }
+func Position(era, offset int64) int64 { return era<<offsetBits | offset }
 
 // Era returns the era of a position.
-func Era(position int64) int64 { return position >> eraShift }
+func Era(position int64) int64 { return position >> offsetBits }
 
 // Offset returns the offset of a position.
-func Offset(position int64) int64 { return position & (1<<eraShift - 1) }
+func Offset(position int64) int64 { return position & (1<<offsetBits - 1) }
 
 // Reading classifies the response to a read.
 type Reading int
@@ -36,19 +36,19 @@
 
 // Cursor tracks the progress of a reader of a topic. The zero value has read nothing.
 type Cursor struct {
-	// Settle is how long after a restore writers take to write the records again that the backup lacks.
+	// Settle is how long after a restore to wait until writers have written again the records that the backup lacks.
 	Settle time.Duration
 
-	begun bool
-	era   int64
-	next  int64
-	// again is when to read the newest record of each key once more after a restore; zero if not scheduled.
-	again time.Time
+	started bool
+	era     int64
+	next    int64
+	// rereadAt is when to read the newest record of each key once more after a restore; zero if not scheduled.
+	rereadAt time.Time
 }
 
 // From returns the offset to read from at time now, or -1 to read the newest record of each key.
 func (c *Cursor) From(now time.Time) int64 {
-	if !c.begun || !c.again.IsZero() && !now.Before(c.again) {
+	if !c.started || !c.rereadAt.IsZero() && !now.Before(c.rereadAt) {
 		return -1
 	}
 	return c.next
@@ -60,7 +60,7 @@
 // Take records the response to a read from offset from and returns its class.
 func (c *Cursor) Take(from int64, t Tail, now time.Time) Reading {
 	switch {
-	case c.begun && t.Era < c.era:
+	case c.started && t.Era < c.era:
 		return Stale // delayed response from before the restore
 	case from >= 0 && t.Era != c.era:
 		c.next = -1
@@ -69,13 +69,13 @@
 		c.next = t.End
 		return Further
 	}
-	restored := c.begun && t.Era != c.era
+	restored := c.started && t.Era != c.era
 	if restored {
-		c.again = now.Add(c.Settle)
-	} else if !c.again.IsZero() && !now.Before(c.again) {
-		c.again = time.Time{}
+		c.rereadAt = now.Add(c.Settle)
+	} else if !c.rereadAt.IsZero() && !now.Before(c.rereadAt) {
+		c.rereadAt = time.Time{}
 	}
-	c.begun, c.era, c.next = true, t.Era, t.End
+	c.started, c.era, c.next = true, t.Era, t.End
 	if restored {
 		return Restored
 	}
