--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -49,10 +49,10 @@
 
 // Manager claims keys for one node. It is safe for concurrent use.
 type Manager struct {
-	node     string
-	follower Follower
-	clock    clockwork.Clock
-	limiter  *rate.Limiter
+	incarnation string
+	follower    Follower
+	clock       clockwork.Clock
+	limiter     *rate.Limiter
 
 	mu      sync.Mutex
 	pending []state.ClaimOp
@@ -62,11 +62,11 @@
 // NewManager returns a Manager for a node's incarnation that appends at most perSecond records a second.
 func NewManager(incarnation string, follower Follower, clock clockwork.Clock, perSecond float64) *Manager {
 	return &Manager{
-		node:     incarnation,
-		follower: follower,
-		clock:    clock,
-		limiter:  rate.NewLimiter(rate.Limit(perSecond), 3),
-		wake:     make(chan struct{}, 1),
+		incarnation: incarnation,
+		follower:    follower,
+		clock:       clock,
+		limiter:     rate.NewLimiter(rate.Limit(perSecond), 3),
+		wake:        make(chan struct{}, 1),
 	}
 }
 
@@ -75,12 +75,12 @@
 
 // Claim returns the holder that may run the call, or the recorded result of an earlier
 // attempt, or an error.
-func (m *Manager) Claim(ctx context.Context, key state.ClaimKey, request string) (holder string, done *state.Result, err error) {
+func (m *Manager) Claim(ctx context.Context, key state.ClaimKey, request string) (holder string, recorded *state.Result, err error) {
 	if _, ok := state.IDTime(key.Key); !ok {
 		return "", nil, ErrKey
 	}
-	holder = m.node + "/" + uuid.NewString()
-	if settled, result, err := m.look(key, holder, request); settled {
+	holder = m.incarnation + "/" + uuid.NewString()
+	if settled, result, err := m.lookup(key, holder, request); settled {
 		return "", result, err
 	}
 	if err := m.follower.Stopped(); err != nil {
@@ -89,9 +89,9 @@
 	m.enqueue(state.ClaimOp{Key: key, Holder: holder, Request: request})
 	for {
 		changed := m.follower.Changed()
-		settled, result, err := m.look(key, holder, request)
+		settled, result, err := m.lookup(key, holder, request)
 		if settled {
-			return winner(holder, result, err), result, err
+			return ownHolder(holder, result, err), result, err
 		}
 		select {
 		case <-changed:
@@ -104,17 +104,17 @@
 	}
 }
 
-// winner returns the holder if the settled claim is its own.
-func winner(holder string, result *state.Result, err error) string {
+// ownHolder returns the holder if the settled claim is its own, and an empty string otherwise.
+func ownHolder(holder string, result *state.Result, err error) string {
 	if result != nil || err != nil {
 		return ""
 	}
 	return holder
 }
 
-// look reports whether the claim of a key is settled. If another attempt holds the key, it also
+// lookup reports whether the claim of a key is settled. If another attempt holds the key, it also
 // returns that attempt's result or an error.
-func (m *Manager) look(key state.ClaimKey, holder, request string) (settled bool, result *state.Result, err error) {
+func (m *Manager) lookup(key state.ClaimKey, holder, request string) (settled bool, result *state.Result, err error) {
 	m.follower.Read(func(s *state.State) {
 		c, ok := s.Claim(key)
 		switch {
@@ -122,7 +122,7 @@
 			settled = true
 		case ok && !c.Released:
 			settled = true
-			result, err = earlier(c, request)
+			result, err = earlierResult(c, request)
 		case !s.KeyCovered(key.Key):
 			settled, err = true, ErrNotCovered
 		}
@@ -130,8 +130,8 @@
 	return settled, result, err
 }
 
-// earlier returns the result of an earlier attempt with the same key.
-func earlier(c state.Claim, request string) (*state.Result, error) {
+// earlierResult returns the result of an earlier attempt with the same key.
+func earlierResult(c state.Claim, request string) (*state.Result, error) {
 	if c.Request != request {
 		return nil, ErrConflict
 	}
@@ -162,8 +162,8 @@
 	}
 }
 
-// take removes at most maxBatch operations from the queue.
-func (m *Manager) take() []state.ClaimOp {
+// takeBatch removes at most maxBatch operations from the queue.
+func (m *Manager) takeBatch() []state.ClaimOp {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := min(len(m.pending), maxBatch)
@@ -201,7 +201,7 @@
 // flush appends one batch. After a failed append, or one whose response was lost, it queues the
 // operations again. Duplicates are harmless, since only the first of each has an effect.
 func (m *Manager) flush(ctx context.Context) {
-	batch := m.take()
+	batch := m.takeBatch()
 	err := m.appendBatch(ctx, batch)
 	if err == nil {
 		return
@@ -218,7 +218,7 @@
 
 // appendBatch appends operations as one record.
 func (m *Manager) appendBatch(ctx context.Context, batch []state.ClaimOp) error {
-	r, err := state.NewRecord(state.KindClaims, m.node)
+	r, err := state.NewRecord(state.KindClaims, m.incarnation)
 	if err != nil {
 		return err
 	}
--- a/coordination/control/control.go
+++ b/coordination/control/control.go
@@ -32,10 +32,10 @@
 	}
 	a := v.Assignments[r.Instance]
 	if a == nil {
-		return strayOrder(v, r)
+		return releaseOrder(v, r)
 	}
 	if a.Group == "" {
-		if Released(a, r) {
+		if IsReleased(a, r) {
 			return Order{}, false
 		}
 		return Order{Instance: r.Instance, Epoch: a.Epoch}, true
@@ -47,34 +47,34 @@
 	return Order{Instance: r.Instance, Group: a.Group, Epoch: a.Epoch, Rank: a.Rank, Size: len(g.Members), Model: g.Model}, true
 }
 
-// strayOrder returns the order that releases an instance without an assignment from the group it reports.
-func strayOrder(v *statelog.View, r evidence.Report) (Order, bool) {
+// releaseOrder returns the order that releases an instance without an assignment from the group it reports.
+func releaseOrder(v *statelog.View, r evidence.Report) (Order, bool) {
 	if r.Group == "" {
 		return Order{}, false
 	}
 	return Order{Instance: r.Instance, Epoch: v.Offset}, true
 }
 
-// Released reports whether an instance has confirmed its release at the epoch of its assignment.
-func Released(a *state.Assignment, r evidence.Report) bool {
+// IsReleased reports whether an instance has confirmed its release at the epoch of its assignment.
+func IsReleased(a *state.Assignment, r evidence.Report) bool {
 	return a.Group == "" && r.Group == "" && r.Phase == evidence.PhaseIdle && r.Epoch == a.Epoch
 }
 
-// Cleared reports whether no request of a group is in flight on any node.
-type Cleared func(g *state.Group) bool
+// DrainedFunc reports whether no request of a group is in flight on any node.
+type DrainedFunc func(g *state.Group) bool
 
 // Proposals returns the operations that follow from the reports of instances: it frees
 // instances that confirmed their release, and dissolves releasing groups with no request in flight.
-func Proposals(v *statelog.View, get func(state.InstanceID) (evidence.TimedReport, bool), cleared Cleared) []state.Op {
+func Proposals(v *statelog.View, getReport func(state.InstanceID) (evidence.TimedReport, bool), isDrained DrainedFunc) []state.Op {
 	var ops []state.Op
 	for _, a := range v.Assignments {
-		e, ok := get(a.Instance)
-		if ok && Released(a, e.Report) {
+		e, ok := getReport(a.Instance)
+		if ok && IsReleased(a, e.Report) {
 			ops = append(ops, state.Op{FreeInstance: &state.FreeInstance{Instance: a.Instance, Epoch: a.Epoch}})
 		}
 	}
 	for _, g := range v.Groups {
-		if g.Releasing && cleared(g) {
+		if g.Releasing && isDrained(g) {
 			ops = append(ops, state.Op{DissolveGroup: &state.DissolveGroup{Group: g.Name, Epoch: g.Epoch}})
 		}
 	}
--- a/coordination/control/control_test.go
+++ b/coordination/control/control_test.go
@@ -20,15 +20,15 @@
 
 // instance is a simulated target that may or may not check fencing tokens.
 type instance struct {
-	id     state.InstanceID
-	checks bool
-	fence  state.Epoch
-	order  control.Order
+	id          state.InstanceID
+	checksFence bool
+	fence       state.Epoch
+	order       control.Order
 }
 
-// obey applies an order, even a stale one if the target does not check fencing tokens.
-func (i *instance) obey(o control.Order) {
-	if i.checks && o.Epoch < i.fence {
+// handleOrder applies an order, even a stale one if the target does not check fencing tokens.
+func (i *instance) handleOrder(o control.Order) {
+	if i.checksFence && o.Epoch < i.fence {
 		return
 	}
 	i.fence = max(i.fence, o.Epoch)
@@ -44,8 +44,8 @@
 	return r
 }
 
-// world simulates a log, target instances, and nodes that have read the log up to different offsets.
-type world struct {
+// simulation simulates a log, target instances, and nodes that have read the log up to different offsets.
+type simulation struct {
 	t         *rapid.T
 	now       time.Time
 	st        *state.State
@@ -55,46 +55,46 @@
 }
 
 // apply applies operations, which may be refused. It retains a view of every offset for nodes that lag behind.
-func (w *world) apply(ops ...state.Op) {
+func (sim *simulation) apply(ops ...state.Op) {
 	var id uuid.UUID
-	binary.BigEndian.PutUint64(id[:8], uint64(w.now.UnixMilli())<<16)
+	binary.BigEndian.PutUint64(id[:8], uint64(sim.now.UnixMilli())<<16)
 	id[6], id[8] = 0x70, 0x80
-	binary.BigEndian.PutUint16(id[14:], uint16(w.st.Offset()))
+	binary.BigEndian.PutUint16(id[14:], uint16(sim.st.Offset()))
 	r := &state.Record{Version: 1, ID: id.String(), Kind: state.KindCommand, Ops: ops}
 	data, err := r.Encode()
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	if _, err := w.st.Apply(state.Entry{Offset: w.st.Offset() + 1, Time: w.now, Data: data}); err != nil {
-		w.t.Fatal(err)
+	if _, err := sim.st.Apply(state.Entry{Offset: sim.st.Offset() + 1, Time: sim.now, Data: data}); err != nil {
+		sim.t.Fatal(err)
 	}
-	w.views = append(w.views, statelog.NewView(w.st))
+	sim.views = append(sim.views, statelog.NewView(sim.st))
 }
 
-// wholeAt returns the members of the groups of a view that are complete according to their members' current reports.
-func (w *world) wholeAt(v *statelog.View) map[state.GroupName][]state.InstanceID {
+// completeGroups returns the members of the groups of a view that are complete according to their members' current reports.
+func (sim *simulation) completeGroups(v *statelog.View) map[state.GroupName][]state.InstanceID {
 	table := evidence.NewTable()
-	for _, i := range w.instances {
-		table.Record(i.report(), w.now)
+	for _, i := range sim.instances {
+		table.Record(i.report(), sim.now)
 	}
-	whole := map[state.GroupName][]state.InstanceID{}
+	complete := map[state.GroupName][]state.InstanceID{}
 	for _, g := range v.Groups {
-		if len(table.CheckGroup(g, w.now, time.Second).Mismatches) == 0 {
-			whole[g.Name] = g.Members
+		if len(table.CheckGroup(g, sim.now, time.Second).Mismatches) == 0 {
+			complete[g.Name] = g.Members
 		}
 	}
-	return whole
+	return complete
 }
 
-// checkApart fails if an instance serves two groups or epochs at once, across the views of all nodes.
-func (w *world) checkApart() {
+// checkExclusive fails if an instance serves two groups or epochs at once, across the views of all nodes.
+func (sim *simulation) checkExclusive() {
 	owner := map[state.InstanceID]string{}
-	for n, v := range w.views {
-		for name, members := range w.wholeAt(v) {
+	for n, v := range sim.views {
+		for name, members := range sim.completeGroups(v) {
 			key := fmt.Sprintf("%s epoch %d", name, v.ByName[name].Epoch)
 			for _, id := range members {
 				if other, ok := owner[id]; ok && other != key {
-					w.t.Fatalf("instance %s serves %s and, in the view at offset %d, %s", id, other, n, key)
+					sim.t.Fatalf("instance %s serves %s and, in the view at offset %d, %s", id, other, n, key)
 				}
 				owner[id] = key
 			}
@@ -102,120 +102,120 @@
 	}
 }
 
-// order sends the order that a node with the given view derives for a random instance, immediately or delayed.
-func (w *world) order(v *statelog.View) {
-	i := w.instances[rapid.IntRange(0, len(w.instances)-1).Draw(w.t, "instance")]
+// sendOrder sends the order that a node with the given view derives for a random instance, immediately or delayed.
+func (sim *simulation) sendOrder(v *statelog.View) {
+	i := sim.instances[rapid.IntRange(0, len(sim.instances)-1).Draw(sim.t, "instance")]
 	o, needed := control.Need(v, i.report())
 	if !needed {
 		return
 	}
-	if rapid.Bool().Draw(w.t, "delayed") {
-		w.delayed = append(w.delayed, o)
+	if rapid.Bool().Draw(sim.t, "delayed") {
+		sim.delayed = append(sim.delayed, o)
 		return
 	}
-	i.obey(o)
+	i.handleOrder(o)
 }
 
-// deliver delivers a delayed order, which stays queued and may be delivered again.
-func (w *world) deliver() {
-	if len(w.delayed) == 0 {
+// deliverDelayed delivers a delayed order, which stays queued and may be delivered again.
+func (sim *simulation) deliverDelayed() {
+	if len(sim.delayed) == 0 {
 		return
 	}
-	n := rapid.IntRange(0, len(w.delayed)-1).Draw(w.t, "order")
-	for _, i := range w.instances {
-		if i.id == w.delayed[n].Instance {
-			i.obey(w.delayed[n])
+	n := rapid.IntRange(0, len(sim.delayed)-1).Draw(sim.t, "order")
+	for _, i := range sim.instances {
+		if i.id == sim.delayed[n].Instance {
+			i.handleOrder(sim.delayed[n])
 		}
 	}
 }
 
-// TestNoInstanceWorksForTwoGroups checks that stale orders never make an instance serve two
+// TestNoInstanceServesTwoGroups checks that stale orders never make an instance serve two
 // groups. Nodes at different offsets send orders that arrive late, twice or never, some targets
 // do not check fencing tokens, and operators and reports change the state. Once all nodes are up
 // to date, every instance must reach its assignment.
-func TestNoInstanceWorksForTwoGroups(t *testing.T) {
+func TestNoInstanceServesTwoGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC), st: state.New()}
+		sim := &simulation{t: t, now: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC), st: state.New()}
 		for n := range 6 {
-			w.instances = append(w.instances, &instance{id: state.InstanceID(fmt.Sprint(n)), checks: rapid.Bool().Draw(t, "checks")})
+			sim.instances = append(sim.instances, &instance{id: state.InstanceID(fmt.Sprint(n)), checksFence: rapid.Bool().Draw(t, "checks")})
 		}
-		w.apply()
+		sim.apply()
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
-			w.now = w.now.Add(time.Second)
+			sim.now = sim.now.Add(time.Second)
 			switch rapid.IntRange(0, 5).Draw(t, "act") {
 			case 0:
-				w.command()
+				sim.applyCommand()
 			case 1:
-				w.proposals()
+				sim.applyProposals()
 			case 2:
-				w.order(w.views[rapid.IntRange(0, len(w.views)-1).Draw(t, "stale view")])
+				sim.sendOrder(sim.views[rapid.IntRange(0, len(sim.views)-1).Draw(t, "stale view")])
 			case 3:
-				w.deliver()
+				sim.deliverDelayed()
 			default:
-				w.order(w.views[len(w.views)-1])
+				sim.sendOrder(sim.views[len(sim.views)-1])
 			}
-			w.checkApart()
+			sim.checkExclusive()
 		}
-		w.settle()
+		sim.checkConvergence()
 	})
 }
 
-// command applies a random operator command.
-func (w *world) command() {
-	g := state.GroupName(rapid.SampledFrom([]string{"g", "h", "k"}).Draw(w.t, "group"))
+// applyCommand applies a random operator command.
+func (sim *simulation) applyCommand() {
+	g := state.GroupName(rapid.SampledFrom([]string{"g", "h", "k"}).Draw(sim.t, "group"))
 	place := func() state.Place {
-		return state.Place{Instance: w.instances[rapid.IntRange(0, 5).Draw(w.t, "place")].id, Hall: "h", Domain: "d"}
+		return state.Place{Instance: sim.instances[rapid.IntRange(0, 5).Draw(sim.t, "place")].id, Hall: "h", Domain: "d"}
 	}
-	switch rapid.IntRange(0, 3).Draw(w.t, "command") {
+	switch rapid.IntRange(0, 3).Draw(sim.t, "command") {
 	case 0, 1:
-		w.apply(state.Op{CreateGroup: &state.CreateGroup{Name: g, Model: state.Model{Name: "m"}, Gate: state.GateWindow, Members: []state.Place{place(), place()}}})
+		sim.apply(state.Op{CreateGroup: &state.CreateGroup{Name: g, Model: state.Model{Name: "m"}, Gate: state.GateWindow, Members: []state.Place{place(), place()}}})
 	case 2:
-		if grp := w.st.Group(g); grp != nil {
-			w.apply(state.Op{ReplaceMember: &state.ReplaceMember{Group: g, Rank: 0, Out: grp.Members[0], In: place()}})
+		if grp := sim.st.Group(g); grp != nil {
+			sim.apply(state.Op{ReplaceMember: &state.ReplaceMember{Group: g, Rank: 0, Out: grp.Members[0], In: place()}})
 		}
 	default:
-		w.apply(state.Op{ReleaseGroup: &state.ReleaseGroup{Group: g}})
+		sim.apply(state.Op{ReleaseGroup: &state.ReleaseGroup{Group: g}})
 	}
 }
 
-// proposals applies the proposals that follow from the reports.
-func (w *world) proposals() {
-	get := func(id state.InstanceID) (evidence.TimedReport, bool) {
-		for _, i := range w.instances {
+// applyProposals applies the proposals that follow from the reports.
+func (sim *simulation) applyProposals() {
+	getReport := func(id state.InstanceID) (evidence.TimedReport, bool) {
+		for _, i := range sim.instances {
 			if i.id == id {
-				return evidence.TimedReport{Report: i.report(), ProbedAt: w.now}, true
+				return evidence.TimedReport{Report: i.report(), ProbedAt: sim.now}, true
 			}
 		}
 		return evidence.TimedReport{}, false
 	}
-	for _, op := range control.Proposals(w.views[len(w.views)-1], get, func(*state.Group) bool { return true }) {
-		w.apply(op)
+	for _, op := range control.Proposals(sim.views[len(sim.views)-1], getReport, func(*state.Group) bool { return true }) {
+		sim.apply(op)
 	}
 }
 
-// settle sends the orders of up-to-date nodes only, and checks that every instance reaches its assignment.
-func (w *world) settle() {
-	v := w.views[len(w.views)-1]
+// checkConvergence sends the orders of up-to-date nodes only, and checks that every instance reaches its assignment.
+func (sim *simulation) checkConvergence() {
+	v := sim.views[len(sim.views)-1]
 	for range 3 {
-		for _, i := range w.instances {
+		for _, i := range sim.instances {
 			if o, needed := control.Need(v, i.report()); needed {
-				i.obey(o)
+				i.handleOrder(o)
 			}
 		}
 	}
-	for _, i := range w.instances {
+	for _, i := range sim.instances {
 		a := v.Assignments[i.id]
 		switch {
 		case a == nil && i.order.Group != "":
-			w.t.Fatalf("instance %s has no assignment but is in group %s", i.id, i.order.Group)
+			sim.t.Fatalf("instance %s has no assignment but is in group %s", i.id, i.order.Group)
 		case a != nil && (i.order.Group != a.Group || i.order.Epoch != a.Epoch):
-			w.t.Fatalf("instance %s: assigned %+v, but its last order is %+v", i.id, a, i.order)
+			sim.t.Fatalf("instance %s: assigned %+v, but its last order is %+v", i.id, a, i.order)
 		}
 	}
 }
 
-// TestNodeThatIsBehindOrdersNothing covers a report with an epoch that the node has not read yet.
-func TestNodeThatIsBehindOrdersNothing(t *testing.T) {
+// TestNeedReturnsNoOrderWhenNodeLags covers a report with an epoch that the node has not read yet.
+func TestNeedReturnsNoOrderWhenNodeLags(t *testing.T) {
 	v := &statelog.View{Offset: 5, Assignments: map[state.InstanceID]*state.Assignment{"i": {Instance: "i", Epoch: 5}}}
 	r := evidence.Report{Instance: "i", Group: "g", Epoch: 9, Phase: evidence.PhaseReady}
 	if o, needed := control.Need(v, r); needed {
--- a/coordination/ticket/ticket.go
+++ b/coordination/ticket/ticket.go
@@ -21,10 +21,10 @@
 
 // Errors of this package.
 var (
-	// ErrFormat means that a string is not a ticket.
-	ErrFormat = errors.New("ticket: not a ticket")
-	// ErrForeign means that another incarnation issued the ticket.
-	ErrForeign = errors.New("ticket: minted by another node")
+	// ErrMalformed means that a string is not a ticket.
+	ErrMalformed = errors.New("ticket: not a ticket")
+	// ErrOtherIncarnation means that another incarnation issued the ticket.
+	ErrOtherIncarnation = errors.New("ticket: minted by another node")
 	// ErrUnknown means that the ticket was spent and has no known result, or that it expired.
 	ErrUnknown = errors.New("ticket: the call may have run")
 	// ErrConflict means that the ticket was spent on a different call, or belongs to another team or service.
@@ -43,14 +43,14 @@
 // at most about one kilobyte.
 const MaxTickets = 20000
 
-// shards is the number of independently locked shards of a Book.
-const shards = 16
+// shardCount is the number of independently locked shards of a Book.
+const shardCount = 16
 
 // Parse returns the node and the incarnation that issued a ticket.
 func Parse(text string) (node, incarnation string, err error) {
 	parts := strings.Split(text, "~")
 	if len(parts) != 4 || parts[0] != prefix || parts[1] == "" || parts[2] == "" {
-		return "", "", ErrFormat
+		return "", "", ErrMalformed
 	}
 	return parts[1], parts[2], nil
 }
@@ -72,50 +72,50 @@
 type Book struct {
 	node, incarnation string
 	clock             clockwork.Clock
-	shards            [shards]shard
+	shards            [shardCount]shard
 }
 
 type shard struct {
-	mu sync.Mutex
-	m  map[string]*entry
+	mu      sync.Mutex
+	entries map[string]*entry
 }
 
 // NewBook returns an empty Book.
 func NewBook(node, incarnation string, clock clockwork.Clock) *Book {
 	b := &Book{node: node, incarnation: incarnation, clock: clock}
 	for i := range b.shards {
-		b.shards[i].m = map[string]*entry{}
+		b.shards[i].entries = map[string]*entry{}
 	}
 	return b
 }
 
-// shard returns the shard of a ticket.
-func (b *Book) shard(ticket string) *shard {
-	return &b.shards[xxhash.Sum64String(ticket)%shards]
+// shardFor returns the shard of a ticket.
+func (b *Book) shardFor(ticket string) *shard {
+	return &b.shards[xxhash.Sum64String(ticket)%shardCount]
 }
 
 // Mint issues a ticket for one call of a team to a service.
 func (b *Book) Mint(team state.TeamName, service state.ServiceName) (string, error) {
 	ticket := strings.Join([]string{prefix, b.node, b.incarnation, uuid.NewString()}, "~")
 	now := b.clock.Now()
-	s := b.shard(ticket)
+	s := b.shardFor(ticket)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.m) >= MaxTickets/shards {
-		s.forget(now)
+	if len(s.entries) >= MaxTickets/shardCount {
+		s.evictExpired(now)
 	}
-	if len(s.m) >= MaxTickets/shards {
+	if len(s.entries) >= MaxTickets/shardCount {
 		return "", ErrFull
 	}
-	s.m[ticket] = &entry{team: team, service: service, expires: now.Add(Horizon)}
+	s.entries[ticket] = &entry{team: team, service: service, expires: now.Add(Horizon)}
 	return ticket, nil
 }
 
-// forget evicts expired tickets; the caller holds mu.
-func (s *shard) forget(now time.Time) {
-	for ticket, e := range s.m {
+// evictExpired evicts expired tickets; the caller holds mu.
+func (s *shard) evictExpired(now time.Time) {
+	for ticket, e := range s.entries {
 		if !now.Before(e.expires) {
-			delete(s.m, ticket)
+			delete(s.entries, ticket)
 		}
 	}
 }
@@ -128,12 +128,12 @@
 		return nil, err
 	}
 	if node != b.node || incarnation != b.incarnation {
-		return nil, fmt.Errorf("%w: %s", ErrForeign, node)
+		return nil, fmt.Errorf("%w: %s", ErrOtherIncarnation, node)
 	}
-	s := b.shard(ticket)
+	s := b.shardFor(ticket)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.m[ticket]
+	e := s.entries[ticket]
 	switch {
 	case e == nil || !b.clock.Now().Before(e.expires):
 		return nil, ErrUnknown
@@ -150,10 +150,10 @@
 
 // Finish records the result of the call on which a ticket was spent.
 func (b *Book) Finish(ticket string, result *state.Result) {
-	s := b.shard(ticket)
+	s := b.shardFor(ticket)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.m[ticket]; e != nil && e.spent {
+	if e := s.entries[ticket]; e != nil && e.spent {
 		e.result = result
 	}
 }
@@ -161,10 +161,10 @@
 // GiveBack makes a ticket unspent after a call that was certainly not sent. It has no effect
 // once a result is recorded.
 func (b *Book) GiveBack(ticket string) {
-	s := b.shard(ticket)
+	s := b.shardFor(ticket)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.m[ticket]; e != nil && e.result == nil {
+	if e := s.entries[ticket]; e != nil && e.result == nil {
 		e.spent = false
 	}
 }
--- a/coordination/ticket/ticket_test.go
+++ b/coordination/ticket/ticket_test.go
@@ -15,8 +15,8 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// book returns a Book with a fake clock and one ticket.
-func book(t *testing.T) (*ticket.Book, *clockwork.FakeClock, string) {
+// newBook returns a Book with a fake clock and one ticket.
+func newBook(t *testing.T) (*ticket.Book, *clockwork.FakeClock, string) {
 	clock := clockwork.NewFakeClock()
 	b := ticket.NewBook("n", "1", clock)
 	tk, err := b.Mint("team", "svc")
@@ -58,7 +58,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			b, clock, tk := book(t)
+			b, clock, tk := newBook(t)
 			c.prepare(b, clock, tk)
 			got, err := b.Spend(tk, c.team, "svc", c.request)
 			g.Expect(errors.Is(err, c.err)).To(BeTrue(), "%v", err)
@@ -67,22 +67,22 @@
 	}
 }
 
-func TestOnlyItsOwnIncarnationSpendsATicket(t *testing.T) {
+func TestSpendRefusesOtherIncarnationsAndMalformedTickets(t *testing.T) {
 	g := NewWithT(t)
-	_, clock, tk := book(t)
+	_, clock, tk := newBook(t)
 	for _, other := range []*ticket.Book{ticket.NewBook("n", "2", clock), ticket.NewBook("m", "1", clock)} {
 		_, err := other.Spend(tk, "team", "svc", "r")
-		g.Expect(errors.Is(err, ticket.ErrForeign)).To(BeTrue())
+		g.Expect(errors.Is(err, ticket.ErrOtherIncarnation)).To(BeTrue())
 	}
-	b, _, _ := book(t)
+	b, _, _ := newBook(t)
 	for _, bad := range []string{"", "tk", "tk~~1~x", "tk~n~1", "x~n~1~y"} {
 		_, err := b.Spend(bad, "team", "svc", "r")
-		g.Expect(errors.Is(err, ticket.ErrFormat)).To(BeTrue(), bad)
+		g.Expect(errors.Is(err, ticket.ErrMalformed)).To(BeTrue(), bad)
 	}
 }
 
-func TestOneOfManySpends(t *testing.T) {
-	b, _, tk := book(t)
+func TestConcurrentSpendsRunOnce(t *testing.T) {
+	b, _, tk := newBook(t)
 	var wg sync.WaitGroup
 	var ran atomic.Int32
 	for range 50 {
@@ -96,9 +96,9 @@
 	NewWithT(t).Expect(ran.Load()).To(Equal(int32(1)))
 }
 
-func TestTicketsAreBounded(t *testing.T) {
+func TestMintLimitsTickets(t *testing.T) {
 	g := NewWithT(t)
-	b, clock, _ := book(t)
+	b, clock, _ := newBook(t)
 	var err error
 	for n := 0; err == nil; n++ {
 		g.Expect(n).To(BeNumerically("<=", ticket.MaxTickets))
