--- a/coordination/ticket/ticket.go
+++ b/coordination/ticket/ticket.go
@@ -29,7 +29,7 @@
 	ErrUnknown = errors.New("ticket: the call may have run")
 	// ErrConflict means that the ticket was spent on a different call, or belongs to another team or service.
 	ErrConflict = errors.New("ticket: belongs to another call")
-	// ErrFull means that the node holds the maximum number of tickets.
+	// ErrFull means that the shard of a new ticket holds its maximum, an equal part of MaxTickets.
 	ErrFull = errors.New("ticket: maximum number of tickets reached")
 )
 
