--- a/coordination/statelog/follower.go
+++ b/coordination/statelog/follower.go
@@ -14,21 +14,21 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Config bounds a Follower.
+// Config holds the limits and intervals of a Follower.
 type Config struct {
-	// PageSize is the greatest number of entries asked for at once.
+	// PageSize is the maximum number of entries per read.
 	PageSize int
-	// PollWait is how long the log may hold a read open for new entries.
+	// PollWait is how long a read may wait in the log for new entries.
 	PollWait time.Duration
-	// RetryDelay is the pause after a failed read.
+	// RetryDelay is the delay after a failed read.
 	RetryDelay time.Duration
-	// RecentEntries is how many entries are kept for peers.
+	// RecentEntries is how many recent entries are retained for peers; up to twice as many are held.
 	RecentEntries int
-	// SnapshotEvery is the number of offsets between two snapshots.
+	// SnapshotEvery is the interval between snapshots, in offsets.
 	SnapshotEvery state.Offset
 }
 
-// DefaultConfig returns the bounds that a node uses.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		PageSize:      500,
@@ -39,7 +39,7 @@
 	}
 }
 
-// Follower holds a node's copy of the state and moves it forward only.
+// Follower holds a node's copy of the state. Its offset never decreases.
 type Follower struct {
 	cfg   Config
 	log   Log
@@ -49,23 +49,23 @@
 	mu      sync.RWMutex
 	st      *state.State
 	recent  []state.Entry
-	stopped error
-	// halted is closed when the fold stops.
+	stopErr error
+	// halted is closed when replay stops.
 	halted chan struct{}
-	// era is that of the log when it was first read, begun that it was.
-	era     int64
-	begun   bool
-	changed chan struct{}
-	waiters map[string][]chan state.Outcome
-	own     *state.Snapshot
+	// era is the era of the log at the first read; eraKnown reports whether there was one.
+	era         int64
+	eraKnown    bool
+	changed     chan struct{}
+	waiters     map[string][]chan state.Outcome
+	ownSnapshot *state.Snapshot
 
 	view         atomic.Pointer[View]
-	headAt       atomic.Int64
-	whole        atomic.Bool
+	headReadAt   atomic.Int64
+	caughtUp     atomic.Bool
 	lastSnapshot atomic.Uint64
 }
 
-// NewFollower returns a Follower with the empty state.
+// NewFollower returns a Follower with an empty state; peers may be nil.
 func NewFollower(cfg Config, log Log, peers Peers, clock clockwork.Clock) *Follower {
 	f := &Follower{
 		cfg:     cfg,
@@ -91,30 +91,30 @@
 	return f.st.Offset()
 }
 
-// HeadAge returns how long ago the node last held everything that the log held; false before the first time.
+// HeadAge returns the time since the start of the last read that reached the head of the log, or false if none has.
 func (f *Follower) HeadAge() (time.Duration, bool) {
-	at := f.headAt.Load()
+	at := f.headReadAt.Load()
 	if at == 0 {
 		return 0, false
 	}
 	return time.Duration(steady.Nanos(f.clock.Now()) - at), true
 }
 
-// Whole reports whether the node has once held all that the log, or while the log
-// was silent a peer, could show. Until then its state may be one of the past.
-func (f *Follower) Whole() bool { return f.whole.Load() }
+// Whole reports whether the node has ever caught up with the log or, while the log was
+// unavailable, with a peer. Until then its state may be outdated.
+func (f *Follower) Whole() bool { return f.caughtUp.Load() }
 
-// Stopped returns why the fold has stopped, or nil.
+// Stopped returns the error that stopped replay, or nil.
 func (f *Follower) Stopped() error {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.stopped
+	return f.stopErr
 }
 
-// Halted returns a channel that is closed when the fold stops.
+// Halted returns a channel that is closed when replay stops.
 func (f *Follower) Halted() <-chan struct{} { return f.halted }
 
-// Read calls fn with the state; fn must neither keep nor change it.
+// Read calls fn with the state; fn must neither retain nor modify it.
 func (f *Follower) Read(fn func(s *state.State)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -128,7 +128,7 @@
 	return f.changed
 }
 
-// Run follows the log until ctx ends or the fold must stop.
+// Run follows the log until ctx ends or replay stops.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := f.Step(ctx)
@@ -136,27 +136,27 @@
 			return err
 		}
 		if err != nil {
-			f.pause(ctx)
+			f.waitRetryDelay(ctx)
 		}
 	}
 	return ctx.Err()
 }
 
-// pause waits for the retry delay or the end of ctx.
-func (f *Follower) pause(ctx context.Context) {
+// waitRetryDelay waits for the retry delay or the end of ctx.
+func (f *Follower) waitRetryDelay(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-f.clock.After(f.cfg.RetryDelay):
 	}
 }
 
-// Step reads once from the log, or from a peer when the log fails.
+// Step reads once from the log, or from a peer if the log fails.
 func (f *Follower) Step(ctx context.Context) error {
-	asked := f.clock.Now()
+	requestedAt := f.clock.Now()
 	from := f.Applied() + 1
 	wait := f.cfg.PollWait
-	if f.headAt.Load() == 0 {
-		wait = 0 // a new node is not ready before it knows where the log ends
+	if f.headReadAt.Load() == 0 {
+		wait = 0 // a new node becomes ready only after it has reached the head of the log
 	}
 	page, err := f.log.Read(ctx, from, f.cfg.PageSize, wait)
 	if err != nil {
@@ -166,44 +166,44 @@
 		return err
 	}
 	if page.First > from {
-		return f.jump(ctx, page.First)
+		return f.skipTrimmed(ctx, page.First)
 	}
 	if err := f.apply(page.Entries); err != nil {
 		return err
 	}
 	if f.Applied() >= page.Head {
-		f.headAt.Store(steady.Nanos(asked))
-		f.whole.Store(true)
+		f.headReadAt.Store(steady.Nanos(requestedAt))
+		f.caughtUp.Store(true)
 	}
 	return nil
 }
 
-// checkEra stops the fold when the log has come back from an older copy. Offsets are claims,
-// fencing tokens and the order of commands here: nothing that is read or appended from then on
-// can be told from what they meant before.
+// checkEra stops replay if the log was restored from a backup. Offsets decide claims, serve as
+// fencing tokens and order commands. After a restore they are reused, so a record cannot be
+// distinguished from an earlier one with the same offset.
 func (f *Follower) checkEra(page Page) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stopped != nil {
-		return f.stopped
+	if f.stopErr != nil {
+		return f.stopErr
 	}
-	if !f.begun {
-		f.begun, f.era = true, page.Era
+	if !f.eraKnown {
+		f.eraKnown, f.era = true, page.Era
 	}
 	if page.Era == f.era && page.Head >= f.st.Offset() {
 		return nil
 	}
 	f.stop(fmt.Errorf("%w: %w (era %d, before %d; it ends at %d, %d were applied)", ErrStopped, ErrRestored, page.Era, f.era, page.Head, f.st.Offset()))
-	return f.stopped
+	return f.stopErr
 }
 
-// stop ends the fold for good, and the waiting of all whose records it would have shown. f.mu is held.
-func (f *Follower) stop(why error) {
-	f.stopped = why
+// stop stops replay for good and releases everyone who waits for a record to be read back. The caller holds mu.
+func (f *Follower) stop(cause error) {
+	f.stopErr = cause
 	close(f.halted)
 }
 
-// stepFromPeers takes entries, or a snapshot when those are gone, from a peer.
+// stepFromPeers applies entries from a peer, or installs its snapshot if the entries are not available.
 func (f *Follower) stepFromPeers(ctx context.Context, from state.Offset) error {
 	if f.peers == nil {
 		return ErrNoState
@@ -211,7 +211,7 @@
 	entries, err := f.peers.Records(ctx, from, f.cfg.PageSize)
 	if err == nil {
 		if len(entries) == 0 && from > 1 {
-			f.whole.Store(true)
+			f.caughtUp.Store(true)
 		}
 		return f.apply(entries)
 	}
@@ -219,19 +219,19 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNoState, err)
 	}
-	return f.Install(snap)
+	return f.InstallSnapshot(snap)
 }
 
-// jump passes over trimmed entries by a snapshot that the log or a peer still holds.
-func (f *Follower) jump(ctx context.Context, first state.Offset) error {
+// skipTrimmed skips trimmed entries by installing a snapshot from the log or from a peer.
+func (f *Follower) skipTrimmed(ctx context.Context, first state.Offset) error {
 	snap, err := f.findSnapshot(ctx, first)
 	if err != nil && f.peers != nil {
 		snap, err = f.peers.Snapshot(ctx, f.Applied())
 	}
 	if err != nil {
-		return fmt.Errorf("%w: the log begins at %d: %w", ErrNoState, first, err)
+		return fmt.Errorf("%w: the log starts at offset %d: %w", ErrNoState, first, err)
 	}
-	return f.Install(snap)
+	return f.InstallSnapshot(snap)
 }
 
 // findSnapshot returns the newest usable snapshot in the retained log.
@@ -243,7 +243,7 @@
 			return nil, err
 		}
 		for _, e := range page.Entries {
-			if r, err := state.DecodeRecord(e.Data); err == nil && usable(r, first) {
+			if r, err := state.DecodeRecord(e.Data); err == nil && isUsableSnapshot(r, first) {
 				newest = r.Snapshot
 			}
 		}
@@ -258,13 +258,13 @@
 	return newest, nil
 }
 
-// usable reports whether a record holds a snapshot from which the retained log goes on.
-func usable(r *state.Record, first state.Offset) bool {
+// isUsableSnapshot reports whether a record holds a snapshot from which the retained log can be replayed without a gap.
+func isUsableSnapshot(r *state.Record, first state.Offset) bool {
 	return r.Kind == state.KindSnapshot && r.Snapshot != nil && r.Snapshot.At+1 >= first
 }
 
-// Install replaces the state by a newer snapshot.
-func (f *Follower) Install(snap *state.Snapshot) error {
+// InstallSnapshot replaces the state with a newer snapshot.
+func (f *Follower) InstallSnapshot(snap *state.Snapshot) error {
 	st, err := state.Restore(snap)
 	if err != nil {
 		return err
@@ -272,29 +272,29 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if st.Offset() <= f.st.Offset() {
-		return fmt.Errorf("%w: %d offered, %d held", state.ErrBackwards, st.Offset(), f.st.Offset())
+		return fmt.Errorf("%w: got offset %d, have %d", state.ErrBackwards, st.Offset(), f.st.Offset())
 	}
 	f.st = st
 	f.recent = nil
-	f.raiseLastSnapshot(snap.At)
+	f.advanceLastSnapshot(snap.At)
 	for id := range f.waiters {
 		if o, ok := st.Outcome(id); ok {
-			f.wake(o)
+			f.notifyWaiters(o)
 		}
 	}
 	f.publish()
 	return nil
 }
 
-// apply folds entries into the state, passing over those already applied.
+// apply applies entries to the state and skips those already applied.
 func (f *Follower) apply(entries []state.Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stopped != nil {
-		return f.stopped
+	if f.stopErr != nil {
+		return f.stopErr
 	}
 	for _, e := range entries {
 		if e.Offset <= f.st.Offset() {
@@ -309,32 +309,32 @@
 	return nil
 }
 
-// applyOne folds one entry; it stops the fold on a record that is not understood.
+// applyOne applies one entry; it stops replay on an unknown record.
 func (f *Follower) applyOne(e state.Entry) error {
 	o, err := f.st.Apply(e)
 	if errors.Is(err, state.ErrUnknownRecord) {
 		f.stop(fmt.Errorf("%w: %w", ErrStopped, err))
-		return f.stopped
+		return f.stopErr
 	}
 	if err != nil {
 		return err
 	}
-	f.keep(e)
-	f.wake(o)
-	return f.snapshotPoint(e)
+	f.retain(e)
+	f.notifyWaiters(o)
+	return f.processSnapshot(e)
 }
 
-// keep remembers an entry for peers.
-func (f *Follower) keep(e state.Entry) {
+// retain stores an entry for peers, and drops the oldest entries beyond the limit.
+func (f *Follower) retain(e state.Entry) {
 	f.recent = append(f.recent, e)
 	if len(f.recent) > 2*f.cfg.RecentEntries {
 		f.recent = append([]state.Entry(nil), f.recent[len(f.recent)-f.cfg.RecentEntries:]...)
 	}
 }
 
-// publish makes the applied state visible to the request path and wakes waiters.
+// publish makes the applied state visible to the request path and signals Changed.
 //
-// Claims change nothing in the View, so it is rebuilt only after a command.
+// Claims do not affect the View, so it is rebuilt only after a command that changed the state.
 func (f *Follower) publish() {
 	if f.view.Load().Offset != f.st.LastAccepted() {
 		f.view.Store(NewView(f.st))
@@ -343,8 +343,8 @@
 	f.changed = make(chan struct{})
 }
 
-// Recent returns up to most entries from an offset on, or false if they are no longer held.
-func (f *Follower) Recent(from state.Offset, most int) ([]state.Entry, bool) {
+// Recent returns at most limit entries starting at offset from, or false if they are no longer retained.
+func (f *Follower) Recent(from state.Offset, limit int) ([]state.Entry, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	if from > f.st.Offset() {
@@ -354,5 +354,5 @@
 		return nil, false
 	}
 	i := int(from - f.recent[0].Offset)
-	return append([]state.Entry(nil), f.recent[i:min(i+most, len(f.recent))]...), true
+	return append([]state.Entry(nil), f.recent[i:min(i+limit, len(f.recent))]...), true
 }
