--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -1,6 +1,6 @@
-// Package demand measures the work that callers ask for, by service and model,
-// so that groups are placed and requests spread by what comes and not by what
-// was expected at the start.
+// Package demand measures the load that callers generate, by service and model.
+// Placement and load balancing use the measured load instead of the expected
+// load in the configuration.
 package demand
 
 import (
@@ -14,39 +14,40 @@
 	"github.com/troutmast/troutmast/state/catalog"
 )
 
-// Flow is the work that is asked of one model of a service, per second.
+// Flow is the load on one model of a service, per second.
 type Flow struct {
 	Service state.ServiceName `json:"s"`
 	Model   string            `json:"m,omitempty"`
-	// Requests are new requests, Prompt the tokens they bring, Answer those they are expected to get.
+	// Requests is the rate of new requests, Prompt the rate of their prompt tokens and
+	// Answer the rate of output tokens that they are expected to produce.
 	Requests float64 `json:"r"`
 	Prompt   float64 `json:"p,omitempty"`
 	Answer   float64 `json:"a,omitempty"`
 }
 
-// key names one flow.
+// key identifies a flow.
 type key struct {
 	service state.ServiceName
 	model   string
 }
 
-// key returns what the flow belongs to.
+// key returns the service and model of the flow.
 func (f *Flow) key() key { return key{f.Service, f.Model} }
 
-// Meter measures the flows that one node sees; safe for concurrent use.
+// Meter measures the flows that arrive at one node. It is safe for concurrent use.
 type Meter struct {
 	policy Policy
 	mu     sync.Mutex
 	cells  map[key]*cell
 }
 
-// cell holds sums that decay with time.
+// cell holds exponentially decaying sums for one flow. Its Flow fields are sums, not rates.
 type cell struct {
 	Flow
 	at time.Time
 }
 
-// fade lets a cell's sums decay up to a time.
+// fade decays the sums up to now.
 func (c *cell) fade(now time.Time, decay time.Duration) {
 	past := now.Sub(c.at)
 	if past <= 0 {
@@ -59,10 +60,10 @@
 	c.at = now
 }
 
-// NewMeter returns a Meter that has seen nothing.
+// NewMeter returns an empty Meter.
 func NewMeter(policy Policy) *Meter { return &Meter{policy: policy, cells: map[key]*cell{}} }
 
-// Add counts one new request with its numbers of tokens.
+// Add counts one new request with its prompt tokens and expected output tokens.
 func (m *Meter) Add(service state.ServiceName, model string, prompt, answer int, now time.Time) {
 	k := key{service, model}
 	m.mu.Lock()
@@ -78,10 +79,10 @@
 	c.Answer += float64(answer)
 }
 
-// least is the number of requests a second below which a flow is not told.
+// least is the rate, in requests per second, below which a flow is not reported.
 const least = 0.01
 
-// Flows returns the measured flows, in order.
+// Flows returns the measured flows, sorted by service and model.
 func (m *Meter) Flows(now time.Time) []Flow {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,7 +100,7 @@
 	return sorted(list)
 }
 
-// Sum adds up the flows of several nodes.
+// Sum adds up the flows of several nodes. The result is sorted by service and model.
 func Sum(lists ...[]Flow) []Flow {
 	total := map[key]*Flow{}
 	for _, list := range lists {
@@ -121,7 +122,7 @@
 	return sorted(list)
 }
 
-// sorted orders flows by service and model.
+// sorted sorts flows in place by service and model and returns them.
 func sorted(list []Flow) []Flow {
 	slices.SortFunc(list, func(a, b Flow) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Model, b.Model))
@@ -129,8 +130,9 @@
 	return list
 }
 
-// WorkOf returns how many places of groups of pace 1 the requests for each model
-// of an engine service hold on average, or nil while too little was measured.
+// WorkOf returns the mean number of batch slots that the requests for each model
+// of an engine service occupy, in groups with Pace 1. It returns nil while the
+// measured request rate of the service is below MinRate.
 func (p Policy) WorkOf(service state.ServiceName, engine *catalog.Engine, flows []Flow) []float64 {
 	work := make([]float64, len(engine.Models))
 	var requests float64
@@ -148,9 +150,9 @@
 	return work
 }
 
-// held returns how many places of groups of pace 1 a flow holds on average, in
-// batches that are half full. A group that reads a prompt does nothing else, so
-// that reading holds all of its places.
+// held returns the mean number of batch slots that a flow occupies, in groups with
+// Pace 1 whose batches are half full. A group does nothing else during the prefill
+// of a prompt, so prefill occupies all of its slots.
 func held(engine *catalog.Engine, f Flow) float64 {
 	token := engine.Step.Seconds() + engine.PerSequence.Seconds()*float64(engine.Slots)/2
 	answer := f.Answer
--- a/coordination/demand/demand_test.go
+++ b/coordination/demand/demand_test.go
@@ -12,13 +12,13 @@
 
 var start = time.Unix(1000, 0)
 
-// engine has two models, the second expected to have half of the work.
+// engine has two models, each with half of the expected load.
 var engine = &catalog.Engine{
 	Slots: 10, Step: 10 * time.Millisecond, ReadPerSecond: 10_000, UsualAnswer: 100,
 	Models: []catalog.Model{{Name: "long", Size: 4, Share: 0.5}, {Name: "short", Size: 2, Share: 0.5}},
 }
 
-// feed counts requests at an even rate for a time.
+// feed adds requests at a constant rate over a span.
 func feed(m *demand.Meter, model string, perSecond int, answer int, span time.Duration) {
 	n := int(span.Seconds() * float64(perSecond))
 	for i := range n {
@@ -45,17 +45,17 @@
 		want  []float64
 	}{
 		{"nothing measured", nil, nil},
-		{"too little", []demand.Flow{{Service: "lm", Model: "long", Requests: 2, Answer: 300}}, nil},
+		{"request rate below the minimum", []demand.Flow{{Service: "lm", Model: "long", Requests: 2, Answer: 300}}, nil},
 		{"another service", []demand.Flow{{Service: "x", Model: "long", Requests: 90, Answer: 300}}, nil},
-		{"by tokens, not by requests", []demand.Flow{
+		{"demand follows tokens, not requests", []demand.Flow{
 			{Service: "lm", Model: "long", Requests: 10, Answer: 3000},
 			{Service: "lm", Model: "short", Requests: 30, Answer: 1000},
 		}, []float64{30, 10}},
-		{"prompts count too", []demand.Flow{
+		{"prompt tokens count", []demand.Flow{
 			{Service: "lm", Model: "long", Requests: 10, Answer: 1000, Prompt: 10_000},
 			{Service: "lm", Model: "short", Requests: 10, Answer: 2000},
 		}, []float64{20, 20}},
-		{"the usual answer where none is told", []demand.Flow{
+		{"usual output length if none is measured", []demand.Flow{
 			{Service: "lm", Model: "long", Requests: 10},
 			{Service: "lm", Model: "short", Requests: 30},
 		}, []float64{10, 30}},
--- a/coordination/demand/policy.go
+++ b/coordination/demand/policy.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Policy says how demand is measured.
+// Policy configures how demand is measured.
 type Policy struct {
-	// Decay is the time in which older requests lose all but 1/e of their weight.
-	Decay time.Duration `flag:"decay" help:"time in which older requests lose all but 1/e of their weight" min:"100ms" max:"10m"`
-	// MinRate is the number of requests a second of a service from which on its
-	// measured work is believed.
-	MinRate float64 `flag:"min-rate" help:"requests a second of a service from which on its measured work is believed" min:"0" max:"10000"`
+	// Decay is the time constant of the decaying sums: a request's weight drops to 1/e after it.
+	Decay time.Duration `flag:"decay" help:"time after which the weight of a request has decayed to 1/e" min:"100ms" max:"10m"`
+	// MinRate is the minimum request rate of a service, in requests per second, at which
+	// its measured demand is used.
+	MinRate float64 `flag:"min-rate" help:"minimum request rate of a service, in requests per second, at which its measured demand is used" min:"0" max:"10000"`
 }
 
-// DefaultPolicy returns the policy that nodes start with.
+// DefaultPolicy returns the default policy.
 func DefaultPolicy() Policy { return Policy{Decay: 2 * time.Second, MinRate: 10} }
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -1,5 +1,5 @@
 // Package dispatch chooses the instance or the head of a replica group that
-// answers a request, and keeps count of what each of them holds.
+// serves a request, and counts the requests in flight at each of them.
 package dispatch
 
 import (
@@ -16,81 +16,82 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Candidate is an instance that may take requests: one of a plain service, or
-// the head of an open group. The counters are safe for concurrent use.
+// Candidate is an instance that can receive requests: an instance of a plain
+// service, or the head of an open group. The counters are safe for concurrent use.
 type Candidate struct {
 	fleet.Instance
-	// Members are the instances of the group, the head among them; none for a plain service.
+	// Members are the instances of the group, including the head. It is empty for a plain service.
 	Members []fleet.Instance
-	// Size is the number of members that the model needs.
+	// Size is the number of members that the model needs, or 0 for a plain service.
 	Size int
-	// readTime is the time to read one token of a prompt, in nanoseconds.
+	// readTime is the prefill time of one prompt token, in nanoseconds.
 	readTime float64
 	load     *load
 	table    *Table
 }
 
-// load counts what one instance holds; it outlives changes of the candidate.
+// load is the load and health of one incarnation. It is kept when Update rebuilds the candidates.
 type load struct {
 	held   atomic.Int64
 	others atomic.Int64
-	// reading is the number of prompt tokens that this node has sent and that have brought no event yet.
+	// reading is the number of prompt tokens in requests that this node has sent and that have no first event yet.
 	reading atomic.Int64
 	// trouble is a decaying count of failures, in thousandths.
 	trouble atomic.Int64
 	pacer   pacer
-	// checked is when the group's members were last asked whether they live.
+	// checked is the time of the last liveness check of the group's members.
 	checked atomic.Int64
 }
 
-// Held returns the requests that this node holds at the instance.
+// Held returns the number of requests in flight from this node to the instance.
 func (c *Candidate) Held() int64 { return c.load.held.Load() }
 
-// Load returns the requests that all nodes are known to hold at the instance.
+// Load returns the number of requests known to be in flight from all nodes to the instance.
 func (c *Candidate) Load() int64 { return c.load.held.Load() + c.load.others.Load() }
 
-// Reading returns how long the group takes to read the prompts that this node has
-// sent to it and that have brought no event yet.
+// Reading returns the estimated prefill time of the requests that this node has sent
+// to the group and that have no first event yet.
 func (c *Candidate) Reading() time.Duration {
 	return time.Duration(float64(c.load.reading.Load()) * c.readTime)
 }
 
-// Check reports whether the members should be asked now; it says so once in an interval.
+// Check reports whether the members should be probed now. It returns true at most once per interval.
 func (c *Candidate) Check(now time.Time, every time.Duration) bool {
 	last, at := c.load.checked.Load(), steady.Nanos(now)
 	return at-last >= int64(every) && c.load.checked.CompareAndSwap(last, at)
 }
 
-// Weights of failures.
+// Units of the failure score.
 const (
+	// troubleUnit is the score of one failure.
 	troubleUnit = 1000
 )
 
-// Failed counts a failure of the instance.
+// Failed records a failure of the instance.
 func (c *Candidate) Failed() { c.load.trouble.Add(troubleUnit) }
 
-// Answered counts a good answer of the instance.
+// Answered records a successful response of the instance, which reduces its failure score.
 func (c *Candidate) Answered() {
 	t := c.load.trouble.Load()
 	c.load.trouble.Add(-int64(float64(t) * c.table.policy.FailureRecovery))
 }
 
-// key finds the candidates of a service, and of a model of it.
+// key identifies the candidates of a service, or of one of its models.
 type key struct {
 	service state.ServiceName
 	model   string
 }
 
-// Table holds the candidates; readers take no lock.
+// Table holds the candidates. Lookups by service and model take no lock.
 type Table struct {
 	hall   state.HallName
 	policy Policy
 	mu     sync.Mutex
-	// loads are those of the lives of instances: what an earlier life failed or holds is no
-	// matter of a later one.
+	// loads is keyed by incarnation, so that failures and requests of an earlier incarnation
+	// do not count against a later one.
 	loads map[fleet.Incarnation]*load
 	pools atomic.Pointer[map[key][]*Candidate]
-	// asked is what callers ask of each model.
+	// asked is the demand for each model.
 	asked atomic.Pointer[map[key]part]
 }
 
@@ -102,8 +103,8 @@
 	return t
 }
 
-// Update builds the candidates from what is known of the instances. Groups in
-// avoid take no new requests.
+// Update rebuilds the candidates from the known state of the instances. Groups for
+// which avoid returns true get no new requests.
 func (t *Table) Update(c *catalog.Catalog, views []roster.View, avoid func(fleet.GroupKey) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,13 +139,13 @@
 	t.pools.Store(&pools)
 }
 
-// Candidates returns what may take the requests of a service, and of a model of it; the
-// slice must not be changed.
+// Candidates returns the candidates for a service, or for one of its models. The
+// slice must not be modified.
 func (t *Table) Candidates(service state.ServiceName, model string) []*Candidate {
 	return (*t.pools.Load())[key{service, model}]
 }
 
-// formGroup gives a head its group's members and reports whether the group may take requests.
+// formGroup sets the group data of a head and reports whether the group can receive requests.
 func (c *Candidate) formGroup(engine *catalog.Engine, members []roster.View) bool {
 	model := engine.Model(c.Model)
 	if c.Membership.State != fleet.Open || c.Membership.Rank != 0 || model == nil {
@@ -166,8 +167,8 @@
 	return len(c.Members) >= model.Size
 }
 
-// SetOthers records how many requests the other nodes hold at each instance, what
-// callers ask of all nodes, and what they ask of this one.
+// SetOthers records the number of requests in flight from the other nodes to each
+// instance, the demand at all nodes, and the demand at this node.
 func (t *Table) SetOthers(held map[state.InstanceID]int, asked, own []demand.Flow) {
 	parts := make(map[key]part, len(asked))
 	for _, f := range asked {
@@ -181,7 +182,7 @@
 	}
 }
 
-// Held returns the requests that this node holds at each instance.
+// Held returns the number of requests in flight from this node to each instance.
 func (t *Table) Held() map[state.InstanceID]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -194,7 +195,8 @@
 	return held
 }
 
-// Full reports whether an instance should be given no new request.
+// Full reports whether the candidate has no capacity for a new request. An instance of a
+// plain service is never full.
 func (c *Candidate) Full(now time.Time) bool {
 	if c.Size == 0 {
 		return false
--- a/coordination/dispatch/candidate_test.go
+++ b/coordination/dispatch/candidate_test.go
@@ -14,7 +14,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// config has a plain service and one with groups of two.
+// config returns a catalog with a plain service and a service with groups of two.
 func config() *catalog.Catalog {
 	engine := &catalog.Engine{Slots: 10, Models: []catalog.Model{{Name: "m", Size: 2, Pace: 1}}}
 	return catalog.New(1, nil, []catalog.Service{{Name: "plain"}, {Name: "lm", Engine: engine}}, nil, catalog.Limits{})
@@ -33,10 +33,10 @@
 	}}
 }
 
-// start is when the tests take place.
+// start is the current time in the tests.
 var start = time.Unix(1000, 0)
 
-// nobody avoids no instance.
+// nobody excludes no candidate.
 func nobody(*dispatch.Candidate) bool { return false }
 
 func TestOnlySoundTargetsAreCandidates(t *testing.T) {
@@ -52,16 +52,16 @@
 		found   bool
 	}{
 		{"a plain instance", "plain", []roster.View{plain("a")}, false, true},
-		{"one that is leaving", "plain", []roster.View{with(plain("a"), func(v *roster.View) { v.Draining = true })}, false, false},
-		{"one that does not answer", "plain", []roster.View{with(plain("a"), func(v *roster.View) { v.Lost = true })}, false, false},
-		{"a whole open group", "lm", []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, false, true},
+		{"a draining instance", "plain", []roster.View{with(plain("a"), func(v *roster.View) { v.Draining = true })}, false, false},
+		{"an unreachable instance", "plain", []roster.View{with(plain("a"), func(v *roster.View) { v.Lost = true })}, false, false},
+		{"an open group with all members", "lm", []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, false, true},
 		{"a group that is not open", "lm", []roster.View{member("a", 0, fleet.Ready), member("b", 1, fleet.Ready)}, false, false},
 		{"a group that lacks a member", "lm", []roster.View{member("a", 0, fleet.Open)}, false, false},
-		{"a group whose member does not answer", "lm",
+		{"a group with an unreachable member", "lm",
 			[]roster.View{member("a", 0, fleet.Open), with(member("b", 1, fleet.Ready), func(v *roster.View) { v.Lost = true })}, false, false},
-		{"a group whose head is leaving", "lm",
+		{"a group with a draining head", "lm",
 			[]roster.View{with(member("a", 0, fleet.Open), func(v *roster.View) { v.Draining = true }), member("b", 1, fleet.Ready)}, false, false},
-		{"a group that is taken apart", "lm", []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, true, false},
+		{"an excluded group", "lm", []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := dispatch.NewTable("h", dispatch.DefaultPolicy())
@@ -108,15 +108,15 @@
 	g.Expect(head.Full(start)).To(BeFalse())
 }
 
-// With old knowledge of the others, requests go to all that will be cheapest
-// meanwhile, each by its share, and to none that stays dearer.
+// With stale load data, requests go to every candidate that becomes the cheapest
+// within the horizon, in proportion to its share, and to none that stays more expensive.
 func TestComingRequestsAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	policy := dispatch.DefaultPolicy()
 	policy.SpreadHorizon = 250 * time.Millisecond
 	table := dispatch.NewTable("h", policy)
 	table.Update(config(), []roster.View{plain("a"), plain("b"), plain("c")}, func(fleet.GroupKey) bool { return false })
-	asked := []demand.Flow{{Service: "plain", Requests: 16}} // four in the horizon
+	asked := []demand.Flow{{Service: "plain", Requests: 16}} // four within the horizon
 	table.SetOthers(map[state.InstanceID]int{"b": 2, "c": 9}, asked, nil)
 	const draws = 6000
 	got := map[state.InstanceID]int{}
--- a/coordination/dispatch/hold.go
+++ b/coordination/dispatch/hold.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Hold is one request that this node has sent to a candidate and that has not
-// ended. It is safe for concurrent use.
+// Hold is one request in flight from this node to a candidate. It is safe for
+// concurrent use.
 type Hold struct {
 	load *load
-	// prompt is the number of prompt tokens, 0 once they have been read.
+	// prompt is the number of prompt tokens, or 0 after prefill.
 	prompt atomic.Int64
 }
 
-// Hold counts a request with a number of prompt tokens as sent to the instance now.
+// Hold records that a request with a number of prompt tokens is sent to the instance now.
 func (c *Candidate) Hold(prompt int, now time.Time) *Hold {
 	if by, paced := c.pace(); paced {
 		c.load.pacer.spend(now, by, time.Duration(float64(prompt)*c.readTime))
@@ -25,10 +25,10 @@
 	return h
 }
 
-// Started records that the instance has read the prompt: the first event has come.
+// Started records that the first event has arrived, so the prefill is done.
 func (h *Hold) Started() { h.load.reading.Add(-h.prompt.Swap(0)) }
 
-// End records that the request has ended; it must be called once.
+// End records that the request has ended. It must be called exactly once.
 func (h *Hold) End() {
 	h.Started()
 	h.load.held.Add(-1)
--- a/coordination/dispatch/pace.go
+++ b/coordination/dispatch/pace.go
@@ -8,25 +8,26 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// pacer bounds how fast this node sends prompts to one group: a token bucket that
-// counts in seconds of the group's reading. A group reads prompts one after another,
-// so those that all nodes send in one moment wait for each other. Safe for concurrent use.
+// pacer limits the rate at which this node sends prompts to one group. It is a token
+// bucket in units of seconds of prefill time. A group processes prompts one after
+// another, so prompts that all nodes send at the same time queue behind each other.
+// It is safe for concurrent use.
 type pacer struct {
 	mu sync.Mutex
-	// level is what may be sent now, in seconds of reading; it goes below 0 by at most one prompt.
+	// level is the prefill time that may be sent now, in seconds. It goes below 0 by at most one prompt.
 	level float64
 	at    time.Time
 }
 
-// pace is the rate of a pacer in seconds of reading per second, and the span over
-// which a rest is made up for.
+// pace is the rate of a pacer, in seconds of prefill time per second, and the span
+// of unused rate that the bucket accumulates.
 type pace struct {
 	rate  float64
 	burst time.Duration
 }
 
-// refill brings the level up to date. A new pacer is full: a node that has just begun
-// to take requests would else refuse the first of them.
+// refill updates the level. A new pacer starts with a full bucket; otherwise a node
+// would refuse its first requests.
 func (p *pacer) refill(now time.Time, by pace) {
 	full := by.rate * by.burst.Seconds()
 	if p.at.IsZero() {
@@ -45,7 +46,7 @@
 	return p.level >= 0
 }
 
-// spend takes the reading of a prompt off the level.
+// spend subtracts the prefill time of a prompt from the level.
 func (p *pacer) spend(now time.Time, by pace, reading time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,26 +54,26 @@
 	p.level -= reading.Seconds()
 }
 
-// part is what callers ask of one model, and a node's part of it.
+// part is the demand for one model and the share of it that arrives at this node.
 type part struct {
-	// rate is the number of requests a second at all nodes.
+	// rate is the request rate at all nodes, in requests per second.
 	rate float64
-	// share is the node's part of the requests, from minShare to 1.
+	// share is the fraction of the requests that arrives at this node, from minShare to 1.
 	share float64
-	// prompt is the mean number of tokens of a prompt at all nodes.
+	// prompt is the mean prompt length at all nodes, in tokens.
 	prompt float64
 }
 
-// Asked returns how many requests a second callers ask of all nodes for a model.
+// Asked returns the request rate for a model at all nodes, in requests per second.
 func (t *Table) Asked(service state.ServiceName, model string) float64 {
 	return (*t.asked.Load())[key{service, model}].rate
 }
 
-// minShare is the least part of the requests that a node counts as its own, so that
-// one that has just begun to take requests may send some.
+// minShare is the minimum share of the requests that a node assumes for itself, so
+// that a node that has just started to receive requests can send some.
 const minShare = 0.01
 
-// partOf returns the part of a flow that a node's own flows are.
+// partOf returns the demand of a flow at all nodes with this node's share of it.
 func partOf(all demand.Flow, own []demand.Flow) part {
 	p := part{rate: all.Requests, share: minShare}
 	if all.Requests <= 0 {
@@ -87,12 +88,13 @@
 	return p
 }
 
-// pacedSpan is the span in which a node's part of a group's reading must hold a prompt
-// for the node to pace what it sends there. Where many nodes share the demand, a node
-// sends a group a prompt now and then; its waiting would only keep groups idle.
+// pacedSpan is the span in which a node's share of a group's prefill time must cover
+// a mean prompt for pacing to apply. If many nodes share the demand, each sends a group
+// a prompt only occasionally, and pacing would only leave groups idle.
 const pacedSpan = time.Second
 
-// pace returns how fast this node may send prompts to the group, and whether it is bounded at all.
+// pace returns the rate at which this node may send prompts to the group, and whether a
+// limit applies.
 func (c *Candidate) pace() (pace, bool) {
 	p, known := (*c.table.asked.Load())[key{c.Service, c.Model}]
 	if !known {
--- a/coordination/dispatch/pick.go
+++ b/coordination/dispatch/pick.go
@@ -10,14 +10,16 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Pick draws a candidate that is not to be avoided, or returns nil. One that is
-// full is drawn only where all are.
+// Pick selects a candidate at random with weights, or returns nil if there is none.
+// It skips candidates for which avoid returns true. A full candidate is selected only
+// if all are full.
 //
-// What is known of the other nodes is old, and all nodes know the same: if each
-// took the cheapest candidate, all would send there at once. So each node spreads
-// the requests that all of them send meanwhile as if it were alone, filling up
-// the cheapest first, and draws by how many each candidate gets (load
-// interpretation; Dahlin, Interpreting Stale Load Information, 1999).
+// Load data from the other nodes is stale, and all nodes have the same data: if each
+// node selected the cheapest candidate, all would send to it at once. Each node
+// therefore computes how the requests that arrive at all nodes within SpreadHorizon
+// fill the candidates, the cheapest first, and selects a candidate with a probability
+// proportional to the requests it gets (load interpretation; Dahlin, Interpreting
+// Stale Load Information, 1999).
 func (t *Table) Pick(service state.ServiceName, model string, now time.Time, avoid func(*Candidate) bool) *Candidate {
 	pool := make([]offer, 0, len(t.Candidates(service, model)))
 	full := true
@@ -45,8 +47,8 @@
 	return draw(pool, max(arrivals, 1), share).Candidate
 }
 
-// PickIdlest returns the candidate that is known to hold the fewest requests, of those that
-// are not to be avoided, or nil.
+// PickIdlest returns the candidate with the fewest known requests in flight, or nil.
+// It skips candidates for which avoid returns true.
 func (t *Table) PickIdlest(service state.ServiceName, model string, avoid func(*Candidate) bool) *Candidate {
 	var idlest *Candidate
 	for _, c := range t.Candidates(service, model) {
@@ -57,15 +59,17 @@
 	return idlest
 }
 
-// offer is a candidate with what it costs to send a request to it, in parts of its places.
+// offer is a candidate with its slots and the cost of sending it a request, in requests in flight
+// per slot.
 type offer struct {
 	*Candidate
 	cost   float64
 	places float64
 }
 
-// draw picks an offer by how many of some requests it gets when the cheapest are
-// filled up first, each with at most maxShare times its part of the places; 0 is no bound.
+// draw selects an offer at random, weighted by the number of the given requests that it
+// gets if the cheapest offers are filled first. Each offer gets at most maxShare times
+// its share of the slots; 0 means no limit.
 func draw(pool []offer, requests, maxShare float64) offer {
 	slices.SortFunc(pool, func(a, b offer) int { return cmp.Compare(a.cost, b.cost) })
 	most := math.Inf(1)
@@ -82,7 +86,7 @@
 	return pool[0]
 }
 
-// totalPlaces adds up the places of all offers.
+// totalPlaces returns the total number of slots of all offers.
 func totalPlaces(pool []offer) float64 {
 	var places float64
 	for _, o := range pool {
@@ -91,18 +95,17 @@
 	return places
 }
 
-// filled returns how many requests the offer gets when all rise to a level of cost,
-// with at most so many for each of its places.
+// filled returns the number of requests that raises the cost of the offer to level, with
+// at most most requests per slot.
 func (o offer) filled(level, most float64) float64 {
 	return o.places * min(max(level-o.cost, 0), most)
 }
 
-// fillSteps is the number of halvings in the search for a level: more than a double's digits need.
+// fillSteps is the number of bisection steps in fillLevel. It exceeds the 53 bits of precision of a float64.
 const fillSteps = 60
 
-// fillLevel returns the cost that all offers below it rise to when they share a
-// number of requests, each with at most so many for each of its places; the offers
-// are sorted by cost.
+// fillLevel returns the cost level to which the offers below it rise if they share the
+// given requests, with at most most requests per slot. The offers must be sorted by cost.
 func fillLevel(pool []offer, requests, most float64) float64 {
 	low, high := pool[0].cost, pool[len(pool)-1].cost+requests/pool[0].places
 	for range fillSteps {
@@ -120,7 +123,7 @@
 	return high
 }
 
-// cost is what it costs to send a request to a candidate, in parts of its places.
+// cost returns the cost of sending a request to a candidate, in requests in flight per slot.
 func (t *Table) cost(c *Candidate) float64 {
 	cost := float64(c.Load()) / float64(max(c.Slots, 1))
 	cost += t.policy.ReadingCost * c.Reading().Seconds()
--- a/coordination/dispatch/policy.go
+++ b/coordination/dispatch/policy.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// Policy holds the weights and limits of choosing a target.
+// Policy configures the weights and limits of target selection.
 type Policy struct {
-	// FullAt is the part of its places up to which a group is given new requests.
-	FullAt float64 `flag:"full-at" help:"part of a group's places up to which it is given new requests" min:"0.05" max:"10"`
-	// FailureCost is what one recent failure adds to the cost of a target, in requests
-	// held for each of its places.
-	FailureCost float64 `flag:"failure-cost" help:"cost of a recent failure, in requests held for each place" min:"0" max:"10"`
-	// FailureRecovery is the part of the failure score that a good answer takes away.
-	FailureRecovery float64 `flag:"failure-recovery" help:"part of the failure score that a good answer takes away" min:"0" max:"1"`
-	// RemoteHallCost is what another data hall adds to the cost, in requests held for
-	// each place.
-	RemoteHallCost float64 `flag:"remote-hall-cost" help:"cost of another data hall, in requests held for each place" min:"0" max:"10"`
-	// ReadingCost is what a second of reading prompts that this node has sent adds to
-	// the cost of a group, in requests held for each place: a group reads prompts one
-	// after another, and a request behind them waits for its first event.
-	ReadingCost float64 `flag:"reading-cost" help:"cost of a second of prompts still being read, in requests held for each place" min:"0" max:"1000"`
-	// MaxShare bounds the part of the requests that one group of a model draws, as a
-	// multiple of its part of all places; 0 is no bound. A group that has just opened is
-	// the emptiest for all nodes at once, and reads what they all send one after another.
-	MaxShare float64 `flag:"max-share" help:"largest part of the requests that a group draws, as a multiple of its part of the places; 0 is no bound" min:"0" max:"1000"`
-	// ReadLimit is the part of its time that a group may be kept reading prompts, PaceBurst
-	// the span over which a rest is made up for; a limit of 0 is none. Each node sends a
-	// group prompts at its own part of that rate.
-	ReadLimit float64       `flag:"read-limit" help:"part of its time that a group may be kept reading prompts; 0 is no limit" min:"0" max:"10"`
-	PaceBurst time.Duration `flag:"pace-burst" help:"span over which a group that was sent few prompts may be sent more" min:"0s" max:"1m"`
-	// SpreadHorizon is the span of arrivals at all nodes that a node spreads over the
-	// groups, the cheapest first. It is at least the mean age of the other nodes' load
-	// reports (250 ms): with that alone the arrivals of a moment all go to one or two
-	// groups.
-	SpreadHorizon time.Duration `flag:"spread-horizon" help:"span of arrivals that is spread over the groups" min:"0s" max:"1m"`
+	// FullAt is the fraction of a group's slots at which the group counts as full.
+	FullAt float64 `flag:"full-at" help:"fraction of a group's slots in use at which it gets no new requests" min:"0.05" max:"10"`
+	// FailureCost is the cost that one recent failure adds to a target, in requests in
+	// flight per slot.
+	FailureCost float64 `flag:"failure-cost" help:"cost of a recent failure, in requests in flight per slot" min:"0" max:"10"`
+	// FailureRecovery is the fraction of the failure score that a successful response removes.
+	FailureRecovery float64 `flag:"failure-recovery" help:"fraction of the failure score that a successful response removes" min:"0" max:"1"`
+	// RemoteHallCost is the cost that a target in another data hall adds, in requests in
+	// flight per slot.
+	RemoteHallCost float64 `flag:"remote-hall-cost" help:"cost of a target in another data hall, in requests in flight per slot" min:"0" max:"10"`
+	// ReadingCost is the cost that each second of outstanding prefill sent by this node
+	// adds to a group, in requests in flight per slot. A group processes prompts one after
+	// another, so a request behind them waits for its first event.
+	ReadingCost float64 `flag:"reading-cost" help:"cost of a second of outstanding prefill, in requests in flight per slot" min:"0" max:"1000"`
+	// MaxShare limits the share of a model's requests that one group gets, as a multiple
+	// of its share of all slots; 0 means no limit. A group that has just opened is the
+	// least loaded for all nodes at once, and processes the prompts of all of them one
+	// after another.
+	MaxShare float64 `flag:"max-share" help:"maximum share of the requests that a group gets, as a multiple of its share of the slots; 0 means no limit" min:"0" max:"1000"`
+	// ReadLimit is the fraction of its time that a group may spend on prefill; 0 means no
+	// limit. Each node sends prompts to a group at its own share of that rate. PaceBurst
+	// is the span of unused rate that a node may catch up on.
+	ReadLimit float64       `flag:"read-limit" help:"fraction of its time that a group may spend on prefill; 0 means no limit" min:"0" max:"10"`
+	PaceBurst time.Duration `flag:"pace-burst" help:"span of unused prefill rate that a node may catch up on" min:"0s" max:"1m"`
+	// SpreadHorizon is the span of arrivals at all nodes that a node distributes over the
+	// groups, the cheapest first. It should be at least the mean age of the other nodes'
+	// status reports (250 ms). With only that mean age, simultaneous arrivals all go to
+	// one or two groups.
+	SpreadHorizon time.Duration `flag:"spread-horizon" help:"span of arrivals that is distributed over the groups" min:"0s" max:"1m"`
 }
 
-// DefaultPolicy returns the policy that nodes start with.
+// DefaultPolicy returns the default policy.
 func DefaultPolicy() Policy {
 	return Policy{
 		FullAt:          0.85,
--- a/coordination/dispatch/spread_test.go
+++ b/coordination/dispatch/spread_test.go
@@ -15,13 +15,14 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// readingConfig has a service with groups of one instance that read 1,000 tokens a second at pace 1.
+// readingConfig returns a catalog with groups of one instance. They process 1,000 prompt
+// tokens per second at Pace 1; the model has Pace 0.5.
 func readingConfig() *catalog.Catalog {
 	engine := &catalog.Engine{Slots: 20, ReadPerSecond: 1000, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 0.5}}}
 	return catalog.New(1, nil, []catalog.Service{{Name: "lm", Engine: engine}}, nil, catalog.Limits{})
 }
 
-// heads returns the heads of so many open groups of one instance.
+// heads returns the heads of n open groups of one instance each.
 func heads(n int) []roster.View {
 	var views []roster.View
 	for i := range n {
@@ -32,7 +33,7 @@
 	return views
 }
 
-// drawn returns what part of many requests each target draws.
+// drawn returns the fraction of picks that selects each target.
 func drawn(table *dispatch.Table) map[state.InstanceID]float64 {
 	const draws = 4000
 	got := map[state.InstanceID]float64{}
@@ -42,18 +43,18 @@
 	return got
 }
 
-// A group that has just opened is the emptiest for all nodes at once. Without
-// a bound it draws every request, and reads their prompts one after another.
+// A group that has just opened is the least loaded for all nodes at once. Without a
+// limit it gets every request, and processes their prompts one after another.
 func TestAGroupThatJustOpenedDrawsABoundedShare(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		maxShare float64
 		want     float64
 	}{
-		{"without a bound", 0, 1},
-		{"twice its part", 2, 0.4},
-		{"its part alone", 1, 0.2},
-		{"a bound below its part counts as its part", 0.5, 0.2},
+		{"no limit", 0, 1},
+		{"twice its share", 2, 0.4},
+		{"exactly its share", 1, 0.2},
+		{"a limit below its share counts as its share", 0.5, 0.2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -80,7 +81,7 @@
 	table.Update(readingConfig(), heads(2), func(fleet.GroupKey) bool { return false })
 	first := table.Pick("lm", "m", start, nobody)
 	hold := first.Hold(1000, start)
-	g.Expect(first.Reading()).To(Equal(500*time.Millisecond), "1,000 tokens at 1,000 a second and pace 0.5")
+	g.Expect(first.Reading()).To(Equal(500*time.Millisecond), "1,000 tokens at 1,000 per second and Pace 0.5")
 	for range 50 {
 		g.Expect(table.Pick("lm", "m", start, nobody).ID).NotTo(Equal(first.ID))
 	}
@@ -95,8 +96,8 @@
 	g.Expect(first.Held()).To(BeZero())
 }
 
-// pacedTable returns a table with one group and a limit on reading, at a node that
-// callers ask for half of all requests.
+// pacedTable returns a table with one group and a limit on prefill, at a node that
+// receives half of all requests.
 func pacedTable() *dispatch.Table {
 	policy := dispatch.DefaultPolicy()
 	policy.ReadLimit, policy.PaceBurst = 0.8, 250*time.Millisecond
@@ -108,8 +109,8 @@
 	return table
 }
 
-// A node sends a group prompts no faster than its part of what the group can
-// read, also where every other group is full.
+// A node sends prompts to a group no faster than its share of the group's prefill
+// limit, even if there is no other group with capacity.
 func TestAGroupIsSentPromptsAtTheNodesPartOfItsReading(t *testing.T) {
 	g := NewWithT(t)
 	head := pacedTable().Pick("lm", "m", start, nobody)
@@ -121,9 +122,9 @@
 			continue
 		}
 		head.Hold(100, now).End()
-		read += 50 * time.Millisecond // 100 tokens at 1,000 a second and pace 0.5
+		read += 50 * time.Millisecond // 100 tokens at 1,000 per second and Pace 0.5
 	}
-	// Half of 0.8 of 10 s, and at most one prompt more than the level allows.
+	// Half of 0.8 of 10 s, plus at most the burst and one prompt.
 	g.Expect(read).To(BeNumerically("~", 4*time.Second, 200*time.Millisecond))
 }
 
@@ -140,8 +141,8 @@
 	g.Expect(sent).To(Equal(3))
 }
 
-// With 68 nodes each may send a group a prompt every few seconds; waiting for
-// that refused requests while groups were idle.
+// With 68 nodes, each node's share of the limit lets it send a group a prompt only
+// every few seconds. Pacing at that share refuses requests while groups are idle.
 func TestANodeWithASmallPartIsNotPaced(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -156,7 +157,7 @@
 			policy.ReadLimit, policy.PaceBurst = 0.8, 250*time.Millisecond
 			table := dispatch.NewTable("h", policy)
 			table.Update(readingConfig(), heads(1), func(fleet.GroupKey) bool { return false })
-			// Prompts of 100 tokens take 50 ms; a tenth of 0.8 of a second holds one, a hundredth does not.
+			// Prefill of 100 tokens takes 50 ms; a tenth of 0.8 s covers one prompt, a hundredth does not.
 			asked := []demand.Flow{{Service: "lm", Model: "m", Requests: 10, Prompt: 1000}}
 			table.SetOthers(nil, asked, []demand.Flow{{Service: "lm", Model: "m", Requests: c.own}})
 			head := table.Pick("lm", "m", start, nobody)
@@ -168,7 +169,7 @@
 	}
 }
 
-// A bucket that began empty refused the first request of each node and model.
+// A token bucket that starts empty refuses the first request of each node and model.
 func TestTheFirstRequestFindsNoGroupFull(t *testing.T) {
 	g := NewWithT(t)
 	head := pacedTable().Pick("lm", "m", start, nobody)
