--- a/coordination/repair/example_test.go
+++ b/coordination/repair/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// A group that has missed a member for a minute gets a spare of its fabric domain.
+// A member that has been missing for a minute is replaced with a spare from the group's fabric domain.
 func ExamplePlan() {
 	group := &state.Group{Name: "hearth-1", Epoch: 7, Hall: "yxe-hall", Domain: "fabric-a", Members: []state.InstanceID{"gpu-1", "gpu-2"}}
 	decisions := repair.Plan(repair.Input{
--- a/coordination/repair/history_test.go
+++ b/coordination/repair/history_test.go
@@ -12,24 +12,24 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// fleet describes a seeded history of failures in one data hall.
+// fleet describes a simulated data hall with random failures.
 type fleet struct {
 	domains, perDomain int
-	// sizes are those of the groups of each domain.
+	// sizes are the sizes of the groups in each domain.
 	sizes []int
-	// between is the mean time between two failures of one instance.
+	// between is the mean time between failures of one instance.
 	between time.Duration
-	// long is the share of failures that take hours instead of a restart.
+	// long is the fraction of failures that take hours instead of a restart.
 	long float64
 	load time.Duration
 	seed uint64
 }
 
-// fleets are the worlds in which the planners are compared.
+// fleets are the simulated fleets on which the planners are compared.
 var fleets = []struct {
 	name string
 	fleet
-	// bound is what the planner may cost, as a part of the better baseline's cost.
+	// bound is the maximum cost of the planner, as a fraction of the better baseline's cost.
 	bound float64
 }{
 	{"51 workers, groups of 4, a spare a domain", fleet{domains: 3, perDomain: 17, sizes: []int{4, 4, 4, 4}, between: 12 * time.Hour, long: 0.12, load: 2 * time.Minute}, 0.98},
@@ -37,16 +37,16 @@
 	{"50 workers, groups of 16, 4 and 4, a spare a domain", fleet{domains: 2, perDomain: 25, sizes: []int{16, 4, 4}, between: 12 * time.Hour, long: 0.12, load: 2 * time.Minute}, 0.80},
 }
 
-// step is the time between two rounds of the history.
+// step is the simulated time between two planning rounds.
 const step = 5 * time.Second
 
-// planner turns what is broken into decisions.
+// planner returns decisions for the broken groups.
 type planner func(in repair.Input) []repair.Decision
 
-// waitForRestart is the baseline that never moves an instance.
+// waitForRestart is a baseline that never moves an instance.
 func waitForRestart(repair.Input) []repair.Decision { return nil }
 
-// firstSpare is the baseline that fills every seat with the first spare found.
+// firstSpare is a baseline that replaces missing members with the first spares found, one group per round.
 func firstSpare(in repair.Input) []repair.Decision {
 	in.Policy.Restart, in.Policy.Load = 1000*time.Hour, time.Second
 	var list []repair.Decision
@@ -62,7 +62,7 @@
 	return list
 }
 
-// history plays one fleet under one planner.
+// history simulates one fleet with one planner.
 type history struct {
 	fleet
 	st      *state.State
@@ -74,12 +74,12 @@
 	failAt  map[state.InstanceID]time.Time
 	readyAt map[state.GroupName]time.Time
 	epochs  map[state.GroupName]state.Epoch
-	// downtime in group-seconds, stranded in instance-seconds.
+	// downtime is in group-seconds, stranded in instance-seconds.
 	downtime, stranded float64
 	actions            map[repair.Action]int
 }
 
-// newHistory returns a history in which every group is whole.
+// newHistory returns a history in which every group is complete.
 func newHistory(f fleet) *history {
 	h := &history{
 		fleet: f, st: state.New(), now: time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC), rng: rand.New(rand.NewPCG(f.seed, 7)),
@@ -114,7 +114,8 @@
 	return time.Duration(h.rng.ExpFloat64() * float64(mean))
 }
 
-// apply folds operations as one command; a refusal is a fault of the planner.
+// apply applies operations as one command. It panics if the state rejects them, since the planner
+// must only return valid operations.
 func (h *history) apply(ops []state.Op) {
 	var id uuid.UUID
 	ms := h.now.UnixMilli()
@@ -134,10 +135,10 @@
 	}
 }
 
-// up reports whether an instance is there.
+// up reports whether an instance is running.
 func (h *history) up(id state.InstanceID) bool { return !h.now.Before(h.backAt[id]) }
 
-// fail lets instances fail and return; what a failure costs is drawn from the seed alone.
+// fail makes instances fail. The failures depend on the seed and not on the planner's decisions.
 func (h *history) fail() {
 	for _, id := range h.order {
 		if !h.up(id) || h.now.Before(h.failAt[id]) {
@@ -155,7 +156,7 @@
 	}
 }
 
-// judge fills in the groups as the planner sees them, and counts what is down and stranded.
+// judge adds the groups to the planner's input and accumulates downtime and stranded time.
 func (h *history) judge(in *repair.Input, missing map[state.InstanceID]time.Time) {
 	for _, g := range h.st.Groups() {
 		if g.Epoch != h.epochs[g.Name] {
@@ -179,7 +180,7 @@
 	}
 }
 
-// seats returns the seats of a group whose members are not there.
+// seats returns the ranks of a group without a running member.
 func (h *history) seats(g *state.Group, missing map[state.InstanceID]time.Time) []repair.Seat {
 	var seats []repair.Seat
 	for rank, id := range g.Members {
@@ -195,7 +196,7 @@
 	return seats
 }
 
-// vacant returns the number of vacant seats of a group.
+// vacant returns the number of ranks of a group that have no member.
 func vacant(g *state.Group) int {
 	n := 0
 	for _, id := range g.Members {
@@ -206,7 +207,7 @@
 	return n
 }
 
-// spares frees what has released and returns the free instances that are there.
+// spares frees released instances and returns the free instances that are running.
 func (h *history) spares() []state.Place {
 	var free []state.Place
 	for _, id := range h.order {
@@ -226,7 +227,7 @@
 	return free
 }
 
-// play runs the history for a time.
+// play runs the simulation for a duration.
 func (h *history) play(t time.Duration, policy state.Policy, plan planner) {
 	missing := map[state.InstanceID]time.Time{}
 	for end := h.now.Add(t); h.now.Before(end); h.now = h.now.Add(step) {
@@ -243,7 +244,7 @@
 	}
 }
 
-// weighting is one user's view of the two costs.
+// weighting is one user's weights for the two costs.
 type weighting struct {
 	name               string
 	downtime, stranded float64
@@ -251,16 +252,16 @@
 
 var weightings = []weighting{{"downtime 20 : stranded 1", 20, 1}, {"downtime 1 : stranded 5", 1, 5}}
 
-// result is what one planner cost, summed over seeds.
+// result is the cost of one planner, summed over seeds.
 type result struct {
 	downtime, stranded float64
 	actions            map[repair.Action]int
 }
 
-// cost is the result under a weighting.
+// cost returns the total cost under a weighting.
 func (r result) cost(w weighting) float64 { return w.downtime*r.downtime + w.stranded*r.stranded }
 
-// compare plays the same histories under one planner.
+// compare runs n seeded histories with one planner and returns the summed result.
 func compare(f fleet, n int, t time.Duration, w weighting, plan planner) result {
 	sum := result{actions: map[repair.Action]int{}}
 	for seed := range n {
@@ -277,16 +278,17 @@
 	return sum
 }
 
-// seeds is the number of histories that are summed in a test.
+// seeds is the number of histories summed in a test.
 const seeds = 3
 
-// planners are the planner and its baselines.
+// planners are the planner under test and the baselines.
 var planners = []struct {
 	name string
 	plan planner
 }{{"planner", repair.Plan}, {"wait for restart", waitForRestart}, {"first spare", firstSpare}}
 
-// TestPlannerBeatsBaselines bounds the planner's cost by the better baseline's, in every fleet and for both weightings.
+// TestPlannerBeatsBaselines checks that the planner's cost stays below a fraction of the better
+// baseline's cost, in every fleet and for both weightings.
 func TestPlannerBeatsBaselines(t *testing.T) {
 	for _, f := range fleets {
 		for _, w := range weightings {
@@ -299,14 +301,14 @@
 			}
 			best := min(costs["wait for restart"], costs["first spare"])
 			if costs["planner"] > f.bound*best {
-				t.Errorf("%s, %s: the planner costs %.0f, at most %.2f of the better baseline's %.0f is allowed", f.name, w.name, costs["planner"], f.bound, best)
+				t.Errorf("%s, %s: planner cost is %.0f, want at most %.2f of the better baseline's %.0f", f.name, w.name, costs["planner"], f.bound, best)
 			}
 		}
 	}
 }
 
-// TestWeightsMatter compares the planner under each user's weights with itself
-// under the other's, where groups differ in size: its own must cost no more.
+// TestWeightsMatter checks, with groups of different sizes, that planning with a user's
+// own weights costs that user no more than planning with the other user's weights.
 func TestWeightsMatter(t *testing.T) {
 	mixed := fleets[len(fleets)-1].fleet
 	var results []result
@@ -317,12 +319,12 @@
 		own, other := results[i].cost(w), results[1-i].cost(w)
 		t.Logf("%s | own weights %.0f | the other user's weights %.0f", w.name, own, other)
 		if own > other {
-			t.Errorf("%s: planning with these weights costs %.0f, with the others %.0f", w.name, own, other)
+			t.Errorf("%s: cost with own weights is %.0f, want at most %.0f, the cost with the other user's weights", w.name, own, other)
 		}
 	}
 }
 
-// BenchmarkPlan measures one round of the planner over a hall with a tenth of its groups broken.
+// BenchmarkPlan measures one planning round in a data hall with a tenth of its groups broken.
 func BenchmarkPlan(b *testing.B) {
 	for _, groups := range []int{3, 68} {
 		in := repair.Input{Policy: state.DefaultPolicy(), MaxLoads: 4}
--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -1,6 +1,6 @@
-// Package repair plans what to do about replica groups that miss a member:
-// wait for its restart, put a spare in its seat, or break up a lesser group for
-// its members. The planner is a pure function.
+// Package repair plans how to restore replica groups with missing members: wait for
+// their restart, replace them with spares, or break up a group with a lower downtime
+// cost and use its members. The planner is a pure function.
 package repair
 
 import (
@@ -11,76 +11,79 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Action is what the planner decides for one broken group.
+// Action is the planner's decision for one group.
 type Action string
 
 // The actions.
 const (
 	// ActionWait leaves the group as it is.
 	ActionWait Action = "wait"
-	// ActionSpare puts spares in the seats of the missing members.
+	// ActionSpare replaces the missing members with spares.
 	ActionSpare Action = "spare"
-	// ActionDrain stops new requests to a lesser group that is to be broken up.
+	// ActionDrain stops new requests to a donor group before it is broken up.
 	ActionDrain Action = "drain"
-	// ActionBreakUp vacates seats of a lesser group, whose members then become spares.
+	// ActionBreakUp releases members of a donor group, which then become spares.
 	ActionBreakUp Action = "break-up"
-	// ActionReturn gives a drained group its requests back: its members are no longer needed.
+	// ActionReturn ends the drain of a donor group whose members are no longer needed.
 	ActionReturn Action = "return"
 )
 
-// Seat is one member of a group that is missing, or a vacant seat.
+// Seat is a rank of a group whose member is missing, or that has no member.
 type Seat struct {
 	Rank     int
 	Instance state.InstanceID
-	// Missing is for how long the member has not been there.
+	// Missing is the time for which the member has been missing.
 	Missing time.Duration
 }
 
-// Group is a group as the planner sees it.
+// Group is the planner's view of a group.
 type Group struct {
 	*state.Group
-	// Seats are those whose members are missing; none when the group is whole.
+	// Seats are the ranks without a present member. It is empty for a complete group.
 	Seats []Seat
 	// Weight multiplies the cost of the group's downtime.
 	Weight float64
-	// Idle tells that no node holds a request of the group, so that breaking it up cuts none.
+	// Idle is true if no node has a request in flight at the group, so that breaking it up
+	// interrupts none.
 	Idle bool
 }
 
-// alive returns the number of members that are there.
+// alive returns the number of members that are present.
 func (g *Group) alive() int { return len(g.Members) - len(g.Seats) }
 
-// missing reports whether the member of a rank is missing.
+// missing reports whether the member at a rank is missing.
 func (g *Group) missing(rank int) bool {
 	return slices.ContainsFunc(g.Seats, func(s Seat) bool { return s.Rank == rank })
 }
 
-// Input is all that a plan depends on.
+// Input holds everything that a plan depends on.
 type Input struct {
 	Policy state.Policy
-	// Broken are groups with missing seats, Whole those without.
+	// Broken are the groups with missing members, Whole the ready groups without.
 	Broken []Group
 	Whole  []Group
-	// Spares are free instances with fresh evidence, not leaving.
+	// Spares are free instances with recent evidence that are not leaving.
 	Spares []state.Place
-	// Loading is the number of groups loading now, MaxLoads how many the weight store carries at once.
+	// Loading is the number of groups that are loading. MaxLoads is the number of concurrent
+	// loads that the weight store supports.
 	Loading  int
 	MaxLoads int
 }
 
-// Decision is what is to be done about one group, and why.
+// Decision is the action for one group and its reason.
 type Decision struct {
 	Group  state.GroupName
 	Action Action
-	// WaitCost and ActCost are what waiting and acting are expected to cost, in the policy's unit.
+	// WaitCost and ActCost are the expected costs of waiting and of acting, in the policy's unit.
 	WaitCost float64
 	ActCost  float64
 	Reason   string
 	Ops      []state.Op
 }
 
-// Plan returns a decision for every broken group, the costliest for each
-// missing seat first, and for every group that is drained for another in vain.
+// Plan returns a decision for every group whose drain is no longer needed, and then for
+// the broken groups that do not serve as donors, in descending order of downtime cost
+// per missing member.
 func Plan(in Input) []Decision {
 	p := newPlan(in)
 	decisions := p.returns()
@@ -99,13 +102,13 @@
 	order  []Group
 	spares []state.Place
 	loads  int
-	// used are the groups that have been chosen as donors.
+	// used are the groups that have been selected as donors.
 	used map[state.GroupName]bool
-	// donors are the groups drained for another, by the group that needs them.
+	// donors are the drained groups by the name of the broken group that needs their members.
 	donors map[state.GroupName]*Group
 }
 
-// newPlan puts the broken groups in the order in which they are decided.
+// newPlan sorts the broken groups in the order in which they are decided.
 func newPlan(in Input) *plan {
 	p := &plan{
 		in:     in,
@@ -126,10 +129,10 @@
 	return p
 }
 
-// density is what a second of a group's downtime costs for each seat that must be filled to end it.
+// density returns the cost of one second of a group's downtime per missing member.
 func (p *plan) density(g *Group) float64 { return p.rate(g, len(g.Members)) / float64(len(g.Seats)) }
 
-// returns gives back the donors whose broken group is whole again, or gone.
+// returns ends the drain of donors whose broken group is complete again or no longer exists.
 func (p *plan) returns() []Decision {
 	var decisions []Decision
 	for i := range p.in.Whole {
@@ -147,12 +150,13 @@
 	return decisions
 }
 
-// undrain is the change that gives a group its requests back.
+// undrain returns the operation that ends the drain of a group.
 func undrain(g *Group) state.Op {
 	return state.Op{DrainGroup: &state.DrainGroup{Group: g.Name, Off: true}}
 }
 
-// decide weighs the ways for one group; later ones in the order may be broken up for it.
+// decide compares the costs of waiting and of acting for one group. Groups in later may be broken
+// up for it.
 func (p *plan) decide(b *Group, later []Group) Decision {
 	d := Decision{Group: b.Name, Action: ActionWait}
 	d.WaitCost = p.cost(b, p.wait(b)+p.in.Policy.Load, len(b.Members))
@@ -171,7 +175,7 @@
 	return d
 }
 
-// domainSpares returns the spares in the group's hall and fabric domain.
+// domainSpares returns the spares in the group's data hall and fabric domain.
 func (p *plan) domainSpares(b *Group) []state.Place {
 	var found []state.Place
 	for _, s := range p.spares {
@@ -182,7 +186,7 @@
 	return found
 }
 
-// fill puts spares in all missing seats.
+// fill replaces all missing members with spares.
 func (p *plan) fill(b *Group, found []state.Place, d *Decision) {
 	d.Action, d.Reason = ActionSpare, "a spare costs less than waiting"
 	p.loads--
@@ -194,9 +198,9 @@
 	}
 }
 
-// epochFor returns the precondition of the i-th change to a group in one
-// command: the first change gives the group a new epoch, which the later ones
-// cannot know.
+// epochFor returns the expected epoch for the i-th change to a group in one command.
+// The first change gives the group a new epoch that is not known in advance, so later
+// changes use 0, which means no precondition.
 func epochFor(g *Group, i int) state.Epoch {
 	if i == 0 {
 		return g.Epoch
@@ -204,7 +208,7 @@
 	return 0
 }
 
-// breakUp takes the members that are still needed from a lesser group, if that costs less than waiting.
+// breakUp takes the members that are still needed from a donor group, if that costs less than waiting.
 func (p *plan) breakUp(b *Group, later []Group, need int, d *Decision) {
 	donor := p.donors[b.Name]
 	if donor == nil {
@@ -228,12 +232,13 @@
 	}
 }
 
-// lesser is how much more a second of a broken group must cost than one of a
-// whole group that is broken up for it. Without it, groups of equal size were
-// broken up in turn for each other.
+// lesser is the minimum ratio of the downtime cost of a broken group to that of a
+// complete group that is broken up for it. Without it, groups of equal size are broken
+// up for each other in turn.
 const lesser = 1.5
 
-// donor returns the group of the domain that loses least by giving members to b, and what it loses.
+// donor returns the group of the domain with the lowest loss from giving members to b, and that
+// loss. It returns nil if no group loses less than b gains.
 func (p *plan) donor(b *Group, later []Group, need int) (*Group, float64) {
 	var best *Group
 	var least float64
@@ -257,11 +262,11 @@
 	return best, least
 }
 
-// loss is what it costs a donor to give members to b.
+// loss returns the cost to a donor of giving members to b.
 //
-// The donor gets the missing members of b in exchange when they return, so it
-// waits for them and, if it is broken itself, for its own. Meanwhile the members
-// that it gave are not stranded.
+// The donor gets the missing members of b in exchange when they return. It waits for
+// them and, if it is broken itself, for its own missing members. The members that it
+// gave away are not stranded during that time.
 func (p *plan) loss(donor, b *Group, need int) float64 {
 	var before float64
 	if len(donor.Seats) > 0 {
@@ -271,7 +276,7 @@
 	return p.cost(donor, after, donor.alive()-need) - before
 }
 
-// vacate takes members out of a donor; they become spares once they report their release.
+// vacate releases members of a donor. They become spares when they report their release.
 func (p *plan) vacate(donor *Group, need int, d *Decision) {
 	d.Action, d.Reason = ActionBreakUp, "members of "+string(donor.Name)+" cost less than waiting"
 	for rank, id := range donor.Members {
@@ -290,7 +295,8 @@
 	}
 }
 
-// wait is the expected time until the last missing member of a group is back; 0 for a whole group.
+// wait returns the expected time until the last missing member of a group returns. It is 0 for a
+// complete group.
 func (p *plan) wait(g *Group) time.Duration {
 	var longest time.Duration
 	for _, s := range g.Seats {
@@ -299,25 +305,25 @@
 	return longest
 }
 
-// cost is that of a group without work for a time, with a number of its instances stranded.
+// cost returns the cost of a group's downtime with a number of stranded instances.
 func (p *plan) cost(g *Group, down time.Duration, stranded int) float64 {
 	return down.Seconds() * p.rate(g, stranded)
 }
 
-// rate is the cost of one second of a group's downtime.
+// rate returns the cost of one second of a group's downtime.
 //
-// A spare is as stranded before it is put into a group as it is while that
-// group loads, so both ways count all the group's seats.
+// A spare is stranded both before it joins a group and while that group loads, so the
+// costs of waiting and of replacing both count all ranks of the group.
 func (p *plan) rate(g *Group, stranded int) float64 {
 	return p.in.Policy.Downtime*g.Weight + p.in.Policy.Stranded*float64(stranded)
 }
 
-// remaining is the expected time until a missing member is back.
+// remaining returns the expected time until a missing member returns.
 //
-// Up to the usual restart time it is what is left of it. A member that has been
-// away for longer is expected to stay away as long again, since restarts that
-// take long are mostly failures that need a repair. A vacant seat is filled by
-// whatever returns next.
+// Within the usual restart time, it is the rest of that time. A member that has been
+// missing for longer is expected to be missing for the same time again, because most
+// long restarts are failures that need a repair. A rank without a member is filled by
+// the next instance that returns.
 func (p *plan) remaining(s Seat) time.Duration {
 	if s.Missing < p.in.Policy.Restart {
 		return p.in.Policy.Restart - s.Missing
--- a/coordination/routing/pick_test.go
+++ b/coordination/routing/pick_test.go
@@ -12,7 +12,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// bigPool returns a pool of whole groups.
+// bigPool returns a pool of n groups that are ready.
 func bigPool(n int) []*routing.Candidate {
 	return newWorld(n, 1).tables[0].Pool("m")
 }
@@ -20,7 +20,7 @@
 // request is a request with a prompt of 16 blocks.
 var request = routing.Request{Tokens: 1280, Prompt: 1024, Prefix: prefixOf(&job{prompt: 1024, shared: 1024, family: 3})}
 
-// TestPickAllocatesNothing holds for every way of picking and every size.
+// TestPickAllocatesNothing checks every picker with every pool size.
 func TestPickAllocatesNothing(t *testing.T) {
 	for _, size := range []int{50, 750} {
 		pool := bigPool(size)
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestDispatchEndsWithItsGroup lets every way in which a group can stop being the one that was picked happen.
+// TestDispatchEndsWithItsGroup checks every way in which a group can stop being the one that was
+// picked. A dispatch that stays valid would forward a response from the wrong members.
 func TestDispatchEndsWithItsGroup(t *testing.T) {
 	now := time.Unix(1000, 0)
 	group := &state.Group{Name: "g", Epoch: 1, Model: state.Model{Name: "m"}, Members: []state.InstanceID{"i"}}
@@ -72,17 +73,17 @@
 		at     time.Time
 		valid  bool
 	}{
-		{"nothing happens", func(*routing.Table, *routing.Candidate) {}, now, true},
-		{"the evidence runs out", func(*routing.Table, *routing.Candidate) {}, now.Add(time.Second), false},
+		{"no change", func(*routing.Table, *routing.Candidate) {}, now, true},
+		{"the evidence expires", func(*routing.Table, *routing.Candidate) {}, now.Add(time.Second), false},
 		{"a member no longer matches", func(_ *routing.Table, c *routing.Candidate) {
 			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return evidence.GroupEvidence{IncarnationHash: 1} })
 		}, now, false},
-		{"a member was started anew and is ready again", func(_ *routing.Table, c *routing.Candidate) {
+		{"a member has restarted and is ready again", func(_ *routing.Table, c *routing.Candidate) {
 			c.Rejudge(func(*state.Group) evidence.GroupEvidence {
 				return evidence.GroupEvidence{Expires: now.Add(time.Second), IncarnationHash: 2}
 			})
 		}, now, false},
-		{"the group is assigned anew", func(table *routing.Table, c *routing.Candidate) {
+		{"the group has a new epoch", func(table *routing.Table, c *routing.Candidate) {
 			next := *group
 			next.Epoch = 2
 			table.Update([]*state.Group{&next})
@@ -112,7 +113,8 @@
 	}
 }
 
-// BenchmarkPick measures a pick over the groups of a hall today and of all halls at the target.
+// BenchmarkPick measures one pick over the groups of one data hall (50) and of all halls at the
+// planned scale (750).
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{50, 750} {
 		pool := bigPool(size)
@@ -128,8 +130,8 @@
 	}
 }
 
-// TestPickCost bounds a pick over 750 groups by one over 50, as a multiple of
-// round robin's in the same run.
+// TestPickCost bounds the time of a pick over 50 and over 750 groups by a multiple of
+// round robin's time in the same run. The multiple is proportional to the pool size.
 func TestPickCost(t *testing.T) {
 	cost := func(size int, pick routing.Picker) float64 {
 		pool := bigPool(size)
@@ -141,9 +143,9 @@
 	}
 	for _, size := range []int{50, 750} {
 		ratio := cost(size, candidates[len(candidates)-1].pick()) / max(1, cost(size, candidates[0].pick()))
-		t.Logf("over %d groups: %.0f times a pick in turn", size, ratio)
+		t.Logf("%d groups: a pick takes %.0f times the time of round robin", size, ratio)
 		if limit := float64(size) * 2; ratio > limit {
-			t.Errorf("over %d groups a pick costs %.0f times one in turn, at most %.0f", size, ratio, limit)
+			t.Errorf("%d groups: a pick takes %.0f times the time of round robin, want at most %.0f", size, ratio, limit)
 		}
 	}
 }
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing keeps, for each model, the groups of a data hall with what is
-// known of their load, and picks the group for a request.
+// Package routing holds, for each model, the groups of a data hall with their known
+// load, and picks the group for a request.
 package routing
 
 import (
@@ -12,13 +12,14 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Candidate is one group as the request path sees it; safe for concurrent use.
+// Candidate is the request path's view of one group. It is safe for concurrent use.
 type Candidate struct {
 	Name  state.GroupName
 	mu    sync.Mutex
 	group atomic.Pointer[state.Group]
-	// until is when the evidence that the group is whole runs out, by the steady clock: a time
-	// of day that is set back must not make it last longer. nil is a group that is not whole.
+	// until is the time at which the evidence that the group is ready expires. It is a
+	// monotonic time, so that setting the wall clock back does not extend the evidence.
+	// It is nil if the group is not ready.
 	until    atomic.Pointer[time.Time]
 	identity atomic.Uint64
 	leaving  atomic.Bool
@@ -32,33 +33,35 @@
 	prefixes prefixCache
 }
 
-// Group returns the group's newest state.
+// Group returns the latest state of the group.
 func (c *Candidate) Group() *state.Group { return c.group.Load() }
 
-// Held returns the number of requests that this node holds at the group.
+// Held returns the number of requests in flight from this node to the group.
 func (c *Candidate) Held() int { return int(c.held.Load()) }
 
-// Slots returns how many requests the group's engine batches, as last reported.
+// Slots returns the number of batch slots of the group's engine, as last reported.
 func (c *Candidate) Slots() int { return int(c.slots.Load()) }
 
-// Whole reports whether evidence shows the group whole at a time.
+// Whole reports whether unexpired evidence shows at now that the group is ready with all its members.
 func (c *Candidate) Whole(now time.Time) bool {
 	until := c.until.Load()
 	return until != nil && now.Before(*until)
 }
 
-// Open reports whether a new request may go to the group at a time.
+// Open reports whether a new request may be sent to the group at now.
 func (c *Candidate) Open(now time.Time) bool {
 	return c.Whole(now) && !c.leaving.Load() && c.group.Load().Drained == 0
 }
 
-// Load returns the requests at the group: what it reported and what was sent since, never less than this node holds.
+// Load returns the estimated number of requests in flight at the group: the reported number plus
+// those sent by this node since, and at least those in flight from this node.
 func (c *Candidate) Load() int64 { return max(c.held.Load(), c.reported.Load()+c.since.Load()) }
 
-// Rejudge takes in what the evidence says of the group now.
+// Rejudge updates the candidate with the result of judge, which evaluates the current
+// evidence of the group.
 //
-// judge runs under the candidate's lock: of two calls, the one that stores last
-// has also read the evidence last, so that a judgement never outlives newer evidence.
+// judge runs under the candidate's lock. Of two concurrent calls, the one that stores
+// last has also read the evidence last, so an older result never overwrites a newer one.
 func (c *Candidate) Rejudge(judge func(g *state.Group) evidence.GroupEvidence) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +76,8 @@
 	c.until.Store(&w.Expires)
 }
 
-// setGroup takes in a new state of the group; a new epoch must be judged anew.
+// setGroup sets a new state of the group. If the epoch changes, the group is not ready until the
+// next Rejudge.
 func (c *Candidate) setGroup(g *state.Group) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,14 +87,14 @@
 	c.group.Store(g)
 }
 
-// close takes the group out of use.
+// close marks the group as not ready, so that it gets no new requests and its dispatches become invalid.
 func (c *Candidate) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.until.Store(nil)
 }
 
-// Report takes in a new load report of the group's leader.
+// Report records a new load report of the group's head.
 func (c *Candidate) Report(l evidence.Load) {
 	c.reported.Store(int64(l.InFlight))
 	c.repToken.Store(l.Tokens)
@@ -98,7 +102,7 @@
 	c.recent.Store(0)
 }
 
-// Dispatch is one request at one group. Its answer may be let out only while it is valid.
+// Dispatch is one request sent to one group. Its response may be forwarded only while it is valid.
 type Dispatch struct {
 	c        *Candidate
 	group    *state.Group
@@ -107,7 +111,7 @@
 	once     sync.Once
 }
 
-// Begin books a request at the group.
+// Begin records a request as in flight at the group.
 func (c *Candidate) Begin(r Request) *Dispatch {
 	c.held.Add(1)
 	c.since.Add(1)
@@ -116,21 +120,22 @@
 	return &Dispatch{c: c, group: c.group.Load(), identity: c.identity.Load(), tokens: r.Tokens}
 }
 
-// Group returns the group as it was when the request was booked.
+// Group returns the state of the group when the request began.
 func (d *Dispatch) Group() *state.Group { return d.group }
 
-// Candidate returns where the request was booked.
+// Candidate returns the candidate to which the request was sent.
 func (d *Dispatch) Candidate() *Candidate { return d.c }
 
-// Valid reports whether the group is still whole at a time, in the same epoch and with the same member processes.
+// Valid reports whether the group is still ready at now, in the same epoch and with the
+// same incarnations of its members.
 //
-// Wholeness is read first: Rejudge stores it last, so a group that has become
-// whole again with other processes is seen with its new identity.
+// It reads the readiness first. Rejudge stores the readiness last, so if a group has
+// become ready again with other incarnations, Valid sees its new identity.
 func (d *Dispatch) Valid(now time.Time) bool {
 	return d.c.Whole(now) && d.c.identity.Load() == d.identity && d.c.group.Load().Epoch == d.group.Epoch
 }
 
-// End gives back what Begin booked; only the first call counts.
+// End records that the request has ended. Calls after the first have no effect.
 func (d *Dispatch) End() {
 	d.once.Do(func() {
 		d.c.held.Add(-1)
@@ -138,7 +143,7 @@
 	})
 }
 
-// Table holds the candidates of each model; readers take no lock.
+// Table holds the candidates of each model. Pool and Models take no lock.
 type Table struct {
 	mu     sync.Mutex
 	byName map[state.GroupName]*Candidate
@@ -152,7 +157,8 @@
 	return t
 }
 
-// Update makes the table hold exactly the given groups.
+// Update replaces the groups in the table. Candidates of groups that remain are kept; the others
+// are closed.
 func (t *Table) Update(groups []*state.Group) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,13 +182,13 @@
 	t.pools.Store(&pools)
 }
 
-// Pool returns the candidates of a model; the slice must not be changed.
+// Pool returns the candidates of a model. The slice must not be modified.
 func (t *Table) Pool(model string) []*Candidate { return (*t.pools.Load())[model] }
 
-// Models returns the candidates by model; the map must not be changed.
+// Models returns the candidates by model. The map must not be modified.
 func (t *Table) Models() map[string][]*Candidate { return *t.pools.Load() }
 
-// All returns every candidate.
+// All returns all candidates.
 func (t *Table) All() []*Candidate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,48 +199,49 @@
 	return list
 }
 
-// Get returns the candidate of a group, or nil.
+// Get returns the candidate of a group, or nil if there is none.
 func (t *Table) Get(name state.GroupName) *Candidate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.byName[name]
 }
 
-// Request is what a pick looks at.
+// Request holds the properties of a request that a Picker uses.
 type Request struct {
-	// Tokens is the estimated number of tokens that the request will occupy, Prompt how many of them are its prompt.
+	// Tokens is the estimated number of tokens that the request will occupy. Prompt is the
+	// number of them that belong to the prompt.
 	Tokens int64
 	Prompt int64
-	// Prefix holds the hashes of the prompt's leading blocks, the shortest first.
+	// Prefix holds the hashes of the prompt's leading blocks, the shortest prefix first.
 	Prefix []uint64
-	// Avoid names the group that has just failed the request.
+	// Avoid is the name of the group at which the request has just failed, or empty.
 	Avoid state.GroupName
 }
 
-// Weights are the costs that a pick adds up, all in tokens.
+// Weights are the factors of the cost function, all in tokens.
 type Weights struct {
-	// Held is the cost of one request at the group.
+	// Held is the cost of one request in flight at the group.
 	Held float64
 	// Tokens is the cost of one token in flight from this node.
 	Tokens float64
-	// Recent is the cost of one token of prompt sent by this node since the group's last report.
+	// Recent is the cost of one prompt token sent by this node since the group's last report.
 	Recent float64
-	// Prefix is the gain of one token of prompt that the group has cached.
+	// Prefix is the cost reduction for one prompt token that the group has probably cached.
 	Prefix float64
 }
 
-// Picker chooses one candidate that is open at a time, or nil.
+// Picker picks one candidate that is open at now, or returns nil.
 type Picker interface {
 	Pick(pool []*Candidate, r Request, now time.Time) *Candidate
 }
 
-// LeastCost looks at every candidate and takes the cheapest.
+// LeastCost picks the cheapest of all candidates.
 type LeastCost struct{ Weights Weights }
 
 // Pick implements Picker.
 //
-// The scan starts at a random place so that nodes with equal knowledge do not
-// all choose the same one of several equals.
+// The scan starts at a random index, so that nodes with the same data do not all pick
+// the same one of several candidates with equal cost.
 func (p *LeastCost) Pick(pool []*Candidate, r Request, now time.Time) *Candidate {
 	var best *Candidate
 	var least float64
@@ -255,7 +262,7 @@
 	return best
 }
 
-// TwoChoices takes the cheaper of two candidates drawn at random.
+// TwoChoices picks the cheaper of two random candidates.
 type TwoChoices struct{ Weights Weights }
 
 // Pick implements Picker.
@@ -268,7 +275,7 @@
 	return b
 }
 
-// draw returns the first usable candidate from a random place on.
+// draw returns the first usable candidate from a random index on, or nil.
 func draw(pool []*Candidate, r Request, now time.Time) *Candidate {
 	n := len(pool)
 	if n == 0 {
@@ -283,7 +290,7 @@
 	return nil
 }
 
-// RoundRobin takes the candidates in turn; it is the baseline.
+// RoundRobin picks the candidates in turn. It is the baseline for the other pickers.
 type RoundRobin struct{ next atomic.Uint64 }
 
 // Pick implements Picker.
@@ -297,12 +304,12 @@
 	return nil
 }
 
-// usable reports whether a request may go to a candidate.
+// usable reports whether the request may be sent to the candidate at now.
 func usable(c *Candidate, r Request, now time.Time) bool {
 	return c.Name != r.Avoid && c.Open(now)
 }
 
-// cost returns what it costs to send a request to a candidate, in tokens.
+// cost returns the cost of sending a request to a candidate, in tokens.
 func (w Weights) cost(c *Candidate, r Request) float64 {
 	cost := w.Held*float64(c.Load()) + w.Tokens*float64(c.tokens.Load()) + w.Recent*float64(c.recent.Load())
 	if w.Prefix != 0 && len(r.Prefix) > 0 {
--- a/coordination/routing/sweep_test.go
+++ b/coordination/routing/sweep_test.go
@@ -13,9 +13,9 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// The fake engine: a decode step takes baseStep, stepPerRequest for each request
-// in the batch and stepPerToken for each token of context; a prompt that is not
-// cached adds prefillPerToken to the step that takes it in.
+// Parameters of the simulated engine. A decode step takes baseStep, plus stepPerRequest
+// for each request in the batch, plus stepPerToken for each token of context. Each prompt
+// token that is not cached adds prefillPerToken to the step that admits the prompt.
 const (
 	baseStep        = 15 * time.Millisecond
 	stepPerRequest  = 500 * time.Microsecond
@@ -26,7 +26,7 @@
 	reportEvery     = 250 * time.Millisecond
 )
 
-// job is one request in the world of fake engines.
+// job is one request in the simulation.
 type job struct {
 	arrive   time.Duration
 	prompt   int
@@ -39,7 +39,7 @@
 	dispatch *routing.Dispatch
 }
 
-// engine is a fake replica group with continuous batching and a small prefix cache.
+// engine simulates a replica group with continuous batching and a small prefix cache.
 type engine struct {
 	next    time.Duration
 	queue   []*job
@@ -47,7 +47,8 @@
 	cache   []int
 }
 
-// cached reports whether the engine holds a family's prefix, and makes it the newest.
+// cached reports whether the engine has cached the prefix of a family, and makes it the most
+// recently used.
 func (e *engine) cached(family int) bool {
 	i := slices.Index(e.cache, family)
 	if i >= 0 {
@@ -60,7 +61,7 @@
 	return i >= 0
 }
 
-// tokens returns the context that the engine holds.
+// tokens returns the number of context tokens of the running jobs.
 func (e *engine) tokens() int {
 	n := 0
 	for _, j := range e.running {
@@ -69,7 +70,7 @@
 	return n
 }
 
-// step runs one decode step that begins at now, and gives the times between tokens to gap.
+// step runs one decode step that starts at now, and calls gap with the times between tokens.
 func (e *engine) step(now time.Duration, gap func(time.Duration)) {
 	took := baseStep
 	if len(e.queue) > 0 && len(e.running) < engineSlots {
@@ -102,7 +103,8 @@
 	e.running = kept
 }
 
-// traffic draws requests: mostly short prompts, some long, three of five with a shared prefix.
+// traffic generates random requests: a fifth have long prompts, and three fifths share a prefix
+// with their family.
 func traffic(seed uint64, perSecond float64, span time.Duration) []*job {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var jobs []*job
@@ -134,18 +136,18 @@
 	return hashes
 }
 
-// figures are what callers saw.
+// figures are the latencies that callers observe.
 type figures struct {
 	first, between time.Duration
 }
 
-// world is a hall of engines behind several nodes, each with its own lagged knowledge.
+// world is a data hall of engines behind several nodes. Each node has its own delayed view of the load.
 type world struct {
 	engines []*engine
 	tables  []*routing.Table
 }
 
-// newWorld returns engines and nodes without load; all groups are whole.
+// newWorld returns engines and nodes without load. All groups are ready.
 func newWorld(engines, nodes int) *world {
 	w := &world{}
 	var groups []*state.Group
@@ -164,7 +166,7 @@
 	return w
 }
 
-// report tells every node the load of every engine.
+// report records the load of every engine at every node.
 func (w *world) report() {
 	for _, t := range w.tables {
 		for n, c := range t.Pool("m") {
@@ -174,7 +176,7 @@
 	}
 }
 
-// play sends jobs through the nodes in turn and returns what callers saw.
+// play sends jobs through the nodes in turn and returns the latencies that callers observe.
 func (w *world) play(jobs []*job, pick routing.Picker) figures {
 	var gaps []time.Duration
 	gap := func(d time.Duration) { gaps = append(gaps, d) }
@@ -211,7 +213,7 @@
 	return figures{first: p95(firsts), between: p95(gaps)}
 }
 
-// earliest returns the engine whose next step comes first.
+// earliest returns the index of the engine with the earliest next step.
 func (w *world) earliest() int {
 	best := 0
 	for n, e := range w.engines {
@@ -222,13 +224,14 @@
 	return best
 }
 
-// p95 returns the value that 95 in 100 do not exceed.
+// p95 returns the 95th percentile. It sorts the list.
 func p95(list []time.Duration) time.Duration {
 	slices.Sort(list)
 	return list[len(list)*95/100]
 }
 
-// candidates are the ways of picking that are compared.
+// candidates are the pickers that are compared. The first is the baseline, the last has the
+// default weights.
 var candidates = []struct {
 	name string
 	pick func() routing.Picker
@@ -253,10 +256,10 @@
 	{chosen, least(512, 1, 4, 32)},
 }
 
-// chosen names the weights that are the defaults of the settings.
+// chosen is the name of the candidate with the default weights of the settings.
 const chosen = "held 512, tokens, recent 4, prefix 32"
 
-// average plays one way of picking over seeds and returns the mean of the figures.
+// average runs one picker with several seeds and returns the mean latencies.
 func average(load float64, seeds uint64, pick func() routing.Picker) figures {
 	var sum figures
 	for seed := range seeds {
@@ -267,17 +270,17 @@
 	return sum
 }
 
-// least returns a LeastCost with weights.
+// least returns a constructor of a LeastCost with the given weights.
 func least(held, tokens, recent, prefix float64) func() routing.Picker {
 	return func() routing.Picker {
 		return &routing.LeastCost{Weights: routing.Weights{Held: held, Tokens: tokens, Recent: recent, Prefix: prefix}}
 	}
 }
 
-// loads are the requests a second for 17 engines, from light to near their limit.
+// loads are request rates for 17 engines, in requests per second, from light load to near capacity.
 var loads = []float64{30, 50, 65}
 
-// BenchmarkSweep prints p95 to the first token and between tokens for every way of picking.
+// BenchmarkSweep prints the p95 time to the first token and between tokens for every picker.
 func BenchmarkSweep(b *testing.B) {
 	for b.Loop() {
 		var table strings.Builder
@@ -291,15 +294,15 @@
 	}
 }
 
-// TestChosenWeightsBeatRoundRobin bounds the chosen weights by the baseline's
-// figures in the same run: less time between tokens, and little more to the first.
+// TestChosenWeightsBeatRoundRobin compares the default weights with round robin in the
+// same run: less time between tokens, and little more time to the first token.
 func TestChosenWeightsBeatRoundRobin(t *testing.T) {
 	base := average(50, 2, candidates[0].pick)
 	best := average(50, 2, candidates[len(candidates)-1].pick)
 	between := float64(best.between) / float64(base.between)
 	first := float64(best.first) / float64(base.first)
-	t.Logf("between tokens %.2f, to the first %.2f of round robin's", between, first)
+	t.Logf("time between tokens is %.2f, time to first token %.2f of round robin's", between, first)
 	if between > 0.8 || first > 1.25 {
-		t.Errorf("the chosen weights give %.2f between tokens and %.2f to the first of round robin's", between, first)
+		t.Errorf("time between tokens is %.2f of round robin's, want at most 0.80; time to first token is %.2f, want at most 1.25", between, first)
 	}
 }
