--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -25,84 +25,84 @@
 	Answer   float64 `json:"a,omitempty"`
 }
 
-// key identifies a flow.
-type key struct {
+// flowKey identifies a flow.
+type flowKey struct {
 	service state.ServiceName
 	model   string
 }
 
 // key returns the service and model of the flow.
-func (f *Flow) key() key { return key{f.Service, f.Model} }
+func (f *Flow) key() flowKey { return flowKey{f.Service, f.Model} }
 
 // Meter measures the flows that arrive at one node. It is safe for concurrent use.
 type Meter struct {
 	policy Policy
 	mu     sync.Mutex
-	cells  map[key]*cell
+	flows  map[flowKey]*flowSum
 }
 
-// cell holds exponentially decaying sums for one flow. Its Flow fields are sums, not rates.
-type cell struct {
+// flowSum holds exponentially decaying sums for one flow. Its Flow fields are sums, not rates.
+type flowSum struct {
 	Flow
-	at time.Time
+	updatedAt time.Time
 }
 
-// fade decays the sums up to now.
-func (c *cell) fade(now time.Time, decay time.Duration) {
-	past := now.Sub(c.at)
-	if past <= 0 {
+// decayTo decays the sums up to now.
+func (c *flowSum) decayTo(now time.Time, decay time.Duration) {
+	elapsed := now.Sub(c.updatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	left := math.Exp(-past.Seconds() / decay.Seconds())
-	c.Requests *= left
-	c.Prompt *= left
-	c.Answer *= left
-	c.at = now
+	factor := math.Exp(-elapsed.Seconds() / decay.Seconds())
+	c.Requests *= factor
+	c.Prompt *= factor
+	c.Answer *= factor
+	c.updatedAt = now
 }
 
 // NewMeter returns an empty Meter.
-func NewMeter(policy Policy) *Meter { return &Meter{policy: policy, cells: map[key]*cell{}} }
+func NewMeter(policy Policy) *Meter { return &Meter{policy: policy, flows: map[flowKey]*flowSum{}} }
 
 // Add counts one new request with its prompt tokens and expected output tokens.
 func (m *Meter) Add(service state.ServiceName, model string, prompt, answer int, now time.Time) {
-	k := key{service, model}
+	k := flowKey{service, model}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.cells[k]
+	c := m.flows[k]
 	if c == nil {
-		c = &cell{Flow: Flow{Service: service, Model: model}, at: now}
-		m.cells[k] = c
+		c = &flowSum{Flow: Flow{Service: service, Model: model}, updatedAt: now}
+		m.flows[k] = c
 	}
-	c.fade(now, m.policy.Decay)
+	c.decayTo(now, m.policy.Decay)
 	c.Requests++
 	c.Prompt += float64(prompt)
 	c.Answer += float64(answer)
 }
 
-// least is the rate, in requests per second, below which a flow is not reported.
-const least = 0.01
+// minReportedRate is the rate, in requests per second, below which a flow is not reported.
+const minReportedRate = 0.01
 
 // Flows returns the measured flows, sorted by service and model.
 func (m *Meter) Flows(now time.Time) []Flow {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []Flow
-	for _, c := range m.cells {
-		c.fade(now, m.policy.Decay)
+	for _, c := range m.flows {
+		c.decayTo(now, m.policy.Decay)
 		f := c.Flow
 		f.Requests /= m.policy.Decay.Seconds()
 		f.Prompt /= m.policy.Decay.Seconds()
 		f.Answer /= m.policy.Decay.Seconds()
-		if f.Requests >= least {
+		if f.Requests >= minReportedRate {
 			list = append(list, f)
 		}
 	}
-	return sorted(list)
+	return sortFlows(list)
 }
 
 // Sum adds up the flows of several nodes. The result is sorted by service and model.
 func Sum(lists ...[]Flow) []Flow {
-	total := map[key]*Flow{}
+	total := map[flowKey]*Flow{}
 	for _, list := range lists {
 		for _, f := range list {
 			t := total[f.key()]
@@ -119,11 +119,11 @@
 	for _, f := range total {
 		list = append(list, *f)
 	}
-	return sorted(list)
+	return sortFlows(list)
 }
 
-// sorted sorts flows in place by service and model and returns them.
-func sorted(list []Flow) []Flow {
+// sortFlows sorts flows in place by service and model and returns them.
+func sortFlows(list []Flow) []Flow {
 	slices.SortFunc(list, func(a, b Flow) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Model, b.Model))
 	})
@@ -134,34 +134,34 @@
 // of an engine service occupy, in groups with Pace 1. It returns nil while the
 // measured request rate of the service is below MinRate.
 func (p Policy) WorkOf(service state.ServiceName, engine *catalog.Engine, flows []Flow) []float64 {
-	work := make([]float64, len(engine.Models))
+	slots := make([]float64, len(engine.Models))
 	var requests float64
 	for _, f := range flows {
 		i := slices.IndexFunc(engine.Models, func(m catalog.Model) bool { return f.Service == service && m.Name == f.Model })
 		if i < 0 {
 			continue
 		}
-		work[i] = held(engine, f)
+		slots[i] = occupiedSlots(engine, f)
 		requests += f.Requests
 	}
 	if requests < p.MinRate {
 		return nil
 	}
-	return work
+	return slots
 }
 
-// held returns the mean number of batch slots that a flow occupies, in groups with
+// occupiedSlots returns the mean number of batch slots that a flow occupies, in groups with
 // Pace 1 whose batches are half full. A group does nothing else during the prefill
 // of a prompt, so prefill occupies all of its slots.
-func held(engine *catalog.Engine, f Flow) float64 {
-	token := engine.Step.Seconds() + engine.PerSequence.Seconds()*float64(engine.Slots)/2
-	answer := f.Answer
-	if answer == 0 {
-		answer = f.Requests * engine.UsualAnswer
+func occupiedSlots(engine *catalog.Engine, f Flow) float64 {
+	stepTime := engine.Step.Seconds() + engine.PerSequence.Seconds()*float64(engine.Slots)/2
+	outputTokens := f.Answer
+	if outputTokens == 0 {
+		outputTokens = f.Requests * engine.UsualAnswer
 	}
-	places := answer * token
+	slots := outputTokens * stepTime
 	if engine.ReadPerSecond > 0 {
-		places += float64(max(engine.Slots, 1)) * f.Prompt / engine.ReadPerSecond
+		slots += float64(max(engine.Slots, 1)) * f.Prompt / engine.ReadPerSecond
 	}
-	return places
+	return slots
 }
--- a/coordination/demand/demand_test.go
+++ b/coordination/demand/demand_test.go
@@ -18,18 +18,18 @@
 	Models: []catalog.Model{{Name: "long", Size: 4, Share: 0.5}, {Name: "short", Size: 2, Share: 0.5}},
 }
 
-// feed adds requests at a constant rate over a span.
-func feed(m *demand.Meter, model string, perSecond int, answer int, span time.Duration) {
+// addRequests adds requests at a constant rate over a span.
+func addRequests(m *demand.Meter, model string, perSecond int, answer int, span time.Duration) {
 	n := int(span.Seconds() * float64(perSecond))
 	for i := range n {
 		m.Add("lm", model, 1000, answer, start.Add(span*time.Duration(i)/time.Duration(n)))
 	}
 }
 
-func TestAMeterMeasuresRatesAndForgets(t *testing.T) {
+func TestMeterMeasuresAndDecaysRates(t *testing.T) {
 	g := NewWithT(t)
 	m := demand.NewMeter(demand.DefaultPolicy())
-	feed(m, "long", 50, 80, 20*time.Second)
+	addRequests(m, "long", 50, 80, 20*time.Second)
 	flows := m.Flows(start.Add(20 * time.Second))
 	g.Expect(flows).To(HaveLen(1))
 	g.Expect(flows[0].Requests).To(BeNumerically("~", 50, 2))
@@ -38,7 +38,7 @@
 	g.Expect(m.Flows(start.Add(60 * time.Second))).To(BeEmpty())
 }
 
-func TestWorkFollowsTheMeasuredTokens(t *testing.T) {
+func TestWorkOfFollowsMeasuredTokens(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		flows []demand.Flow
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestFlowsOfNodesAddUp(t *testing.T) {
+func TestSumAddsUpFlowsOfNodes(t *testing.T) {
 	g := NewWithT(t)
 	a := []demand.Flow{{Service: "lm", Model: "long", Requests: 2, Prompt: 10}}
 	b := []demand.Flow{{Service: "lm", Model: "long", Requests: 3, Prompt: 5}, {Service: "plain", Requests: 1}}
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -24,60 +24,61 @@
 	Members []fleet.Instance
 	// Size is the number of members that the model needs, or 0 for a plain service.
 	Size int
-	// readTime is the prefill time of one prompt token, in nanoseconds.
-	readTime float64
-	load     *load
-	table    *Table
+	// prefillTimePerToken is the prefill time of one prompt token, in nanoseconds.
+	prefillTimePerToken float64
+	load                *load
+	table               *Table
 }
 
 // load is the load and health of one incarnation. It is kept when Update rebuilds the candidates.
 type load struct {
-	held   atomic.Int64
-	others atomic.Int64
-	// reading is the number of prompt tokens in requests that this node has sent and that have no first event yet.
-	reading atomic.Int64
-	// trouble is a decaying count of failures, in thousandths.
-	trouble atomic.Int64
-	pacer   pacer
-	// checked is the time of the last liveness check of the group's members.
-	checked atomic.Int64
+	inFlight       atomic.Int64
+	othersInFlight atomic.Int64
+	// prefillTokens is the number of prompt tokens in requests that this node has sent and
+	// that have no first event yet.
+	prefillTokens atomic.Int64
+	// failureScore is a decaying count of failures, in thousandths.
+	failureScore atomic.Int64
+	pacer        pacer
+	// lastCheck is the time of the last liveness check of the group's members.
+	lastCheck atomic.Int64
 }
 
 // Held returns the number of requests in flight from this node to the instance.
-func (c *Candidate) Held() int64 { return c.load.held.Load() }
+func (c *Candidate) Held() int64 { return c.load.inFlight.Load() }
 
 // Load returns the number of requests known to be in flight from all nodes to the instance.
-func (c *Candidate) Load() int64 { return c.load.held.Load() + c.load.others.Load() }
+func (c *Candidate) Load() int64 { return c.load.inFlight.Load() + c.load.othersInFlight.Load() }
 
-// Reading returns the estimated prefill time of the requests that this node has sent
+// PrefillTime returns the estimated prefill time of the requests that this node has sent
 // to the group and that have no first event yet.
-func (c *Candidate) Reading() time.Duration {
-	return time.Duration(float64(c.load.reading.Load()) * c.readTime)
+func (c *Candidate) PrefillTime() time.Duration {
+	return time.Duration(float64(c.load.prefillTokens.Load()) * c.prefillTimePerToken)
 }
 
 // Check reports whether the members should be probed now. It returns true at most once per interval.
-func (c *Candidate) Check(now time.Time, every time.Duration) bool {
-	last, at := c.load.checked.Load(), steady.Nanos(now)
-	return at-last >= int64(every) && c.load.checked.CompareAndSwap(last, at)
+func (c *Candidate) Check(now time.Time, interval time.Duration) bool {
+	last, at := c.load.lastCheck.Load(), steady.Nanos(now)
+	return at-last >= int64(interval) && c.load.lastCheck.CompareAndSwap(last, at)
 }
 
 // Units of the failure score.
 const (
-	// troubleUnit is the score of one failure.
-	troubleUnit = 1000
+	// failureUnit is the score of one failure.
+	failureUnit = 1000
 )
 
 // Failed records a failure of the instance.
-func (c *Candidate) Failed() { c.load.trouble.Add(troubleUnit) }
+func (c *Candidate) Failed() { c.load.failureScore.Add(failureUnit) }
 
 // Answered records a successful response of the instance, which reduces its failure score.
 func (c *Candidate) Answered() {
-	t := c.load.trouble.Load()
-	c.load.trouble.Add(-int64(float64(t) * c.table.policy.FailureRecovery))
+	score := c.load.failureScore.Load()
+	c.load.failureScore.Add(-int64(float64(score) * c.table.policy.FailureRecovery))
 }
 
-// key identifies the candidates of a service, or of one of its models.
-type key struct {
+// poolKey identifies the candidates of a service, or of one of its models.
+type poolKey struct {
 	service state.ServiceName
 	model   string
 }
@@ -90,16 +91,16 @@
 	// loads is keyed by incarnation, so that failures and requests of an earlier incarnation
 	// do not count against a later one.
 	loads map[fleet.Incarnation]*load
-	pools atomic.Pointer[map[key][]*Candidate]
-	// asked is the demand for each model.
-	asked atomic.Pointer[map[key]part]
+	pools atomic.Pointer[map[poolKey][]*Candidate]
+	// demand holds the measured demand by model.
+	demand atomic.Pointer[map[poolKey]modelDemand]
 }
 
 // NewTable returns an empty Table for a node of a data hall.
 func NewTable(hall state.HallName, policy Policy) *Table {
 	t := &Table{hall: hall, policy: policy, loads: map[fleet.Incarnation]*load{}}
-	t.pools.Store(&map[key][]*Candidate{})
-	t.asked.Store(&map[key]part{})
+	t.pools.Store(&map[poolKey][]*Candidate{})
+	t.demand.Store(&map[poolKey]modelDemand{})
 	return t
 }
 
@@ -114,39 +115,39 @@
 			groups[v.Membership.Key()] = append(groups[v.Membership.Key()], v)
 		}
 	}
-	pools := map[key][]*Candidate{}
-	kept := map[fleet.Incarnation]*load{}
+	pools := map[poolKey][]*Candidate{}
+	loads := map[fleet.Incarnation]*load{}
 	for _, v := range views {
 		l := t.loads[v.Incarnation()]
 		if l == nil {
 			l = &load{}
 		}
-		kept[v.Incarnation()] = l
+		loads[v.Incarnation()] = l
 		service := c.Services[v.Service]
 		if service == nil || v.Lost || v.Draining {
 			continue
 		}
 		cand := &Candidate{Instance: v.Instance, load: l, table: t}
 		if service.Engine == nil {
-			pools[key{v.Service, ""}] = append(pools[key{v.Service, ""}], cand)
+			pools[poolKey{v.Service, ""}] = append(pools[poolKey{v.Service, ""}], cand)
 			continue
 		}
-		if cand.formGroup(service.Engine, groups[v.Membership.Key()]) && !avoid(v.Membership.Key()) {
-			pools[key{v.Service, v.Model}] = append(pools[key{v.Service, v.Model}], cand)
+		if cand.initGroup(service.Engine, groups[v.Membership.Key()]) && !avoid(v.Membership.Key()) {
+			pools[poolKey{v.Service, v.Model}] = append(pools[poolKey{v.Service, v.Model}], cand)
 		}
 	}
-	t.loads = kept
+	t.loads = loads
 	t.pools.Store(&pools)
 }
 
 // Candidates returns the candidates for a service, or for one of its models. The
 // slice must not be modified.
 func (t *Table) Candidates(service state.ServiceName, model string) []*Candidate {
-	return (*t.pools.Load())[key{service, model}]
+	return (*t.pools.Load())[poolKey{service, model}]
 }
 
-// formGroup sets the group data of a head and reports whether the group can receive requests.
-func (c *Candidate) formGroup(engine *catalog.Engine, members []roster.View) bool {
+// initGroup sets the group data of a head and reports whether the group can receive requests.
+func (c *Candidate) initGroup(engine *catalog.Engine, members []roster.View) bool {
 	model := engine.Model(c.Model)
 	if c.Membership.State != fleet.Open || c.Membership.Rank != 0 || model == nil {
 		return false
@@ -156,7 +157,7 @@
 	}
 	c.Size = model.Size
 	if engine.ReadPerSecond > 0 {
-		c.readTime = cmp.Or(model.Pace, 1) * float64(time.Second) / engine.ReadPerSecond
+		c.prefillTimePerToken = cmp.Or(model.Pace, 1) * float64(time.Second) / engine.ReadPerSecond
 	}
 	for _, m := range members {
 		if m.Lost {
@@ -169,16 +170,16 @@
 
 // SetOthers records the number of requests in flight from the other nodes to each
 // instance, the demand at all nodes, and the demand at this node.
-func (t *Table) SetOthers(held map[state.InstanceID]int, asked, own []demand.Flow) {
-	parts := make(map[key]part, len(asked))
-	for _, f := range asked {
-		parts[key{f.Service, f.Model}] = partOf(f, own)
+func (t *Table) SetOthers(inFlight map[state.InstanceID]int, total, own []demand.Flow) {
+	demands := make(map[poolKey]modelDemand, len(total))
+	for _, f := range total {
+		demands[poolKey{f.Service, f.Model}] = newModelDemand(f, own)
 	}
-	t.asked.Store(&parts)
+	t.demand.Store(&demands)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for in, l := range t.loads {
-		l.others.Store(int64(held[in.ID]))
+		l.othersInFlight.Store(int64(inFlight[in.ID]))
 	}
 }
 
@@ -186,13 +187,13 @@
 func (t *Table) Held() map[state.InstanceID]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held := map[state.InstanceID]int{}
+	inFlight := map[state.InstanceID]int{}
 	for in, l := range t.loads {
-		if n := l.held.Load(); n > 0 {
-			held[in.ID] = int(n)
+		if n := l.inFlight.Load(); n > 0 {
+			inFlight[in.ID] = int(n)
 		}
 	}
-	return held
+	return inFlight
 }
 
 // Full reports whether the candidate has no capacity for a new request. An instance of a
@@ -204,6 +205,6 @@
 	if float64(c.Load()) >= c.table.policy.FullAt*float64(c.Slots) {
 		return true
 	}
-	by, paced := c.pace()
-	return paced && !c.load.pacer.ready(now, by)
+	limit, paced := c.paceLimit()
+	return paced && !c.load.pacer.canSend(now, limit)
 }
--- a/coordination/dispatch/candidate_test.go
+++ b/coordination/dispatch/candidate_test.go
@@ -14,8 +14,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// config returns a catalog with a plain service and a service with groups of two.
-func config() *catalog.Catalog {
+// testCatalog returns a catalog with a plain service and a service with groups of two.
+func testCatalog() *catalog.Catalog {
 	engine := &catalog.Engine{Slots: 10, Models: []catalog.Model{{Name: "m", Size: 2, Pace: 1}}}
 	return catalog.New(1, nil, []catalog.Service{{Name: "plain"}, {Name: "lm", Engine: engine}}, nil, catalog.Limits{})
 }
@@ -36,20 +36,20 @@
 // start is the current time in the tests.
 var start = time.Unix(1000, 0)
 
-// nobody excludes no candidate.
-func nobody(*dispatch.Candidate) bool { return false }
+// excludeNone excludes no candidate.
+func excludeNone(*dispatch.Candidate) bool { return false }
 
-func TestOnlySoundTargetsAreCandidates(t *testing.T) {
+func TestPickSkipsUnavailableTargets(t *testing.T) {
 	with := func(v roster.View, change func(*roster.View)) roster.View {
 		change(&v)
 		return v
 	}
 	for _, c := range []struct {
-		name    string
-		service state.ServiceName
-		views   []roster.View
-		avoided bool
-		found   bool
+		name     string
+		service  state.ServiceName
+		views    []roster.View
+		excluded bool
+		found    bool
 	}{
 		{"a plain instance", "plain", []roster.View{plain("a")}, false, true},
 		{"a draining instance", "plain", []roster.View{with(plain("a"), func(v *roster.View) { v.Draining = true })}, false, false},
@@ -65,39 +65,39 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := dispatch.NewTable("h", dispatch.DefaultPolicy())
-			table.Update(config(), c.views, func(fleet.GroupKey) bool { return c.avoided })
+			table.Update(testCatalog(), c.views, func(fleet.GroupKey) bool { return c.excluded })
 			model := ""
 			if c.service == "lm" {
 				model = "m"
 			}
-			NewWithT(t).Expect(table.Pick(c.service, model, start, nobody) != nil).To(Equal(c.found))
+			NewWithT(t).Expect(table.Pick(c.service, model, start, excludeNone) != nil).To(Equal(c.found))
 		})
 	}
 }
 
-func TestTheLeastLoadedIsPickedOverWhatAllNodesHold(t *testing.T) {
+func TestPickPrefersLeastLoadedAcrossNodes(t *testing.T) {
 	g := NewWithT(t)
 	table := dispatch.NewTable("h", dispatch.DefaultPolicy())
-	table.Update(config(), []roster.View{plain("a"), plain("b")}, func(fleet.GroupKey) bool { return false })
+	table.Update(testCatalog(), []roster.View{plain("a"), plain("b")}, func(fleet.GroupKey) bool { return false })
 	table.SetOthers(map[state.InstanceID]int{"a": 3}, nil, nil)
 	for range 20 {
-		g.Expect(table.Pick("plain", "", start, nobody).ID).To(Equal(state.InstanceID("b")))
+		g.Expect(table.Pick("plain", "", start, excludeNone).ID).To(Equal(state.InstanceID("b")))
 	}
-	held := table.Pick("plain", "", start, nobody)
+	picked := table.Pick("plain", "", start, excludeNone)
 	for range 4 {
-		held.Hold(0, start)
+		picked.Hold(0, start)
 	}
 	g.Expect(table.Held()).To(Equal(map[state.InstanceID]int{"b": 4}))
 	for range 20 {
-		g.Expect(table.Pick("plain", "", start, nobody).ID).To(Equal(state.InstanceID("a")))
+		g.Expect(table.Pick("plain", "", start, excludeNone).ID).To(Equal(state.InstanceID("a")))
 	}
 }
 
-func TestAGroupIsFullBelowItsPlaces(t *testing.T) {
+func TestGroupIsFullBelowItsSlots(t *testing.T) {
 	g := NewWithT(t)
 	table := dispatch.NewTable("h", dispatch.DefaultPolicy())
-	table.Update(config(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, func(fleet.GroupKey) bool { return false })
-	head := table.Pick("lm", "m", start, nobody)
+	table.Update(testCatalog(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, func(fleet.GroupKey) bool { return false })
+	head := table.Pick("lm", "m", start, excludeNone)
 	for range 8 {
 		head.Hold(0, start)
 	}
@@ -110,37 +110,37 @@
 
 // With stale load data, requests go to every candidate that becomes the cheapest
 // within the horizon, in proportion to its share, and to none that stays more expensive.
-func TestComingRequestsAreSpread(t *testing.T) {
+func TestPickSpreadsExpectedArrivals(t *testing.T) {
 	g := NewWithT(t)
 	policy := dispatch.DefaultPolicy()
 	policy.SpreadHorizon = 250 * time.Millisecond
 	table := dispatch.NewTable("h", policy)
-	table.Update(config(), []roster.View{plain("a"), plain("b"), plain("c")}, func(fleet.GroupKey) bool { return false })
-	asked := []demand.Flow{{Service: "plain", Requests: 16}} // four within the horizon
-	table.SetOthers(map[state.InstanceID]int{"b": 2, "c": 9}, asked, nil)
+	table.Update(testCatalog(), []roster.View{plain("a"), plain("b"), plain("c")}, func(fleet.GroupKey) bool { return false })
+	total := []demand.Flow{{Service: "plain", Requests: 16}} // four within the horizon
+	table.SetOthers(map[state.InstanceID]int{"b": 2, "c": 9}, total, nil)
 	const draws = 6000
-	got := map[state.InstanceID]int{}
+	picks := map[state.InstanceID]int{}
 	for range draws {
-		got[table.Pick("plain", "", start, nobody).ID]++
+		picks[table.Pick("plain", "", start, excludeNone).ID]++
 	}
-	g.Expect(got["c"]).To(BeZero())
-	g.Expect(got["a"]).To(BeNumerically("~", 3*draws/4, draws/20))
-	g.Expect(got["b"]).To(BeNumerically("~", draws/4, draws/20))
+	g.Expect(picks["c"]).To(BeZero())
+	g.Expect(picks["a"]).To(BeNumerically("~", 3*draws/4, draws/20))
+	g.Expect(picks["b"]).To(BeNumerically("~", draws/4, draws/20))
 }
 
-func TestAFullGroupIsPickedOnlyWhereAllAre(t *testing.T) {
+func TestFullGroupIsPickedOnlyIfAllAreFull(t *testing.T) {
 	g := NewWithT(t)
 	table := dispatch.NewTable("h", dispatch.DefaultPolicy())
-	other := member("c", 0, fleet.Open)
-	other.Membership.Group = "h"
-	mate := member("d", 1, fleet.Ready)
-	mate.Membership.Group = "h"
-	table.Update(config(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready), other, mate}, func(fleet.GroupKey) bool { return false })
-	asked := []demand.Flow{{Service: "lm", Model: "m", Requests: 1000}}
-	table.SetOthers(map[state.InstanceID]int{"a": 9, "c": 5}, asked, nil)
+	otherHead := member("c", 0, fleet.Open)
+	otherHead.Membership.Group = "h"
+	otherMember := member("d", 1, fleet.Ready)
+	otherMember.Membership.Group = "h"
+	table.Update(testCatalog(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready), otherHead, otherMember}, func(fleet.GroupKey) bool { return false })
+	total := []demand.Flow{{Service: "lm", Model: "m", Requests: 1000}}
+	table.SetOthers(map[state.InstanceID]int{"a": 9, "c": 5}, total, nil)
 	for range 50 {
-		g.Expect(table.Pick("lm", "m", start, nobody).ID).To(Equal(state.InstanceID("c")))
+		g.Expect(table.Pick("lm", "m", start, excludeNone).ID).To(Equal(state.InstanceID("c")))
 	}
-	table.SetOthers(map[state.InstanceID]int{"a": 9, "c": 9}, asked, nil)
-	g.Expect(table.Pick("lm", "m", start, nobody).Full(start)).To(BeTrue())
+	table.SetOthers(map[state.InstanceID]int{"a": 9, "c": 9}, total, nil)
+	g.Expect(table.Pick("lm", "m", start, excludeNone).Full(start)).To(BeTrue())
 }
--- a/coordination/dispatch/pick.go
+++ b/coordination/dispatch/pick.go
@@ -21,30 +21,30 @@
 // proportional to the requests it gets (load interpretation; Dahlin, Interpreting
 // Stale Load Information, 1999).
 func (t *Table) Pick(service state.ServiceName, model string, now time.Time, avoid func(*Candidate) bool) *Candidate {
-	pool := make([]offer, 0, len(t.Candidates(service, model)))
-	full := true
+	pool := make([]scoredCandidate, 0, len(t.Candidates(service, model)))
+	allFull := true
 	for _, c := range t.Candidates(service, model) {
 		if avoid(c) {
 			continue
 		}
-		cFull := c.Full(now)
-		if full && !cFull {
-			full = false
+		isFull := c.Full(now)
+		if allFull && !isFull {
+			allFull = false
 			pool = pool[:0]
 		}
-		if full || !cFull {
-			pool = append(pool, offer{c, t.cost(c), float64(max(c.Slots, 1))})
+		if allFull || !isFull {
+			pool = append(pool, scoredCandidate{c, t.cost(c), float64(max(c.Slots, 1))})
 		}
 	}
 	if len(pool) == 0 {
 		return nil
 	}
-	share := t.policy.MaxShare
+	maxShare := t.policy.MaxShare
 	if pool[0].Size == 0 {
-		share = 0
+		maxShare = 0
 	}
 	arrivals := t.Asked(service, model) * t.policy.SpreadHorizon.Seconds()
-	return draw(pool, max(arrivals, 1), share).Candidate
+	return pickWeighted(pool, max(arrivals, 1), maxShare).Candidate
 }
 
 // PickIdlest returns the candidate with the fewest known requests in flight, or nil.
@@ -59,62 +59,63 @@
 	return idlest
 }
 
-// offer is a candidate with its slots and the cost of sending it a request, in requests in flight
-// per slot.
-type offer struct {
+// scoredCandidate is a candidate with its slots and the cost of sending it a request, in
+// requests in flight per slot.
+type scoredCandidate struct {
 	*Candidate
-	cost   float64
-	places float64
+	cost  float64
+	slots float64
 }
 
-// draw selects an offer at random, weighted by the number of the given requests that it
-// gets if the cheapest offers are filled first. Each offer gets at most maxShare times
-// its share of the slots; 0 means no limit.
-func draw(pool []offer, requests, maxShare float64) offer {
-	slices.SortFunc(pool, func(a, b offer) int { return cmp.Compare(a.cost, b.cost) })
-	most := math.Inf(1)
+// pickWeighted selects a candidate at random, weighted by the number of the given requests
+// that it gets if the cheapest candidates are filled first. Each gets at most maxShare
+// times its share of the slots; 0 means no limit.
+func pickWeighted(pool []scoredCandidate, requests, maxShare float64) scoredCandidate {
+	slices.SortFunc(pool, func(a, b scoredCandidate) int { return cmp.Compare(a.cost, b.cost) })
+	maxPerSlot := math.Inf(1)
 	if maxShare > 0 {
-		most = max(maxShare, 1) * requests / totalPlaces(pool)
+		maxPerSlot = max(maxShare, 1) * requests / totalSlots(pool)
 	}
-	level := fillLevel(pool, requests, most)
-	at := rand.Float64() * requests
-	for _, o := range pool {
-		if at -= o.filled(level, most); at < 0 {
-			return o
+	level := fillLevel(pool, requests, maxPerSlot)
+	remaining := rand.Float64() * requests
+	for _, c := range pool {
+		if remaining -= c.requestsAt(level, maxPerSlot); remaining < 0 {
+			return c
 		}
 	}
 	return pool[0]
 }
 
-// totalPlaces returns the total number of slots of all offers.
-func totalPlaces(pool []offer) float64 {
-	var places float64
-	for _, o := range pool {
-		places += o.places
+// totalSlots returns the total number of slots of all candidates.
+func totalSlots(pool []scoredCandidate) float64 {
+	var slots float64
+	for _, c := range pool {
+		slots += c.slots
 	}
-	return places
+	return slots
 }
 
-// filled returns the number of requests that raises the cost of the offer to level, with
-// at most most requests per slot.
-func (o offer) filled(level, most float64) float64 {
-	return o.places * min(max(level-o.cost, 0), most)
+// requestsAt returns the number of requests that raises the cost of the candidate to level,
+// with at most maxPerSlot requests per slot.
+func (c scoredCandidate) requestsAt(level, maxPerSlot float64) float64 {
+	return c.slots * min(max(level-c.cost, 0), maxPerSlot)
 }
 
 // fillSteps is the number of bisection steps in fillLevel. It exceeds the 53 bits of precision of a float64.
 const fillSteps = 60
 
-// fillLevel returns the cost level to which the offers below it rise if they share the
-// given requests, with at most most requests per slot. The offers must be sorted by cost.
-func fillLevel(pool []offer, requests, most float64) float64 {
-	low, high := pool[0].cost, pool[len(pool)-1].cost+requests/pool[0].places
+// fillLevel returns the cost level to which the candidates below it rise if they share the
+// given requests, with at most maxPerSlot requests per slot. The candidates must be sorted
+// by cost.
+func fillLevel(pool []scoredCandidate, requests, maxPerSlot float64) float64 {
+	low, high := pool[0].cost, pool[len(pool)-1].cost+requests/pool[0].slots
 	for range fillSteps {
 		level := (low + high) / 2
-		got := 0.0
-		for _, o := range pool {
-			got += o.filled(level, most)
+		filled := 0.0
+		for _, c := range pool {
+			filled += c.requestsAt(level, maxPerSlot)
 		}
-		if got < requests {
+		if filled < requests {
 			low = level
 		} else {
 			high = level
@@ -126,8 +127,8 @@
 // cost returns the cost of sending a request to a candidate, in requests in flight per slot.
 func (t *Table) cost(c *Candidate) float64 {
 	cost := float64(c.Load()) / float64(max(c.Slots, 1))
-	cost += t.policy.ReadingCost * c.Reading().Seconds()
-	cost += t.policy.FailureCost * float64(c.load.trouble.Load()) / troubleUnit
+	cost += t.policy.ReadingCost * c.PrefillTime().Seconds()
+	cost += t.policy.FailureCost * float64(c.load.failureScore.Load()) / failureUnit
 	if c.Hall != t.hall {
 		cost += t.policy.RemoteHallCost
 	}
--- a/coordination/dispatch/spread_test.go
+++ b/coordination/dispatch/spread_test.go
@@ -15,15 +15,15 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// readingConfig returns a catalog with groups of one instance. They process 1,000 prompt
+// prefillCatalog returns a catalog with groups of one instance. They process 1,000 prompt
 // tokens per second at Pace 1; the model has Pace 0.5.
-func readingConfig() *catalog.Catalog {
+func prefillCatalog() *catalog.Catalog {
 	engine := &catalog.Engine{Slots: 20, ReadPerSecond: 1000, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 0.5}}}
 	return catalog.New(1, nil, []catalog.Service{{Name: "lm", Engine: engine}}, nil, catalog.Limits{})
 }
 
-// heads returns the heads of n open groups of one instance each.
-func heads(n int) []roster.View {
+// openHeads returns the heads of n open groups of one instance each.
+func openHeads(n int) []roster.View {
 	var views []roster.View
 	for i := range n {
 		v := member(fmt.Sprintf("head-%d", i), 0, fleet.Open)
@@ -33,19 +33,19 @@
 	return views
 }
 
-// drawn returns the fraction of picks that selects each target.
-func drawn(table *dispatch.Table) map[state.InstanceID]float64 {
+// pickShares returns the fraction of picks that selects each target.
+func pickShares(table *dispatch.Table) map[state.InstanceID]float64 {
 	const draws = 4000
-	got := map[state.InstanceID]float64{}
+	shares := map[state.InstanceID]float64{}
 	for range draws {
-		got[table.Pick("lm", "m", start, nobody).ID] += 1.0 / draws
+		shares[table.Pick("lm", "m", start, excludeNone).ID] += 1.0 / draws
 	}
-	return got
+	return shares
 }
 
 // A group that has just opened is the least loaded for all nodes at once. Without a
 // limit it gets every request, and processes their prompts one after another.
-func TestAGroupThatJustOpenedDrawsABoundedShare(t *testing.T) {
+func TestNewlyOpenedGroupGetsBoundedShare(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		maxShare float64
@@ -61,38 +61,38 @@
 			policy := dispatch.DefaultPolicy()
 			policy.MaxShare, policy.SpreadHorizon = c.maxShare, 250*time.Millisecond
 			table := dispatch.NewTable("h", policy)
-			table.Update(readingConfig(), heads(5), func(fleet.GroupKey) bool { return false })
+			table.Update(prefillCatalog(), openHeads(5), func(fleet.GroupKey) bool { return false })
 			others := map[state.InstanceID]int{"head-1": 10, "head-2": 10, "head-3": 10, "head-4": 10}
 			table.SetOthers(others, []demand.Flow{{Service: "lm", Model: "m", Requests: 16}}, nil)
-			got := drawn(table)
-			g.Expect(got["head-0"]).To(BeNumerically("~", c.want, 0.03))
+			shares := pickShares(table)
+			g.Expect(shares["head-0"]).To(BeNumerically("~", c.want, 0.03))
 			for _, id := range []state.InstanceID{"head-1", "head-2", "head-3", "head-4"} {
-				g.Expect(got[id]).To(BeNumerically("~", (1-c.want)/4, 0.03))
+				g.Expect(shares[id]).To(BeNumerically("~", (1-c.want)/4, 0.03))
 			}
 		})
 	}
 }
 
-func TestPromptsStillBeingReadCountUntilTheFirstEvent(t *testing.T) {
+func TestPrefillCountsUntilFirstEvent(t *testing.T) {
 	g := NewWithT(t)
 	policy := dispatch.DefaultPolicy()
 	policy.ReadingCost = 1
 	table := dispatch.NewTable("h", policy)
-	table.Update(readingConfig(), heads(2), func(fleet.GroupKey) bool { return false })
-	first := table.Pick("lm", "m", start, nobody)
+	table.Update(prefillCatalog(), openHeads(2), func(fleet.GroupKey) bool { return false })
+	first := table.Pick("lm", "m", start, excludeNone)
 	hold := first.Hold(1000, start)
-	g.Expect(first.Reading()).To(Equal(500*time.Millisecond), "1,000 tokens at 1,000 per second and Pace 0.5")
+	g.Expect(first.PrefillTime()).To(Equal(500*time.Millisecond), "1,000 tokens at 1,000 per second and Pace 0.5")
 	for range 50 {
-		g.Expect(table.Pick("lm", "m", start, nobody).ID).NotTo(Equal(first.ID))
+		g.Expect(table.Pick("lm", "m", start, excludeNone).ID).NotTo(Equal(first.ID))
 	}
 	hold.Started()
 	hold.Started()
-	g.Expect(first.Reading()).To(BeZero())
+	g.Expect(first.PrefillTime()).To(BeZero())
 	g.Expect(first.Held()).To(Equal(int64(1)))
 	other := first.Hold(300, start)
 	hold.End()
 	other.End()
-	g.Expect(first.Reading()).To(BeZero())
+	g.Expect(first.PrefillTime()).To(BeZero())
 	g.Expect(first.Held()).To(BeZero())
 }
 
@@ -102,35 +102,35 @@
 	policy := dispatch.DefaultPolicy()
 	policy.ReadLimit, policy.PaceBurst = 0.8, 250*time.Millisecond
 	table := dispatch.NewTable("h", policy)
-	table.Update(readingConfig(), heads(1), func(fleet.GroupKey) bool { return false })
-	asked := []demand.Flow{{Service: "lm", Model: "m", Requests: 10}}
+	table.Update(prefillCatalog(), openHeads(1), func(fleet.GroupKey) bool { return false })
+	total := []demand.Flow{{Service: "lm", Model: "m", Requests: 10}}
 	own := []demand.Flow{{Service: "lm", Model: "m", Requests: 5}}
-	table.SetOthers(nil, asked, own)
+	table.SetOthers(nil, total, own)
 	return table
 }
 
 // A node sends prompts to a group no faster than its share of the group's prefill
 // limit, even if there is no other group with capacity.
-func TestAGroupIsSentPromptsAtTheNodesPartOfItsReading(t *testing.T) {
+func TestPacingLimitsPromptsToNodeShare(t *testing.T) {
 	g := NewWithT(t)
-	head := pacedTable().Pick("lm", "m", start, nobody)
+	head := pacedTable().Pick("lm", "m", start, excludeNone)
 	now := start
-	var read time.Duration
+	var prefill time.Duration
 	for range 10000 {
 		now = now.Add(time.Millisecond)
 		if head.Full(now) {
 			continue
 		}
 		head.Hold(100, now).End()
-		read += 50 * time.Millisecond // 100 tokens at 1,000 per second and Pace 0.5
+		prefill += 50 * time.Millisecond // 100 tokens at 1,000 per second and Pace 0.5
 	}
 	// Half of 0.8 of 10 s, plus at most the burst and one prompt.
-	g.Expect(read).To(BeNumerically("~", 4*time.Second, 200*time.Millisecond))
+	g.Expect(prefill).To(BeNumerically("~", 4*time.Second, 200*time.Millisecond))
 }
 
-func TestAGroupThatRestedIsSentNoMoreThanTheBurst(t *testing.T) {
+func TestPacingAfterIdleAllowsOnlyBurst(t *testing.T) {
 	g := NewWithT(t)
-	head := pacedTable().Pick("lm", "m", start, nobody)
+	head := pacedTable().Pick("lm", "m", start, excludeNone)
 	now := start.Add(time.Hour)
 	g.Expect(head.Full(now)).To(BeFalse())
 	sent := 0
@@ -143,7 +143,7 @@
 
 // With 68 nodes, each node's share of the limit lets it send a group a prompt only
 // every few seconds. Pacing at that share refuses requests while groups are idle.
-func TestANodeWithASmallPartIsNotPaced(t *testing.T) {
+func TestNodeWithSmallShareIsNotPaced(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		own  float64
@@ -156,11 +156,11 @@
 			policy := dispatch.DefaultPolicy()
 			policy.ReadLimit, policy.PaceBurst = 0.8, 250*time.Millisecond
 			table := dispatch.NewTable("h", policy)
-			table.Update(readingConfig(), heads(1), func(fleet.GroupKey) bool { return false })
+			table.Update(prefillCatalog(), openHeads(1), func(fleet.GroupKey) bool { return false })
 			// Prefill of 100 tokens takes 50 ms; a tenth of 0.8 s covers one prompt, a hundredth does not.
-			asked := []demand.Flow{{Service: "lm", Model: "m", Requests: 10, Prompt: 1000}}
-			table.SetOthers(nil, asked, []demand.Flow{{Service: "lm", Model: "m", Requests: c.own}})
-			head := table.Pick("lm", "m", start, nobody)
+			total := []demand.Flow{{Service: "lm", Model: "m", Requests: 10, Prompt: 1000}}
+			table.SetOthers(nil, total, []demand.Flow{{Service: "lm", Model: "m", Requests: c.own}})
+			head := table.Pick("lm", "m", start, excludeNone)
 			for range 3 {
 				head.Hold(100, start)
 			}
@@ -170,9 +170,9 @@
 }
 
 // A token bucket that starts empty refuses the first request of each node and model.
-func TestTheFirstRequestFindsNoGroupFull(t *testing.T) {
+func TestNewPacerStartsFull(t *testing.T) {
 	g := NewWithT(t)
-	head := pacedTable().Pick("lm", "m", start, nobody)
+	head := pacedTable().Pick("lm", "m", start, excludeNone)
 	g.Expect(head.Full(start)).To(BeFalse())
 	head.Hold(300, start)
 	g.Expect(head.Full(start)).To(BeTrue(), "300 tokens take 150 ms, the burst is 100 ms")
