--- a/coordination/repair/history_test.go
+++ b/coordination/repair/history_test.go
@@ -17,12 +17,12 @@
 	domains, perDomain int
 	// sizes are the sizes of the groups in each domain.
 	sizes []int
-	// between is the mean time between failures of one instance.
-	between time.Duration
-	// long is the fraction of failures that take hours instead of a restart.
-	long float64
-	load time.Duration
-	seed uint64
+	// meanTimeBetweenFailures is the mean time between failures of one instance.
+	meanTimeBetweenFailures time.Duration
+	// longFraction is the fraction of failures that take hours instead of a restart.
+	longFraction float64
+	loadTime     time.Duration
+	seed         uint64
 }
 
 // fleets are the simulated fleets on which the planners are compared.
@@ -32,9 +32,9 @@
 	// bound is the maximum cost of the planner, as a fraction of the better baseline's cost.
 	bound float64
 }{
-	{"51 workers, groups of 4, a spare a domain", fleet{domains: 3, perDomain: 17, sizes: []int{4, 4, 4, 4}, between: 12 * time.Hour, long: 0.12, load: 2 * time.Minute}, 0.98},
-	{"48 workers, groups of 4, no spare", fleet{domains: 3, perDomain: 16, sizes: []int{4, 4, 4, 4}, between: 12 * time.Hour, long: 0.12, load: 2 * time.Minute}, 0.92},
-	{"50 workers, groups of 16, 4 and 4, a spare a domain", fleet{domains: 2, perDomain: 25, sizes: []int{16, 4, 4}, between: 12 * time.Hour, long: 0.12, load: 2 * time.Minute}, 0.80},
+	{"51 workers, groups of 4, a spare a domain", fleet{domains: 3, perDomain: 17, sizes: []int{4, 4, 4, 4}, meanTimeBetweenFailures: 12 * time.Hour, longFraction: 0.12, loadTime: 2 * time.Minute}, 0.98},
+	{"48 workers, groups of 4, no spare", fleet{domains: 3, perDomain: 16, sizes: []int{4, 4, 4, 4}, meanTimeBetweenFailures: 12 * time.Hour, longFraction: 0.12, loadTime: 2 * time.Minute}, 0.92},
+	{"50 workers, groups of 16, 4 and 4, a spare a domain", fleet{domains: 2, perDomain: 25, sizes: []int{16, 4, 4}, meanTimeBetweenFailures: 12 * time.Hour, longFraction: 0.12, loadTime: 2 * time.Minute}, 0.80},
 }
 
 // step is the simulated time between two planning rounds.
@@ -68,9 +68,9 @@
 	st      *state.State
 	now     time.Time
 	rng     *rand.Rand
-	place   map[state.InstanceID]state.Place
+	places  map[state.InstanceID]state.Place
 	order   []state.InstanceID
-	backAt  map[state.InstanceID]time.Time
+	upAt    map[state.InstanceID]time.Time
 	failAt  map[state.InstanceID]time.Time
 	readyAt map[state.GroupName]time.Time
 	epochs  map[state.GroupName]state.Epoch
@@ -83,21 +83,21 @@
 func newHistory(f fleet) *history {
 	h := &history{
 		fleet: f, st: state.New(), now: time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC), rng: rand.New(rand.NewPCG(f.seed, 7)),
-		place: map[state.InstanceID]state.Place{}, backAt: map[state.InstanceID]time.Time{}, failAt: map[state.InstanceID]time.Time{},
+		places: map[state.InstanceID]state.Place{}, upAt: map[state.InstanceID]time.Time{}, failAt: map[state.InstanceID]time.Time{},
 		readyAt: map[state.GroupName]time.Time{}, epochs: map[state.GroupName]state.Epoch{}, actions: map[repair.Action]int{},
 	}
 	for d := range f.domains {
 		for i := range f.perDomain {
 			id := state.InstanceID(fmt.Sprintf("i-%02d-%03d", d, i))
-			h.place[id] = state.Place{Instance: id, Hall: "h", Domain: fmt.Sprintf("d%d", d)}
+			h.places[id] = state.Place{Instance: id, Hall: "h", Domain: fmt.Sprintf("d%d", d)}
 			h.order = append(h.order, id)
-			h.failAt[id] = h.now.Add(h.draw(f.between))
+			h.failAt[id] = h.now.Add(h.draw(f.meanTimeBetweenFailures))
 		}
 		next := d * f.perDomain
 		for n, size := range f.sizes {
 			c := &state.CreateGroup{Name: state.GroupName(fmt.Sprintf("g-%02d-%02d", d, n)), Model: state.Model{Name: "m"}, Gate: state.GateWindow}
 			for range size {
-				c.Members = append(c.Members, h.place[h.order[next]])
+				c.Members = append(c.Members, h.places[h.order[next]])
 				next++
 			}
 			h.apply([]state.Op{{CreateGroup: c}})
@@ -135,45 +135,45 @@
 	}
 }
 
-// up reports whether an instance is running.
-func (h *history) up(id state.InstanceID) bool { return !h.now.Before(h.backAt[id]) }
+// isUp reports whether an instance is running.
+func (h *history) isUp(id state.InstanceID) bool { return !h.now.Before(h.upAt[id]) }
 
-// fail makes instances fail. The failures depend on the seed and not on the planner's decisions.
-func (h *history) fail() {
+// failInstances makes instances fail. The failures depend on the seed and not on the planner's decisions.
+func (h *history) failInstances() {
 	for _, id := range h.order {
-		if !h.up(id) || h.now.Before(h.failAt[id]) {
+		if !h.isUp(id) || h.now.Before(h.failAt[id]) {
 			continue
 		}
-		away := time.Minute + time.Duration(h.rng.Int64N(int64(2*time.Minute)))
-		if h.rng.Float64() < h.long {
-			away = 2*time.Hour + time.Duration(h.rng.Int64N(int64(6*time.Hour)))
+		outage := time.Minute + time.Duration(h.rng.Int64N(int64(2*time.Minute)))
+		if h.rng.Float64() < h.longFraction {
+			outage = 2*time.Hour + time.Duration(h.rng.Int64N(int64(6*time.Hour)))
 		}
-		h.backAt[id] = h.now.Add(away)
-		h.failAt[id] = h.backAt[id].Add(h.draw(h.between))
+		h.upAt[id] = h.now.Add(outage)
+		h.failAt[id] = h.upAt[id].Add(h.draw(h.meanTimeBetweenFailures))
 		if a := h.st.Assignment(id); a != nil && a.Group != "" {
-			h.readyAt[a.Group] = h.backAt[id].Add(h.load)
+			h.readyAt[a.Group] = h.upAt[id].Add(h.loadTime)
 		}
 	}
 }
 
-// judge adds the groups to the planner's input and accumulates downtime and stranded time.
-func (h *history) judge(in *repair.Input, missing map[state.InstanceID]time.Time) {
+// addGroups adds the groups to the planner's input and accumulates downtime and stranded time.
+func (h *history) addGroups(in *repair.Input, missing map[state.InstanceID]time.Time) {
 	for _, g := range h.st.Groups() {
 		if g.Epoch != h.epochs[g.Name] {
 			h.epochs[g.Name] = g.Epoch
-			h.readyAt[g.Name] = h.now.Add(h.load)
+			h.readyAt[g.Name] = h.now.Add(h.loadTime)
 		}
-		one := repair.Group{Group: g, Seats: h.seats(g, missing), Weight: 1, Idle: true}
+		group := repair.Group{Group: g, Seats: h.seats(g, missing), Weight: 1, Idle: true}
 		loaded := !h.now.Before(h.readyAt[g.Name])
-		if len(one.Seats) > 0 || !loaded || g.Drained != 0 {
+		if len(group.Seats) > 0 || !loaded || g.Drained != 0 {
 			h.downtime += step.Seconds()
 			h.stranded += step.Seconds() * float64(len(g.Members)-vacant(g))
 		}
 		switch {
-		case len(one.Seats) > 0:
-			in.Broken = append(in.Broken, one)
+		case len(group.Seats) > 0:
+			in.Broken = append(in.Broken, group)
 		case loaded:
-			in.Whole = append(in.Whole, one)
+			in.Whole = append(in.Whole, group)
 		default:
 			in.Loading++
 		}
@@ -184,7 +184,7 @@
 func (h *history) seats(g *state.Group, missing map[state.InstanceID]time.Time) []repair.Seat {
 	var seats []repair.Seat
 	for rank, id := range g.Members {
-		if id != "" && h.up(id) {
+		if id != "" && h.isUp(id) {
 			delete(missing, id)
 			continue
 		}
@@ -212,7 +212,7 @@
 	var free []state.Place
 	for _, id := range h.order {
 		a := h.st.Assignment(id)
-		if a != nil && a.Group == "" && h.up(id) {
+		if a != nil && a.Group == "" && h.isUp(id) {
 			h.apply([]state.Op{{FreeInstance: &state.FreeInstance{Instance: id, Epoch: a.Epoch}}})
 			a = nil
 		}
@@ -220,20 +220,20 @@
 			continue
 		}
 		h.stranded += step.Seconds()
-		if a == nil && h.up(id) {
-			free = append(free, h.place[id])
+		if a == nil && h.isUp(id) {
+			free = append(free, h.places[id])
 		}
 	}
 	return free
 }
 
-// play runs the simulation for a duration.
-func (h *history) play(t time.Duration, policy state.Policy, plan planner) {
+// run runs the simulation for a duration.
+func (h *history) run(duration time.Duration, policy state.Policy, plan planner) {
 	missing := map[state.InstanceID]time.Time{}
-	for end := h.now.Add(t); h.now.Before(end); h.now = h.now.Add(step) {
-		h.fail()
+	for end := h.now.Add(duration); h.now.Before(end); h.now = h.now.Add(step) {
+		h.failInstances()
 		in := repair.Input{Policy: policy, MaxLoads: 4}
-		h.judge(&in, missing)
+		h.addGroups(&in, missing)
 		in.Spares = h.spares()
 		for _, d := range plan(in) {
 			h.actions[d.Action]++
@@ -261,14 +261,14 @@
 // cost returns the total cost under a weighting.
 func (r result) cost(w weighting) float64 { return w.downtime*r.downtime + w.stranded*r.stranded }
 
-// compare runs n seeded histories with one planner and returns the summed result.
-func compare(f fleet, n int, t time.Duration, w weighting, plan planner) result {
+// runHistories runs n seeded histories with one planner and returns the summed result.
+func runHistories(f fleet, n int, duration time.Duration, w weighting, plan planner) result {
 	sum := result{actions: map[repair.Action]int{}}
 	for seed := range n {
 		f.seed = uint64(seed + 1)
 		h := newHistory(f)
-		policy := state.Policy{Downtime: w.downtime, Stranded: w.stranded, Restart: 2 * time.Minute, Load: f.load, Automatic: true}
-		h.play(t, policy, plan)
+		policy := state.Policy{Downtime: w.downtime, Stranded: w.stranded, Restart: 2 * time.Minute, Load: f.loadTime, Automatic: true}
+		h.run(duration, policy, plan)
 		sum.downtime += h.downtime
 		sum.stranded += h.stranded
 		for a, n := range h.actions {
@@ -294,7 +294,7 @@
 		for _, w := range weightings {
 			costs := map[string]float64{}
 			for _, p := range planners {
-				r := compare(f.fleet, seeds, 24*time.Hour, w, p.plan)
+				r := runHistories(f.fleet, seeds, 24*time.Hour, w, p.plan)
 				costs[p.name] = r.cost(w)
 				t.Logf("%s | %s | %s | downtime %.0f group-s | stranded %.0f instance-s | cost %.0f | %v",
 					f.name, w.name, p.name, r.downtime, r.stranded, r.cost(w), r.actions)
@@ -313,7 +313,7 @@
 	mixed := fleets[len(fleets)-1].fleet
 	var results []result
 	for _, w := range weightings {
-		results = append(results, compare(mixed, 2*seeds, 24*time.Hour, w, repair.Plan))
+		results = append(results, runHistories(mixed, 2*seeds, 24*time.Hour, w, repair.Plan))
 	}
 	for i, w := range weightings {
 		own, other := results[i].cost(w), results[1-i].cost(w)
--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -48,11 +48,11 @@
 	Idle bool
 }
 
-// alive returns the number of members that are present.
-func (g *Group) alive() int { return len(g.Members) - len(g.Seats) }
+// presentMembers returns the number of members that are present.
+func (g *Group) presentMembers() int { return len(g.Members) - len(g.Seats) }
 
-// missing reports whether the member at a rank is missing.
-func (g *Group) missing(rank int) bool {
+// isMissing reports whether the member at a rank is missing.
+func (g *Group) isMissing(rank int) bool {
 	return slices.ContainsFunc(g.Seats, func(s Seat) bool { return s.Rank == rank })
 }
 
@@ -86,11 +86,11 @@
 // per missing member.
 func Plan(in Input) []Decision {
 	p := newPlan(in)
-	decisions := p.returns()
-	for i := range p.order {
-		b := &p.order[i]
-		if !p.used[b.Name] {
-			decisions = append(decisions, p.decide(b, p.order[i+1:]))
+	decisions := p.endDrains()
+	for i := range p.broken {
+		b := &p.broken[i]
+		if !p.usedDonors[b.Name] {
+			decisions = append(decisions, p.decide(b, p.broken[i+1:]))
 		}
 	}
 	return decisions
@@ -98,32 +98,32 @@
 
 // plan is the state of one run of the planner.
 type plan struct {
-	in     Input
-	order  []Group
-	spares []state.Place
-	loads  int
-	// used are the groups that have been selected as donors.
-	used map[state.GroupName]bool
-	// donors are the drained groups by the name of the broken group that needs their members.
-	donors map[state.GroupName]*Group
+	in             Input
+	broken         []Group
+	spares         []state.Place
+	availableLoads int
+	// usedDonors are the groups that have been selected as donors.
+	usedDonors map[state.GroupName]bool
+	// drainedDonors are the drained groups by the name of the broken group that needs their members.
+	drainedDonors map[state.GroupName]*Group
 }
 
 // newPlan sorts the broken groups in the order in which they are decided.
 func newPlan(in Input) *plan {
 	p := &plan{
-		in:     in,
-		order:  slices.Clone(in.Broken),
-		spares: slices.Clone(in.Spares),
-		loads:  in.MaxLoads - in.Loading,
-		used:   map[state.GroupName]bool{},
-		donors: map[state.GroupName]*Group{},
+		in:             in,
+		broken:         slices.Clone(in.Broken),
+		spares:         slices.Clone(in.Spares),
+		availableLoads: in.MaxLoads - in.Loading,
+		usedDonors:     map[state.GroupName]bool{},
+		drainedDonors:  map[state.GroupName]*Group{},
 	}
-	slices.SortFunc(p.order, func(a, b Group) int {
+	slices.SortFunc(p.broken, func(a, b Group) int {
 		return cmp.Or(cmp.Compare(p.density(&b), p.density(&a)), cmp.Compare(a.Name, b.Name))
 	})
 	for i := range in.Whole {
 		if g := &in.Whole[i]; g.DrainedFor != "" {
-			p.donors[g.DrainedFor] = g
+			p.drainedDonors[g.DrainedFor] = g
 		}
 	}
 	return p
@@ -132,26 +132,26 @@
 // density returns the cost of one second of a group's downtime per missing member.
 func (p *plan) density(g *Group) float64 { return p.rate(g, len(g.Members)) / float64(len(g.Seats)) }
 
-// returns ends the drain of donors whose broken group is complete again or no longer exists.
-func (p *plan) returns() []Decision {
+// endDrains ends the drain of donors whose broken group is complete again or no longer exists.
+func (p *plan) endDrains() []Decision {
 	var decisions []Decision
 	for i := range p.in.Whole {
 		g := &p.in.Whole[i]
-		if g.DrainedFor == "" || slices.ContainsFunc(p.order, func(b Group) bool { return b.Name == g.DrainedFor }) {
+		if g.DrainedFor == "" || slices.ContainsFunc(p.broken, func(b Group) bool { return b.Name == g.DrainedFor }) {
 			continue
 		}
 		decisions = append(decisions, Decision{
 			Group:  g.Name,
 			Action: ActionReturn,
 			Reason: string(g.DrainedFor) + " no longer needs its members",
-			Ops:    []state.Op{undrain(g)},
+			Ops:    []state.Op{undrainOp(g)},
 		})
 	}
 	return decisions
 }
 
-// undrain returns the operation that ends the drain of a group.
-func undrain(g *Group) state.Op {
+// undrainOp returns the operation that ends the drain of a group.
+func undrainOp(g *Group) state.Op {
 	return state.Op{DrainGroup: &state.DrainGroup{Group: g.Name, Off: true}}
 }
 
@@ -159,42 +159,42 @@
 // up for it.
 func (p *plan) decide(b *Group, later []Group) Decision {
 	d := Decision{Group: b.Name, Action: ActionWait}
-	d.WaitCost = p.cost(b, p.wait(b)+p.in.Policy.Load, len(b.Members))
+	d.WaitCost = p.cost(b, p.expectedWait(b)+p.in.Policy.Load, len(b.Members))
 	d.ActCost = p.cost(b, p.in.Policy.Load, len(b.Members))
-	found := p.domainSpares(b)
+	spares := p.domainSpares(b)
 	switch {
 	case d.ActCost >= d.WaitCost:
 		d.Reason = "waiting for the restart costs no more"
-	case p.loads <= 0:
+	case p.availableLoads <= 0:
 		d.Reason = "the weight store is at its limit"
-	case len(found) >= len(b.Seats):
-		p.fill(b, found, &d)
+	case len(spares) >= len(b.Seats):
+		p.replaceMissing(b, spares, &d)
 	default:
-		p.breakUp(b, later, len(b.Seats)-len(found), &d)
+		p.breakUp(b, later, len(b.Seats)-len(spares), &d)
 	}
 	return d
 }
 
 // domainSpares returns the spares in the group's data hall and fabric domain.
 func (p *plan) domainSpares(b *Group) []state.Place {
-	var found []state.Place
+	var spares []state.Place
 	for _, s := range p.spares {
 		if s.Hall == b.Hall && s.Domain == b.Domain {
-			found = append(found, s)
+			spares = append(spares, s)
 		}
 	}
-	return found
+	return spares
 }
 
-// fill replaces all missing members with spares.
-func (p *plan) fill(b *Group, found []state.Place, d *Decision) {
+// replaceMissing replaces all missing members with spares.
+func (p *plan) replaceMissing(b *Group, spares []state.Place, d *Decision) {
 	d.Action, d.Reason = ActionSpare, "a spare costs less than waiting"
-	p.loads--
+	p.availableLoads--
 	for i, seat := range b.Seats {
 		d.Ops = append(d.Ops, state.Op{ReplaceMember: &state.ReplaceMember{
-			Group: b.Name, Epoch: epochFor(b, i), Rank: seat.Rank, Out: seat.Instance, In: found[i],
+			Group: b.Name, Epoch: epochFor(b, i), Rank: seat.Rank, Out: seat.Instance, In: spares[i],
 		}})
-		p.spares = slices.DeleteFunc(p.spares, func(s state.Place) bool { return s.Instance == found[i].Instance })
+		p.spares = slices.DeleteFunc(p.spares, func(s state.Place) bool { return s.Instance == spares[i].Instance })
 	}
 }
 
@@ -210,20 +210,20 @@
 
 // breakUp takes the members that are still needed from a donor group, if that costs less than waiting.
 func (p *plan) breakUp(b *Group, later []Group, need int, d *Decision) {
-	donor := p.donors[b.Name]
+	donor := p.drainedDonors[b.Name]
 	if donor == nil {
 		var loss float64
-		donor, loss = p.donor(b, later, need)
+		donor, loss = p.cheapestDonor(b, later, need)
 		if donor == nil {
 			d.Reason = "no spare, and no lesser group that would cost less, in the fabric domain"
 			return
 		}
 		d.ActCost += loss
 	}
-	p.used[donor.Name] = true
+	p.usedDonors[donor.Name] = true
 	switch {
 	case len(donor.Seats) > 0 || (donor.DrainedFor == b.Name && donor.Idle):
-		p.vacate(donor, need, d)
+		p.releaseMembers(donor, need, d)
 	case donor.DrainedFor == b.Name:
 		d.Reason = "waiting for the last request of " + string(donor.Name)
 	default:
@@ -232,34 +232,34 @@
 	}
 }
 
-// lesser is the minimum ratio of the downtime cost of a broken group to that of a
+// minCostRatio is the minimum ratio of the downtime cost of a broken group to that of a
 // complete group that is broken up for it. Without it, groups of equal size are broken
 // up for each other in turn.
-const lesser = 1.5
+const minCostRatio = 1.5
 
-// donor returns the group of the domain with the lowest loss from giving members to b, and that
-// loss. It returns nil if no group loses less than b gains.
-func (p *plan) donor(b *Group, later []Group, need int) (*Group, float64) {
+// cheapestDonor returns the group of the domain with the lowest loss from giving members to
+// b, and that loss. It returns nil if no group loses less than b gains.
+func (p *plan) cheapestDonor(b *Group, later []Group, need int) (*Group, float64) {
 	var best *Group
-	var least float64
-	gain := p.cost(b, p.wait(b), len(b.Members))
+	var lowestLoss float64
+	gain := p.cost(b, p.expectedWait(b), len(b.Members))
 	consider := func(o *Group) {
-		if p.used[o.Name] || o.Releasing || o.Drained != 0 || o.Hall != b.Hall || o.Domain != b.Domain || o.alive() < need {
+		if p.usedDonors[o.Name] || o.Releasing || o.Drained != 0 || o.Hall != b.Hall || o.Domain != b.Domain || o.presentMembers() < need {
 			return
 		}
-		if loss := p.loss(o, b, need); loss < gain && (best == nil || loss < least) {
-			best, least = o, loss
+		if loss := p.loss(o, b, need); loss < gain && (best == nil || loss < lowestLoss) {
+			best, lowestLoss = o, loss
 		}
 	}
 	for i := range later {
 		consider(&later[i])
 	}
 	for i := range p.in.Whole {
-		if o := &p.in.Whole[i]; p.rate(b, len(b.Members)) >= lesser*p.rate(o, len(o.Members)) {
+		if o := &p.in.Whole[i]; p.rate(b, len(b.Members)) >= minCostRatio*p.rate(o, len(o.Members)) {
 			consider(o)
 		}
 	}
-	return best, least
+	return best, lowestLoss
 }
 
 // loss returns the cost to a donor of giving members to b.
@@ -270,20 +270,20 @@
 func (p *plan) loss(donor, b *Group, need int) float64 {
 	var before float64
 	if len(donor.Seats) > 0 {
-		before = p.cost(donor, p.wait(donor)+p.in.Policy.Load, donor.alive())
+		before = p.cost(donor, p.expectedWait(donor)+p.in.Policy.Load, donor.presentMembers())
 	}
-	after := max(p.wait(donor), p.wait(b)) + p.in.Policy.Load
-	return p.cost(donor, after, donor.alive()-need) - before
+	after := max(p.expectedWait(donor), p.expectedWait(b)) + p.in.Policy.Load
+	return p.cost(donor, after, donor.presentMembers()-need) - before
 }
 
-// vacate releases members of a donor. They become spares when they report their release.
-func (p *plan) vacate(donor *Group, need int, d *Decision) {
+// releaseMembers releases members of a donor. They become spares when they report their release.
+func (p *plan) releaseMembers(donor *Group, need int, d *Decision) {
 	d.Action, d.Reason = ActionBreakUp, "members of "+string(donor.Name)+" cost less than waiting"
 	for rank, id := range donor.Members {
 		if need == 0 {
 			break
 		}
-		if id == "" || donor.missing(rank) {
+		if id == "" || donor.isMissing(rank) {
 			continue
 		}
 		op := &state.VacateMember{Group: donor.Name, Epoch: epochFor(donor, len(d.Ops)), Rank: rank, Out: id}
@@ -291,16 +291,16 @@
 		need--
 	}
 	if donor.DrainedFor != "" {
-		d.Ops = append(d.Ops, undrain(donor))
+		d.Ops = append(d.Ops, undrainOp(donor))
 	}
 }
 
-// wait returns the expected time until the last missing member of a group returns. It is 0 for a
-// complete group.
-func (p *plan) wait(g *Group) time.Duration {
+// expectedWait returns the expected time until the last missing member of a group returns.
+// It is 0 for a complete group.
+func (p *plan) expectedWait(g *Group) time.Duration {
 	var longest time.Duration
 	for _, s := range g.Seats {
-		longest = max(longest, p.remaining(s))
+		longest = max(longest, p.expectedReturn(s))
 	}
 	return longest
 }
@@ -318,13 +318,13 @@
 	return p.in.Policy.Downtime*g.Weight + p.in.Policy.Stranded*float64(stranded)
 }
 
-// remaining returns the expected time until a missing member returns.
+// expectedReturn returns the expected time until a missing member returns.
 //
 // Within the usual restart time, it is the rest of that time. A member that has been
 // missing for longer is expected to be missing for the same time again, because most
 // long restarts are failures that need a repair. A rank without a member is filled by
 // the next instance that returns.
-func (p *plan) remaining(s Seat) time.Duration {
+func (p *plan) expectedReturn(s Seat) time.Duration {
 	if s.Missing < p.in.Policy.Restart {
 		return p.in.Policy.Restart - s.Missing
 	}
--- a/coordination/routing/pick_test.go
+++ b/coordination/routing/pick_test.go
@@ -12,9 +12,9 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// bigPool returns a pool of n groups that are ready.
-func bigPool(n int) []*routing.Candidate {
-	return newWorld(n, 1).tables[0].Pool("m")
+// newPool returns a pool of n groups that are ready.
+func newPool(n int) []*routing.Candidate {
+	return newSimulation(n, 1).tables[0].Pool("m")
 }
 
 // request is a request with a prompt of 16 blocks.
@@ -23,8 +23,8 @@
 // TestPickAllocatesNothing checks every picker with every pool size.
 func TestPickAllocatesNothing(t *testing.T) {
 	for _, size := range []int{50, 750} {
-		pool := bigPool(size)
-		for _, c := range candidates {
+		pool := newPool(size)
+		for _, c := range pickers {
 			pick := c.pick()
 			allocs := testing.AllocsPerRun(50, func() { pick.Pick(pool, request, time.Unix(0, 0)) })
 			if allocs != 0 {
@@ -51,7 +51,7 @@
 			return w
 		})
 	}
-	for _, c := range candidates {
+	for _, c := range pickers {
 		pick := c.pick()
 		for range 50 {
 			g.Expect(string(pick.Pick(table.Pool("m"), routing.Request{Avoid: "failed"}, now).Name)).To(Equal("open"))
@@ -61,12 +61,13 @@
 	}
 }
 
-// TestDispatchEndsWithItsGroup checks every way in which a group can stop being the one that was
-// picked. A dispatch that stays valid would forward a response from the wrong members.
-func TestDispatchEndsWithItsGroup(t *testing.T) {
+// TestDispatchIsInvalidAfterGroupChange checks every way in which a group can stop being the
+// one that was picked. A dispatch that stayed valid would let a response from other members
+// through.
+func TestDispatchIsInvalidAfterGroupChange(t *testing.T) {
 	now := time.Unix(1000, 0)
 	group := &state.Group{Name: "g", Epoch: 1, Model: state.Model{Name: "m"}, Members: []state.InstanceID{"i"}}
-	whole := evidence.GroupEvidence{Expires: now.Add(time.Second), IncarnationHash: 1}
+	ready := evidence.GroupEvidence{Expires: now.Add(time.Second), IncarnationHash: 1}
 	cases := []struct {
 		name   string
 		change func(table *routing.Table, c *routing.Candidate)
@@ -87,7 +88,7 @@
 			next := *group
 			next.Epoch = 2
 			table.Update([]*state.Group{&next})
-			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return whole })
+			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return ready })
 		}, now, false},
 		{"the group is dissolved", func(table *routing.Table, _ *routing.Candidate) { table.Update(nil) }, now, false},
 		{"the group is drained", func(table *routing.Table, _ *routing.Candidate) {
@@ -102,7 +103,7 @@
 			table := routing.NewTable()
 			table.Update([]*state.Group{group})
 			cand := table.Get("g")
-			cand.Rejudge(func(*state.Group) evidence.GroupEvidence { return whole })
+			cand.Rejudge(func(*state.Group) evidence.GroupEvidence { return ready })
 			d := cand.Begin(request)
 			c.change(table, cand)
 			g.Expect(d.Valid(c.at)).To(Equal(c.valid))
@@ -117,8 +118,8 @@
 // planned scale (750).
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{50, 750} {
-		pool := bigPool(size)
-		for _, c := range candidates {
+		pool := newPool(size)
+		for _, c := range pickers {
 			b.Run(fmt.Sprintf("%d/%s", size, c.name), func(b *testing.B) {
 				pick := c.pick()
 				b.ReportAllocs()
@@ -134,7 +135,7 @@
 // round robin's time in the same run. The multiple is proportional to the pool size.
 func TestPickCost(t *testing.T) {
 	cost := func(size int, pick routing.Picker) float64 {
-		pool := bigPool(size)
+		pool := newPool(size)
 		return float64(testing.Benchmark(func(b *testing.B) {
 			for b.Loop() {
 				pick.Pick(pool, request, time.Unix(0, 0))
@@ -142,7 +143,7 @@
 		}).NsPerOp())
 	}
 	for _, size := range []int{50, 750} {
-		ratio := cost(size, candidates[len(candidates)-1].pick()) / max(1, cost(size, candidates[0].pick()))
+		ratio := cost(size, pickers[len(pickers)-1].pick()) / max(1, cost(size, pickers[0].pick()))
 		t.Logf("%d groups: a pick takes %.0f times the time of round robin", size, ratio)
 		if limit := float64(size) * 2; ratio > limit {
 			t.Errorf("%d groups: a pick takes %.0f times the time of round robin, want at most %.0f", size, ratio, limit)
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -17,35 +17,35 @@
 	Name  state.GroupName
 	mu    sync.Mutex
 	group atomic.Pointer[state.Group]
-	// until is the time at which the evidence that the group is ready expires. It is a
-	// monotonic time, so that setting the wall clock back does not extend the evidence.
+	// expires is the time at which the evidence that the group is ready expires. It is a
+	// time of the steady clock, so that setting the wall clock back does not extend the evidence.
 	// It is nil if the group is not ready.
-	until    atomic.Pointer[time.Time]
-	identity atomic.Uint64
-	leaving  atomic.Bool
-	held     atomic.Int64
-	tokens   atomic.Int64
-	since    atomic.Int64
-	recent   atomic.Int64
-	reported atomic.Int64
-	repToken atomic.Int64
-	slots    atomic.Int64
-	prefixes prefixCache
+	expires           atomic.Pointer[time.Time]
+	incarnationHash   atomic.Uint64
+	leaving           atomic.Bool
+	inFlight          atomic.Int64
+	tokensInFlight    atomic.Int64
+	sentSince         atomic.Int64
+	promptSinceReport atomic.Int64
+	reported          atomic.Int64
+	reportedTokens    atomic.Int64
+	slots             atomic.Int64
+	prefixes          prefixCache
 }
 
 // Group returns the latest state of the group.
 func (c *Candidate) Group() *state.Group { return c.group.Load() }
 
 // Held returns the number of requests in flight from this node to the group.
-func (c *Candidate) Held() int { return int(c.held.Load()) }
+func (c *Candidate) Held() int { return int(c.inFlight.Load()) }
 
 // Slots returns the number of batch slots of the group's engine, as last reported.
 func (c *Candidate) Slots() int { return int(c.slots.Load()) }
 
 // Whole reports whether unexpired evidence shows at now that the group is ready with all its members.
 func (c *Candidate) Whole(now time.Time) bool {
-	until := c.until.Load()
-	return until != nil && now.Before(*until)
+	expires := c.expires.Load()
+	return expires != nil && now.Before(*expires)
 }
 
 // Open reports whether a new request may be sent to the group at now.
@@ -55,7 +55,7 @@
 
 // Load returns the estimated number of requests in flight at the group: the reported number plus
 // those sent by this node since, and at least those in flight from this node.
-func (c *Candidate) Load() int64 { return max(c.held.Load(), c.reported.Load()+c.since.Load()) }
+func (c *Candidate) Load() int64 { return max(c.inFlight.Load(), c.reported.Load()+c.sentSince.Load()) }
 
 // Rejudge updates the candidate with the result of judge, which evaluates the current
 // evidence of the group.
@@ -65,15 +65,15 @@
 func (c *Candidate) Rejudge(judge func(g *state.Group) evidence.GroupEvidence) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := judge(c.group.Load())
-	c.identity.Store(w.IncarnationHash)
-	c.leaving.Store(w.Leaving)
-	if w.Expires.IsZero() {
-		c.until.Store(nil)
+	ev := judge(c.group.Load())
+	c.incarnationHash.Store(ev.IncarnationHash)
+	c.leaving.Store(ev.Leaving)
+	if ev.Expires.IsZero() {
+		c.expires.Store(nil)
 		return
 	}
-	c.slots.Store(int64(w.Head.Load.BatchSlots))
-	c.until.Store(&w.Expires)
+	c.slots.Store(int64(ev.Head.Load.BatchSlots))
+	c.expires.Store(&ev.Expires)
 }
 
 // setGroup sets a new state of the group. If the epoch changes, the group is not ready until the
@@ -82,42 +82,42 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if old := c.group.Load(); old == nil || old.Epoch != g.Epoch {
-		c.until.Store(nil)
+		c.expires.Store(nil)
 	}
 	c.group.Store(g)
 }
 
-// close marks the group as not ready, so that it gets no new requests and its dispatches become invalid.
-func (c *Candidate) close() {
+// invalidate marks the group as not ready, so that it gets no new requests and its dispatches become invalid.
+func (c *Candidate) invalidate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until.Store(nil)
+	c.expires.Store(nil)
 }
 
 // Report records a new load report of the group's head.
 func (c *Candidate) Report(l evidence.Load) {
 	c.reported.Store(int64(l.InFlight))
-	c.repToken.Store(l.Tokens)
-	c.since.Store(0)
-	c.recent.Store(0)
+	c.reportedTokens.Store(l.Tokens)
+	c.sentSince.Store(0)
+	c.promptSinceReport.Store(0)
 }
 
 // Dispatch is one request sent to one group. Its response may be forwarded only while it is valid.
 type Dispatch struct {
-	c        *Candidate
-	group    *state.Group
-	identity uint64
-	tokens   int64
-	once     sync.Once
+	c               *Candidate
+	group           *state.Group
+	incarnationHash uint64
+	tokens          int64
+	once            sync.Once
 }
 
 // Begin records a request as in flight at the group.
 func (c *Candidate) Begin(r Request) *Dispatch {
-	c.held.Add(1)
-	c.since.Add(1)
-	c.recent.Add(r.Prompt)
-	c.tokens.Add(r.Tokens)
-	return &Dispatch{c: c, group: c.group.Load(), identity: c.identity.Load(), tokens: r.Tokens}
+	c.inFlight.Add(1)
+	c.sentSince.Add(1)
+	c.promptSinceReport.Add(r.Prompt)
+	c.tokensInFlight.Add(r.Tokens)
+	return &Dispatch{c: c, group: c.group.Load(), incarnationHash: c.incarnationHash.Load(), tokens: r.Tokens}
 }
 
 // Group returns the state of the group when the request began.
@@ -132,14 +132,14 @@
 // It reads the readiness first. Rejudge stores the readiness last, so if a group has
 // become ready again with other incarnations, Valid sees its new identity.
 func (d *Dispatch) Valid(now time.Time) bool {
-	return d.c.Whole(now) && d.c.identity.Load() == d.identity && d.c.group.Load().Epoch == d.group.Epoch
+	return d.c.Whole(now) && d.c.incarnationHash.Load() == d.incarnationHash && d.c.group.Load().Epoch == d.group.Epoch
 }
 
 // End records that the request has ended. Calls after the first have no effect.
 func (d *Dispatch) End() {
 	d.once.Do(func() {
-		d.c.held.Add(-1)
-		d.c.tokens.Add(-d.tokens)
+		d.c.inFlight.Add(-1)
+		d.c.tokensInFlight.Add(-d.tokens)
 	})
 }
 
@@ -163,22 +163,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	pools := map[string][]*Candidate{}
-	kept := map[state.GroupName]*Candidate{}
+	byName := map[state.GroupName]*Candidate{}
 	for _, g := range groups {
 		c := t.byName[g.Name]
 		if c == nil {
 			c = &Candidate{Name: g.Name}
 		}
 		c.setGroup(g)
-		kept[g.Name] = c
+		byName[g.Name] = c
 		pools[g.Model.Name] = append(pools[g.Model.Name], c)
 	}
 	for name, c := range t.byName {
-		if kept[name] == nil {
-			c.close()
+		if byName[name] == nil {
+			c.invalidate()
 		}
 	}
-	t.byName = kept
+	t.byName = byName
 	t.pools.Store(&pools)
 }
 
@@ -244,7 +244,7 @@
 // the same one of several candidates with equal cost.
 func (p *LeastCost) Pick(pool []*Candidate, r Request, now time.Time) *Candidate {
 	var best *Candidate
-	var least float64
+	var lowestCost float64
 	n := len(pool)
 	if n == 0 {
 		return nil
@@ -252,11 +252,11 @@
 	start := rand.IntN(n)
 	for i := range n {
 		c := pool[(start+i)%n]
-		if !usable(c, r, now) {
+		if !isUsable(c, r, now) {
 			continue
 		}
-		if cost := p.Weights.cost(c, r); best == nil || cost < least {
-			best, least = c, cost
+		if cost := p.Weights.cost(c, r); best == nil || cost < lowestCost {
+			best, lowestCost = c, cost
 		}
 	}
 	return best
@@ -267,23 +267,23 @@
 
 // Pick implements Picker.
 func (p *TwoChoices) Pick(pool []*Candidate, r Request, now time.Time) *Candidate {
-	a := draw(pool, r, now)
-	b := draw(pool, r, now)
+	a := randomUsable(pool, r, now)
+	b := randomUsable(pool, r, now)
 	if a == nil || b == nil || p.Weights.cost(a, r) <= p.Weights.cost(b, r) {
 		return a
 	}
 	return b
 }
 
-// draw returns the first usable candidate from a random index on, or nil.
-func draw(pool []*Candidate, r Request, now time.Time) *Candidate {
+// randomUsable returns the first usable candidate from a random index on, or nil.
+func randomUsable(pool []*Candidate, r Request, now time.Time) *Candidate {
 	n := len(pool)
 	if n == 0 {
 		return nil
 	}
 	start := rand.IntN(n)
 	for i := range n {
-		if c := pool[(start+i)%n]; usable(c, r, now) {
+		if c := pool[(start+i)%n]; isUsable(c, r, now) {
 			return c
 		}
 	}
@@ -297,21 +297,21 @@
 func (p *RoundRobin) Pick(pool []*Candidate, r Request, now time.Time) *Candidate {
 	n := uint64(len(pool))
 	for range pool {
-		if c := pool[p.next.Add(1)%n]; usable(c, r, now) {
+		if c := pool[p.next.Add(1)%n]; isUsable(c, r, now) {
 			return c
 		}
 	}
 	return nil
 }
 
-// usable reports whether the request may be sent to the candidate at now.
-func usable(c *Candidate, r Request, now time.Time) bool {
+// isUsable reports whether the request may be sent to the candidate at now.
+func isUsable(c *Candidate, r Request, now time.Time) bool {
 	return c.Name != r.Avoid && c.Open(now)
 }
 
 // cost returns the cost of sending a request to a candidate, in tokens.
 func (w Weights) cost(c *Candidate, r Request) float64 {
-	cost := w.Held*float64(c.Load()) + w.Tokens*float64(c.tokens.Load()) + w.Recent*float64(c.recent.Load())
+	cost := w.Held*float64(c.Load()) + w.Tokens*float64(c.tokensInFlight.Load()) + w.Recent*float64(c.promptSinceReport.Load())
 	if w.Prefix != 0 && len(r.Prefix) > 0 {
 		cost -= w.Prefix * float64(c.prefixes.match(r.Prefix)*PrefixBlock)
 	}
--- a/coordination/routing/sweep_test.go
+++ b/coordination/routing/sweep_test.go
@@ -28,15 +28,15 @@
 
 // job is one request in the simulation.
 type job struct {
-	arrive   time.Duration
-	prompt   int
-	answer   int
-	family   int
-	shared   int
-	first    time.Duration
-	last     time.Duration
-	made     int
-	dispatch *routing.Dispatch
+	arrive    time.Duration
+	prompt    int
+	answer    int
+	family    int
+	shared    int
+	first     time.Duration
+	last      time.Duration
+	generated int
+	dispatch  *routing.Dispatch
 }
 
 // engine simulates a replica group with continuous batching and a small prefix cache.
@@ -65,36 +65,36 @@
 func (e *engine) tokens() int {
 	n := 0
 	for _, j := range e.running {
-		n += j.prompt + j.made
+		n += j.prompt + j.generated
 	}
 	return n
 }
 
 // step runs one decode step that starts at now, and calls gap with the times between tokens.
-func (e *engine) step(now time.Duration, gap func(time.Duration)) {
-	took := baseStep
+func (e *engine) step(now time.Duration, recordGap func(time.Duration)) {
+	duration := baseStep
 	if len(e.queue) > 0 && len(e.running) < engineSlots {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
-		fresh := j.prompt
+		uncached := j.prompt
 		if e.cached(j.family) {
-			fresh -= j.shared
+			uncached -= j.shared
 		}
-		took += time.Duration(fresh) * prefillPerToken
+		duration += time.Duration(uncached) * prefillPerToken
 		e.running = append(e.running, j)
 	}
-	took += time.Duration(len(e.running))*stepPerRequest + time.Duration(e.tokens())*stepPerToken
-	e.next = now + took
+	duration += time.Duration(len(e.running))*stepPerRequest + time.Duration(e.tokens())*stepPerToken
+	e.next = now + duration
 	kept := e.running[:0]
 	for _, j := range e.running {
-		if j.made == 0 {
+		if j.generated == 0 {
 			j.first = e.next
 		} else {
-			gap(e.next - j.last)
+			recordGap(e.next - j.last)
 		}
 		j.last = e.next
-		j.made++
-		if j.made >= j.answer {
+		j.generated++
+		if j.generated >= j.answer {
 			j.dispatch.End()
 			continue
 		}
@@ -103,9 +103,9 @@
 	e.running = kept
 }
 
-// traffic generates random requests: a fifth have long prompts, and three fifths share a prefix
+// generateTraffic generates random requests: a fifth have long prompts, and three fifths share a prefix
 // with their family.
-func traffic(seed uint64, perSecond float64, span time.Duration) []*job {
+func generateTraffic(seed uint64, perSecond float64, span time.Duration) []*job {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var jobs []*job
 	for at := time.Duration(0); at < span; at += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)) {
@@ -136,23 +136,23 @@
 	return hashes
 }
 
-// figures are the latencies that callers observe.
-type figures struct {
-	first, between time.Duration
+// latencies are the latencies that callers observe.
+type latencies struct {
+	firstToken, betweenTokens time.Duration
 }
 
-// world is a data hall of engines behind several nodes. Each node has its own delayed view of the load.
-type world struct {
+// simulation is a data hall of engines behind several nodes. Each node has its own delayed view of the load.
+type simulation struct {
 	engines []*engine
 	tables  []*routing.Table
 }
 
-// newWorld returns engines and nodes without load. All groups are ready.
-func newWorld(engines, nodes int) *world {
-	w := &world{}
+// newSimulation returns engines and nodes without load. All groups are ready.
+func newSimulation(engines, nodes int) *simulation {
+	sim := &simulation{}
 	var groups []*state.Group
 	for n := range engines {
-		w.engines = append(w.engines, &engine{})
+		sim.engines = append(sim.engines, &engine{})
 		groups = append(groups, &state.Group{Name: state.GroupName(fmt.Sprintf("g%02d", n)), Epoch: 1, Model: state.Model{Name: "m"}, Members: []state.InstanceID{"i"}})
 	}
 	for range nodes {
@@ -161,48 +161,48 @@
 		for _, c := range t.Pool("m") {
 			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return evidence.GroupEvidence{Expires: time.Unix(1<<32, 0)} })
 		}
-		w.tables = append(w.tables, t)
+		sim.tables = append(sim.tables, t)
 	}
-	return w
+	return sim
 }
 
-// report records the load of every engine at every node.
-func (w *world) report() {
-	for _, t := range w.tables {
+// reportLoads records the load of every engine at every node.
+func (sim *simulation) reportLoads() {
+	for _, t := range sim.tables {
 		for n, c := range t.Pool("m") {
-			e := w.engines[n]
+			e := sim.engines[n]
 			c.Report(evidence.Load{InFlight: len(e.running) + len(e.queue), Tokens: int64(e.tokens())})
 		}
 	}
 }
 
-// play sends jobs through the nodes in turn and returns the latencies that callers observe.
-func (w *world) play(jobs []*job, pick routing.Picker) figures {
+// run sends jobs through the nodes in turn and returns the latencies that callers observe.
+func (sim *simulation) run(jobs []*job, pick routing.Picker) latencies {
 	var gaps []time.Duration
-	gap := func(d time.Duration) { gaps = append(gaps, d) }
+	recordGap := func(d time.Duration) { gaps = append(gaps, d) }
 	nextReport := reportEvery
 	advance := func(to time.Duration) {
 		for {
-			n := w.earliest()
-			if w.engines[n].next > to {
+			n := sim.earliestEngine()
+			if sim.engines[n].next > to {
 				return
 			}
-			w.engines[n].step(w.engines[n].next, gap)
+			sim.engines[n].step(sim.engines[n].next, recordGap)
 		}
 	}
 	for i, j := range jobs {
 		for nextReport < j.arrive {
 			advance(nextReport)
-			w.report()
+			sim.reportLoads()
 			nextReport += reportEvery
 		}
 		advance(j.arrive)
 		r := routing.Request{Tokens: int64(j.prompt + j.answer), Prompt: int64(j.prompt), Prefix: prefixOf(j)}
-		table := w.tables[i%len(w.tables)]
+		table := sim.tables[i%len(sim.tables)]
 		c := pick.Pick(table.Pool("m"), r, time.Unix(0, 0))
 		c.Remember(r.Prefix)
 		j.dispatch = c.Begin(r)
-		e := w.engines[slices.Index(table.Pool("m"), c)]
+		e := sim.engines[slices.Index(table.Pool("m"), c)]
 		e.queue = append(e.queue, j)
 	}
 	advance(jobs[len(jobs)-1].arrive + time.Minute)
@@ -210,14 +210,14 @@
 	for _, j := range jobs {
 		firsts = append(firsts, j.first-j.arrive)
 	}
-	return figures{first: p95(firsts), between: p95(gaps)}
+	return latencies{firstToken: p95(firsts), betweenTokens: p95(gaps)}
 }
 
-// earliest returns the index of the engine with the earliest next step.
-func (w *world) earliest() int {
+// earliestEngine returns the index of the engine with the earliest next step.
+func (sim *simulation) earliestEngine() int {
 	best := 0
-	for n, e := range w.engines {
-		if e.next < w.engines[best].next {
+	for n, e := range sim.engines {
+		if e.next < sim.engines[best].next {
 			best = n
 		}
 	}
@@ -230,9 +230,9 @@
 	return list[len(list)*95/100]
 }
 
-// candidates are the pickers that are compared. The first is the baseline, the last has the
-// default weights.
-var candidates = []struct {
+// pickers are the compared pickers. The first is the baseline, the last has the default
+// weights.
+var pickers = []struct {
 	name string
 	pick func() routing.Picker
 }{
@@ -241,37 +241,37 @@
 	{"two choices, held 2048, tokens, prefix", func() routing.Picker {
 		return &routing.TwoChoices{Weights: routing.Weights{Held: 2048, Tokens: 1, Prefix: 1}}
 	}},
-	{"held only", least(1, 0, 0, 0)},
-	{"tokens only", least(0, 1, 0, 0)},
-	{"held 512, tokens", least(512, 1, 0, 0)},
-	{"held 8192, tokens", least(8192, 1, 0, 0)},
-	{"held 180000, tokens", least(180_000, 1, 0, 0)},
-	{"held 1000000, tokens", least(1_000_000, 1, 0, 0)},
-	{"held 512, tokens, recent 4", least(512, 1, 4, 0)},
-	{"held 512, tokens, recent 16", least(512, 1, 16, 0)},
-	{"held 512, tokens, recent 4, prefix 4", least(512, 1, 4, 4)},
-	{"held 512, tokens, recent 4, prefix 16", least(512, 1, 4, 16)},
-	{"held 512, recent 4, prefix 32", least(512, 0, 4, 32)},
-	{"recent 4, prefix 32", least(0, 0, 4, 32)},
-	{chosen, least(512, 1, 4, 32)},
+	{"held only", leastCost(1, 0, 0, 0)},
+	{"tokens only", leastCost(0, 1, 0, 0)},
+	{"held 512, tokens", leastCost(512, 1, 0, 0)},
+	{"held 8192, tokens", leastCost(8192, 1, 0, 0)},
+	{"held 180000, tokens", leastCost(180_000, 1, 0, 0)},
+	{"held 1000000, tokens", leastCost(1_000_000, 1, 0, 0)},
+	{"held 512, tokens, recent 4", leastCost(512, 1, 4, 0)},
+	{"held 512, tokens, recent 16", leastCost(512, 1, 16, 0)},
+	{"held 512, tokens, recent 4, prefix 4", leastCost(512, 1, 4, 4)},
+	{"held 512, tokens, recent 4, prefix 16", leastCost(512, 1, 4, 16)},
+	{"held 512, recent 4, prefix 32", leastCost(512, 0, 4, 32)},
+	{"recent 4, prefix 32", leastCost(0, 0, 4, 32)},
+	{defaultWeights, leastCost(512, 1, 4, 32)},
 }
 
-// chosen is the name of the candidate with the default weights of the settings.
-const chosen = "held 512, tokens, recent 4, prefix 32"
+// defaultWeights is the name of the picker with the default weights of the settings.
+const defaultWeights = "held 512, tokens, recent 4, prefix 32"
 
-// average runs one picker with several seeds and returns the mean latencies.
-func average(load float64, seeds uint64, pick func() routing.Picker) figures {
-	var sum figures
+// averageLatencies runs one picker with several seeds and returns the mean latencies.
+func averageLatencies(load float64, seeds uint64, pick func() routing.Picker) latencies {
+	var sum latencies
 	for seed := range seeds {
-		f := newWorld(17, 3).play(traffic(seed, load, 60*time.Second), pick())
-		sum.first += f.first / time.Duration(seeds)
-		sum.between += f.between / time.Duration(seeds)
+		f := newSimulation(17, 3).run(generateTraffic(seed, load, 60*time.Second), pick())
+		sum.firstToken += f.firstToken / time.Duration(seeds)
+		sum.betweenTokens += f.betweenTokens / time.Duration(seeds)
 	}
 	return sum
 }
 
-// least returns a constructor of a LeastCost with the given weights.
-func least(held, tokens, recent, prefix float64) func() routing.Picker {
+// leastCost returns a constructor of a LeastCost with the given weights.
+func leastCost(held, tokens, recent, prefix float64) func() routing.Picker {
 	return func() routing.Picker {
 		return &routing.LeastCost{Weights: routing.Weights{Held: held, Tokens: tokens, Recent: recent, Prefix: prefix}}
 	}
@@ -285,22 +285,22 @@
 	for b.Loop() {
 		var table strings.Builder
 		for _, load := range loads {
-			for _, c := range candidates {
-				f := average(load, 3, c.pick)
-				_, _ = fmt.Fprintf(&table, "%3.0f/s | %-40s | p95 first %7.0f ms | p95 between %5.1f ms\n", load, c.name, float64(f.first)/1e6, float64(f.between)/1e6)
+			for _, c := range pickers {
+				f := averageLatencies(load, 3, c.pick)
+				_, _ = fmt.Fprintf(&table, "%3.0f/s | %-40s | p95 first %7.0f ms | p95 between %5.1f ms\n", load, c.name, float64(f.firstToken)/1e6, float64(f.betweenTokens)/1e6)
 			}
 		}
 		fmt.Printf("\n%s", table.String())
 	}
 }
 
-// TestChosenWeightsBeatRoundRobin compares the default weights with round robin in the
+// TestDefaultWeightsBeatRoundRobin compares the default weights with round robin in the
 // same run: less time between tokens, and little more time to the first token.
-func TestChosenWeightsBeatRoundRobin(t *testing.T) {
-	base := average(50, 2, candidates[0].pick)
-	best := average(50, 2, candidates[len(candidates)-1].pick)
-	between := float64(best.between) / float64(base.between)
-	first := float64(best.first) / float64(base.first)
+func TestDefaultWeightsBeatRoundRobin(t *testing.T) {
+	base := averageLatencies(50, 2, pickers[0].pick)
+	best := averageLatencies(50, 2, pickers[len(pickers)-1].pick)
+	between := float64(best.betweenTokens) / float64(base.betweenTokens)
+	first := float64(best.firstToken) / float64(base.firstToken)
 	t.Logf("time between tokens is %.2f, time to first token %.2f of round robin's", between, first)
 	if between > 0.8 || first > 1.25 {
 		t.Errorf("time between tokens is %.2f of round robin's, want at most 0.80; time to first token is %.2f, want at most 1.25", between, first)
