--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -24,8 +24,8 @@
 	ActionDrain Action = "drain"
 	// ActionBreakUp releases members of a donor group, which then become spares.
 	ActionBreakUp Action = "break-up"
-	// ActionReturn ends the drain of a donor group whose members are no longer needed.
-	ActionReturn Action = "return"
+	// ActionEndDrain ends the drain of a donor group whose members are no longer needed.
+	ActionEndDrain Action = "return"
 )
 
 // Seat is a rank of a group whose member is missing, or that has no member.
@@ -142,7 +142,7 @@
 		}
 		decisions = append(decisions, Decision{
 			Group:  g.Name,
-			Action: ActionReturn,
+			Action: ActionEndDrain,
 			Reason: string(g.DrainedFor) + " no longer needs its members",
 			Ops:    []state.Op{undrainOp(g)},
 		})
