--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -1,6 +1,6 @@
-// Package repair plans what to do about replica groups that miss a member:
-// wait for its restart, put a spare in its seat, or break up a lesser group for
-// its members. The planner is a pure function.
+// Package repair plans how to restore replica groups with missing members: wait for
+// their restart, replace them with spares, or break up a group with a lower downtime
+// cost and use its members. The planner is a pure function.
 package repair
 
 import (
@@ -11,83 +11,86 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Action is what the planner decides for one broken group.
+// Action is the planner's decision for one group.
 type Action string
 
 // The actions.
 const (
 	// ActionWait leaves the group as it is.
 	ActionWait Action = "wait"
-	// ActionSpare puts spares in the seats of the missing members.
+	// ActionSpare replaces the missing members with spares.
 	ActionSpare Action = "spare"
-	// ActionDrain stops new requests to a lesser group that is to be broken up.
+	// ActionDrain stops new requests to a donor group before it is broken up.
 	ActionDrain Action = "drain"
-	// ActionBreakUp vacates seats of a lesser group, whose members then become spares.
+	// ActionBreakUp releases members of a donor group, which then become spares.
 	ActionBreakUp Action = "break-up"
-	// ActionReturn gives a drained group its requests back: its members are no longer needed.
-	ActionReturn Action = "return"
+	// ActionEndDrain ends the drain of a donor group whose members are no longer needed.
+	ActionEndDrain Action = "return"
 )
 
-// Seat is one member of a group that is missing, or a vacant seat.
+// Seat is a rank of a group whose member is missing, or that has no member.
 type Seat struct {
 	Rank     int
 	Instance state.InstanceID
-	// Missing is for how long the member has not been there.
+	// Missing is the time for which the member has been missing.
 	Missing time.Duration
 }
 
-// Group is a group as the planner sees it.
+// Group is the planner's view of a group.
 type Group struct {
 	*state.Group
-	// Seats are those whose members are missing; none when the group is whole.
+	// Seats are the ranks without a present member. It is empty for a complete group.
 	Seats []Seat
 	// Weight multiplies the cost of the group's downtime.
 	Weight float64
-	// Idle tells that no node holds a request of the group, so that breaking it up cuts none.
+	// Idle is true if no node has a request in flight at the group, so that breaking it up
+	// interrupts none.
 	Idle bool
 }
 
-// alive returns the number of members that are there.
-func (g *Group) alive() int { return len(g.Members) - len(g.Seats) }
+// presentMembers returns the number of members that are present.
+func (g *Group) presentMembers() int { return len(g.Members) - len(g.Seats) }
 
-// missing reports whether the member of a rank is missing.
-func (g *Group) missing(rank int) bool {
+// isMissing reports whether the member at a rank is missing.
+func (g *Group) isMissing(rank int) bool {
 	return slices.ContainsFunc(g.Seats, func(s Seat) bool { return s.Rank == rank })
 }
 
-// Input is all that a plan depends on.
+// Input holds everything that a plan depends on.
 type Input struct {
 	Policy state.Policy
-	// Broken are groups with missing seats, Whole those without.
+	// Broken are the groups with missing members, Whole the ready groups without.
 	Broken []Group
 	Whole  []Group
-	// Spares are free instances with fresh evidence, not leaving.
+	// Spares are free instances with recent evidence that are not leaving.
 	Spares []state.Place
-	// Loading is the number of groups loading now, MaxLoads how many the weight store carries at once.
+	// Loading is the number of groups that are loading. MaxLoads is the number of concurrent
+	// loads that the weight store supports.
 	Loading  int
 	MaxLoads int
 }
 
-// Decision is what is to be done about one group, and why.
+// Decision is the action for one group and its reason.
 type Decision struct {
 	Group  state.GroupName
 	Action Action
-	// WaitCost and ActCost are what waiting and acting are expected to cost, in the policy's unit.
+	// WaitCost and ActCost are the expected costs of waiting and of acting, in the policy's unit.
 	WaitCost float64
 	ActCost  float64
 	Reason   string
 	Ops      []state.Op
 }
 
-// Plan returns a decision for every broken group, the costliest for each
-// missing seat first, and for every group that is drained for another in vain.
+// Plan returns a decision for every group whose drain is no longer needed, and then for
+// the broken groups that do not serve as donors, in descending order of downtime cost
+// per missing member.
 func Plan(in Input) []Decision {
 	p := newPlan(in)
-	decisions := p.returns()
-	for i := range p.order {
-		b := &p.order[i]
-		if !p.used[b.Name] {
-			decisions = append(decisions, p.decide(b, p.order[i+1:]))
+	decisions := p.endDrains()
+	for i := range p.broken {
+		b := &p.broken[i]
+		if !p.usedDonors[b.Name] {
+			decisions = append(decisions, p.decide(b, p.broken[i+1:]))
 		}
 	}
 	return decisions
@@ -95,108 +98,109 @@
 
 // plan is the state of one run of the planner.
 type plan struct {
-	in     Input
-	order  []Group
-	spares []state.Place
-	loads  int
-	// used are the groups that have been chosen as donors.
-	used map[state.GroupName]bool
-	// donors are the groups drained for another, by the group that needs them.
-	donors map[state.GroupName]*Group
+	in             Input
+	broken         []Group
+	spares         []state.Place
+	availableLoads int
+	// usedDonors are the groups that have been selected as donors.
+	usedDonors map[state.GroupName]bool
+	// drainedDonors are the drained groups by the name of the broken group that needs their members.
+	drainedDonors map[state.GroupName]*Group
 }
 
-// newPlan puts the broken groups in the order in which they are decided.
+// newPlan sorts the broken groups in the order in which they are decided.
 func newPlan(in Input) *plan {
 	p := &plan{
-		in:     in,
-		order:  slices.Clone(in.Broken),
-		spares: slices.Clone(in.Spares),
-		loads:  in.MaxLoads - in.Loading,
-		used:   map[state.GroupName]bool{},
-		donors: map[state.GroupName]*Group{},
+		in:             in,
+		broken:         slices.Clone(in.Broken),
+		spares:         slices.Clone(in.Spares),
+		availableLoads: in.MaxLoads - in.Loading,
+		usedDonors:     map[state.GroupName]bool{},
+		drainedDonors:  map[state.GroupName]*Group{},
 	}
-	slices.SortFunc(p.order, func(a, b Group) int {
+	slices.SortFunc(p.broken, func(a, b Group) int {
 		return cmp.Or(cmp.Compare(p.density(&b), p.density(&a)), cmp.Compare(a.Name, b.Name))
 	})
 	for i := range in.Whole {
 		if g := &in.Whole[i]; g.DrainedFor != "" {
-			p.donors[g.DrainedFor] = g
+			p.drainedDonors[g.DrainedFor] = g
 		}
 	}
 	return p
 }
 
-// density is what a second of a group's downtime costs for each seat that must be filled to end it.
+// density returns the cost of one second of a group's downtime per missing member.
 func (p *plan) density(g *Group) float64 { return p.rate(g, len(g.Members)) / float64(len(g.Seats)) }
 
-// returns gives back the donors whose broken group is whole again, or gone.
-func (p *plan) returns() []Decision {
+// endDrains ends the drain of donors whose broken group is complete again or no longer exists.
+func (p *plan) endDrains() []Decision {
 	var decisions []Decision
 	for i := range p.in.Whole {
 		g := &p.in.Whole[i]
-		if g.DrainedFor == "" || slices.ContainsFunc(p.order, func(b Group) bool { return b.Name == g.DrainedFor }) {
+		if g.DrainedFor == "" || slices.ContainsFunc(p.broken, func(b Group) bool { return b.Name == g.DrainedFor }) {
 			continue
 		}
 		decisions = append(decisions, Decision{
 			Group:  g.Name,
-			Action: ActionReturn,
+			Action: ActionEndDrain,
 			Reason: string(g.DrainedFor) + " no longer needs its members",
-			Ops:    []state.Op{undrain(g)},
+			Ops:    []state.Op{undrainOp(g)},
 		})
 	}
 	return decisions
 }
 
-// undrain is the change that gives a group its requests back.
-func undrain(g *Group) state.Op {
+// undrainOp returns the operation that ends the drain of a group.
+func undrainOp(g *Group) state.Op {
 	return state.Op{DrainGroup: &state.DrainGroup{Group: g.Name, Off: true}}
 }
 
-// decide weighs the ways for one group; later ones in the order may be broken up for it.
+// decide compares the costs of waiting and of acting for one group. Groups in later may be broken
+// up for it.
 func (p *plan) decide(b *Group, later []Group) Decision {
 	d := Decision{Group: b.Name, Action: ActionWait}
-	d.WaitCost = p.cost(b, p.wait(b)+p.in.Policy.Load, len(b.Members))
+	d.WaitCost = p.cost(b, p.expectedWait(b)+p.in.Policy.Load, len(b.Members))
 	d.ActCost = p.cost(b, p.in.Policy.Load, len(b.Members))
-	found := p.domainSpares(b)
+	spares := p.domainSpares(b)
 	switch {
 	case d.ActCost >= d.WaitCost:
 		d.Reason = "waiting for the restart costs no more"
-	case p.loads <= 0:
+	case p.availableLoads <= 0:
 		d.Reason = "the weight store is at its limit"
-	case len(found) >= len(b.Seats):
-		p.fill(b, found, &d)
+	case len(spares) >= len(b.Seats):
+		p.replaceMissing(b, spares, &d)
 	default:
-		p.breakUp(b, later, len(b.Seats)-len(found), &d)
+		p.breakUp(b, later, len(b.Seats)-len(spares), &d)
 	}
 	return d
 }
 
-// domainSpares returns the spares in the group's hall and fabric domain.
+// domainSpares returns the spares in the group's data hall and fabric domain.
 func (p *plan) domainSpares(b *Group) []state.Place {
-	var found []state.Place
+	var spares []state.Place
 	for _, s := range p.spares {
 		if s.Hall == b.Hall && s.Domain == b.Domain {
-			found = append(found, s)
+			spares = append(spares, s)
 		}
 	}
-	return found
+	return spares
 }
 
-// fill puts spares in all missing seats.
-func (p *plan) fill(b *Group, found []state.Place, d *Decision) {
+// replaceMissing replaces all missing members with spares.
+func (p *plan) replaceMissing(b *Group, spares []state.Place, d *Decision) {
 	d.Action, d.Reason = ActionSpare, "a spare costs less than waiting"
-	p.loads--
+	p.availableLoads--
 	for i, seat := range b.Seats {
 		d.Ops = append(d.Ops, state.Op{ReplaceMember: &state.ReplaceMember{
-			Group: b.Name, Epoch: epochFor(b, i), Rank: seat.Rank, Out: seat.Instance, In: found[i],
+			Group: b.Name, Epoch: epochFor(b, i), Rank: seat.Rank, Out: seat.Instance, In: spares[i],
 		}})
-		p.spares = slices.DeleteFunc(p.spares, func(s state.Place) bool { return s.Instance == found[i].Instance })
+		p.spares = slices.DeleteFunc(p.spares, func(s state.Place) bool { return s.Instance == spares[i].Instance })
 	}
 }
 
-// epochFor returns the precondition of the i-th change to a group in one
-// command: the first change gives the group a new epoch, which the later ones
-// cannot know.
+// epochFor returns the expected epoch for the i-th change to a group in one command.
+// The first change gives the group a new epoch that is not known in advance, so later
+// changes use 0, which means no precondition.
 func epochFor(g *Group, i int) state.Epoch {
 	if i == 0 {
 		return g.Epoch
@@ -204,22 +208,22 @@
 	return 0
 }
 
-// breakUp takes the members that are still needed from a lesser group, if that costs less than waiting.
+// breakUp takes the members that are still needed from a donor group, if that costs less than waiting.
 func (p *plan) breakUp(b *Group, later []Group, need int, d *Decision) {
-	donor := p.donors[b.Name]
+	donor := p.drainedDonors[b.Name]
 	if donor == nil {
 		var loss float64
-		donor, loss = p.donor(b, later, need)
+		donor, loss = p.cheapestDonor(b, later, need)
 		if donor == nil {
 			d.Reason = "no spare, and no lesser group that would cost less, in the fabric domain"
 			return
 		}
 		d.ActCost += loss
 	}
-	p.used[donor.Name] = true
+	p.usedDonors[donor.Name] = true
 	switch {
 	case len(donor.Seats) > 0 || (donor.DrainedFor == b.Name && donor.Idle):
-		p.vacate(donor, need, d)
+		p.releaseMembers(donor, need, d)
 	case donor.DrainedFor == b.Name:
 		d.Reason = "waiting for the last request of " + string(donor.Name)
 	default:
@@ -228,57 +232,58 @@
 	}
 }
 
-// lesser is how much more a second of a broken group must cost than one of a
-// whole group that is broken up for it. Without it, groups of equal size were
-// broken up in turn for each other.
-const lesser = 1.5
+// minCostRatio is the minimum ratio of the downtime cost of a broken group to that of a
+// complete group that is broken up for it. Without it, groups of equal size are broken
+// up for each other in turn.
+const minCostRatio = 1.5
 
-// donor returns the group of the domain that loses least by giving members to b, and what it loses.
-func (p *plan) donor(b *Group, later []Group, need int) (*Group, float64) {
+// cheapestDonor returns the group of the domain with the lowest loss from giving members to
+// b, and that loss. It returns nil if no group loses less than b gains.
+func (p *plan) cheapestDonor(b *Group, later []Group, need int) (*Group, float64) {
 	var best *Group
-	var least float64
-	gain := p.cost(b, p.wait(b), len(b.Members))
+	var lowestLoss float64
+	gain := p.cost(b, p.expectedWait(b), len(b.Members))
 	consider := func(o *Group) {
-		if p.used[o.Name] || o.Releasing || o.Drained != 0 || o.Hall != b.Hall || o.Domain != b.Domain || o.alive() < need {
+		if p.usedDonors[o.Name] || o.Releasing || o.Drained != 0 || o.Hall != b.Hall || o.Domain != b.Domain || o.presentMembers() < need {
 			return
 		}
-		if loss := p.loss(o, b, need); loss < gain && (best == nil || loss < least) {
-			best, least = o, loss
+		if loss := p.loss(o, b, need); loss < gain && (best == nil || loss < lowestLoss) {
+			best, lowestLoss = o, loss
 		}
 	}
 	for i := range later {
 		consider(&later[i])
 	}
 	for i := range p.in.Whole {
-		if o := &p.in.Whole[i]; p.rate(b, len(b.Members)) >= lesser*p.rate(o, len(o.Members)) {
+		if o := &p.in.Whole[i]; p.rate(b, len(b.Members)) >= minCostRatio*p.rate(o, len(o.Members)) {
 			consider(o)
 		}
 	}
-	return best, least
+	return best, lowestLoss
 }
 
-// loss is what it costs a donor to give members to b.
+// loss returns the cost to a donor of giving members to b.
 //
-// The donor gets the missing members of b in exchange when they return, so it
-// waits for them and, if it is broken itself, for its own. Meanwhile the members
-// that it gave are not stranded.
+// The donor gets the missing members of b in exchange when they return. It waits for
+// them and, if it is broken itself, for its own missing members. The members that it
+// gave away are not stranded during that time.
 func (p *plan) loss(donor, b *Group, need int) float64 {
 	var before float64
 	if len(donor.Seats) > 0 {
-		before = p.cost(donor, p.wait(donor)+p.in.Policy.Load, donor.alive())
+		before = p.cost(donor, p.expectedWait(donor)+p.in.Policy.Load, donor.presentMembers())
 	}
-	after := max(p.wait(donor), p.wait(b)) + p.in.Policy.Load
-	return p.cost(donor, after, donor.alive()-need) - before
+	after := max(p.expectedWait(donor), p.expectedWait(b)) + p.in.Policy.Load
+	return p.cost(donor, after, donor.presentMembers()-need) - before
 }
 
-// vacate takes members out of a donor; they become spares once they report their release.
-func (p *plan) vacate(donor *Group, need int, d *Decision) {
+// releaseMembers releases members of a donor. They become spares when they report their release.
+func (p *plan) releaseMembers(donor *Group, need int, d *Decision) {
 	d.Action, d.Reason = ActionBreakUp, "members of "+string(donor.Name)+" cost less than waiting"
 	for rank, id := range donor.Members {
 		if need == 0 {
 			break
 		}
-		if id == "" || donor.missing(rank) {
+		if id == "" || donor.isMissing(rank) {
 			continue
 		}
 		op := &state.VacateMember{Group: donor.Name, Epoch: epochFor(donor, len(d.Ops)), Rank: rank, Out: id}
@@ -286,39 +291,40 @@
 		need--
 	}
 	if donor.DrainedFor != "" {
-		d.Ops = append(d.Ops, undrain(donor))
+		d.Ops = append(d.Ops, undrainOp(donor))
 	}
 }
 
-// wait is the expected time until the last missing member of a group is back; 0 for a whole group.
-func (p *plan) wait(g *Group) time.Duration {
+// expectedWait returns the expected time until the last missing member of a group returns.
+// It is 0 for a complete group.
+func (p *plan) expectedWait(g *Group) time.Duration {
 	var longest time.Duration
 	for _, s := range g.Seats {
-		longest = max(longest, p.remaining(s))
+		longest = max(longest, p.expectedReturn(s))
 	}
 	return longest
 }
 
-// cost is that of a group without work for a time, with a number of its instances stranded.
+// cost returns the cost of a group's downtime with a number of stranded instances.
 func (p *plan) cost(g *Group, down time.Duration, stranded int) float64 {
 	return down.Seconds() * p.rate(g, stranded)
 }
 
-// rate is the cost of one second of a group's downtime.
+// rate returns the cost of one second of a group's downtime.
 //
-// A spare is as stranded before it is put into a group as it is while that
-// group loads, so both ways count all the group's seats.
+// A spare is stranded both before it joins a group and while that group loads, so the
+// costs of waiting and of replacing both count all ranks of the group.
 func (p *plan) rate(g *Group, stranded int) float64 {
 	return p.in.Policy.Downtime*g.Weight + p.in.Policy.Stranded*float64(stranded)
 }
 
-// remaining is the expected time until a missing member is back.
+// expectedReturn returns the expected time until a missing member returns.
 //
-// Up to the usual restart time it is what is left of it. A member that has been
-// away for longer is expected to stay away as long again, since restarts that
-// take long are mostly failures that need a repair. A vacant seat is filled by
-// whatever returns next.
-func (p *plan) remaining(s Seat) time.Duration {
+// Within the usual restart time, it is the rest of that time. A member that has been
+// missing for longer is expected to be missing for the same time again, because most
+// long restarts are failures that need a repair. A rank without a member is filled by
+// the next instance that returns.
+func (p *plan) expectedReturn(s Seat) time.Duration {
 	if s.Missing < p.in.Policy.Restart {
 		return p.in.Policy.Restart - s.Missing
 	}
--- a/coordination/routing/sweep_test.go
+++ b/coordination/routing/sweep_test.go
@@ -13,9 +13,9 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// The fake engine: a decode step takes baseStep, stepPerRequest for each request
-// in the batch and stepPerToken for each token of context; a prompt that is not
-// cached adds prefillPerToken to the step that takes it in.
+// Parameters of the simulated engine. A decode step takes baseStep, plus stepPerRequest
+// for each request in the batch, plus stepPerToken for each token of context. Each prompt
+// token that is not cached adds prefillPerToken to the step that admits the prompt.
 const (
 	baseStep        = 15 * time.Millisecond
 	stepPerRequest  = 500 * time.Microsecond
@@ -26,20 +26,20 @@
 	reportEvery     = 250 * time.Millisecond
 )
 
-// job is one request in the world of fake engines.
+// job is one request in the simulation.
 type job struct {
-	arrive   time.Duration
-	prompt   int
-	answer   int
-	family   int
-	shared   int
-	first    time.Duration
-	last     time.Duration
-	made     int
-	dispatch *routing.Dispatch
+	arrive    time.Duration
+	prompt    int
+	answer    int
+	family    int
+	shared    int
+	first     time.Duration
+	last      time.Duration
+	generated int
+	dispatch  *routing.Dispatch
 }
 
-// engine is a fake replica group with continuous batching and a small prefix cache.
+// engine simulates a replica group with continuous batching and a small prefix cache.
 type engine struct {
 	next    time.Duration
 	queue   []*job
@@ -47,7 +47,8 @@
 	cache   []int
 }
 
-// cached reports whether the engine holds a family's prefix, and makes it the newest.
+// cached reports whether the engine has cached the prefix of a family, and makes it the most
+// recently used.
 func (e *engine) cached(family int) bool {
 	i := slices.Index(e.cache, family)
 	if i >= 0 {
@@ -60,40 +61,40 @@
 	return i >= 0
 }
 
-// tokens returns the context that the engine holds.
+// tokens returns the number of context tokens of the running jobs.
 func (e *engine) tokens() int {
 	n := 0
 	for _, j := range e.running {
-		n += j.prompt + j.made
+		n += j.prompt + j.generated
 	}
 	return n
 }
 
-// step runs one decode step that begins at now, and gives the times between tokens to gap.
-func (e *engine) step(now time.Duration, gap func(time.Duration)) {
-	took := baseStep
+// step runs one decode step that starts at now, and calls gap with the times between tokens.
+func (e *engine) step(now time.Duration, recordGap func(time.Duration)) {
+	duration := baseStep
 	if len(e.queue) > 0 && len(e.running) < engineSlots {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
-		fresh := j.prompt
+		uncached := j.prompt
 		if e.cached(j.family) {
-			fresh -= j.shared
+			uncached -= j.shared
 		}
-		took += time.Duration(fresh) * prefillPerToken
+		duration += time.Duration(uncached) * prefillPerToken
 		e.running = append(e.running, j)
 	}
-	took += time.Duration(len(e.running))*stepPerRequest + time.Duration(e.tokens())*stepPerToken
-	e.next = now + took
+	duration += time.Duration(len(e.running))*stepPerRequest + time.Duration(e.tokens())*stepPerToken
+	e.next = now + duration
 	kept := e.running[:0]
 	for _, j := range e.running {
-		if j.made == 0 {
+		if j.generated == 0 {
 			j.first = e.next
 		} else {
-			gap(e.next - j.last)
+			recordGap(e.next - j.last)
 		}
 		j.last = e.next
-		j.made++
-		if j.made >= j.answer {
+		j.generated++
+		if j.generated >= j.answer {
 			j.dispatch.End()
 			continue
 		}
@@ -102,8 +103,9 @@
 	e.running = kept
 }
 
-// traffic draws requests: mostly short prompts, some long, three of five with a shared prefix.
-func traffic(seed uint64, perSecond float64, span time.Duration) []*job {
+// generateTraffic generates random requests: a fifth have long prompts, and three fifths share a prefix
+// with their family.
+func generateTraffic(seed uint64, perSecond float64, span time.Duration) []*job {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var jobs []*job
 	for at := time.Duration(0); at < span; at += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)) {
@@ -134,23 +136,23 @@
 	return hashes
 }
 
-// figures are what callers saw.
-type figures struct {
-	first, between time.Duration
+// latencies are the latencies that callers observe.
+type latencies struct {
+	firstToken, betweenTokens time.Duration
 }
 
-// world is a hall of engines behind several nodes, each with its own lagged knowledge.
-type world struct {
+// simulation is a data hall of engines behind several nodes. Each node has its own delayed view of the load.
+type simulation struct {
 	engines []*engine
 	tables  []*routing.Table
 }
 
-// newWorld returns engines and nodes without load; all groups are whole.
-func newWorld(engines, nodes int) *world {
-	w := &world{}
+// newSimulation returns engines and nodes without load. All groups are ready.
+func newSimulation(engines, nodes int) *simulation {
+	sim := &simulation{}
 	var groups []*state.Group
 	for n := range engines {
-		w.engines = append(w.engines, &engine{})
+		sim.engines = append(sim.engines, &engine{})
 		groups = append(groups, &state.Group{Name: state.GroupName(fmt.Sprintf("g%02d", n)), Epoch: 1, Model: state.Model{Name: "m"}, Members: []state.InstanceID{"i"}})
 	}
 	for range nodes {
@@ -159,48 +161,48 @@
 		for _, c := range t.Pool("m") {
 			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return evidence.GroupEvidence{Expires: time.Unix(1<<32, 0)} })
 		}
-		w.tables = append(w.tables, t)
+		sim.tables = append(sim.tables, t)
 	}
-	return w
+	return sim
 }
 
-// report tells every node the load of every engine.
-func (w *world) report() {
-	for _, t := range w.tables {
+// reportLoads records the load of every engine at every node.
+func (sim *simulation) reportLoads() {
+	for _, t := range sim.tables {
 		for n, c := range t.Pool("m") {
-			e := w.engines[n]
+			e := sim.engines[n]
 			c.Report(evidence.Load{InFlight: len(e.running) + len(e.queue), Tokens: int64(e.tokens())})
 		}
 	}
 }
 
-// play sends jobs through the nodes in turn and returns what callers saw.
-func (w *world) play(jobs []*job, pick routing.Picker) figures {
+// run sends jobs through the nodes in turn and returns the latencies that callers observe.
+func (sim *simulation) run(jobs []*job, pick routing.Picker) latencies {
 	var gaps []time.Duration
-	gap := func(d time.Duration) { gaps = append(gaps, d) }
+	recordGap := func(d time.Duration) { gaps = append(gaps, d) }
 	nextReport := reportEvery
 	advance := func(to time.Duration) {
 		for {
-			n := w.earliest()
-			if w.engines[n].next > to {
+			n := sim.earliestEngine()
+			if sim.engines[n].next > to {
 				return
 			}
-			w.engines[n].step(w.engines[n].next, gap)
+			sim.engines[n].step(sim.engines[n].next, recordGap)
 		}
 	}
 	for i, j := range jobs {
 		for nextReport < j.arrive {
 			advance(nextReport)
-			w.report()
+			sim.reportLoads()
 			nextReport += reportEvery
 		}
 		advance(j.arrive)
 		r := routing.Request{Tokens: int64(j.prompt + j.answer), Prompt: int64(j.prompt), Prefix: prefixOf(j)}
-		table := w.tables[i%len(w.tables)]
+		table := sim.tables[i%len(sim.tables)]
 		c := pick.Pick(table.Pool("m"), r, time.Unix(0, 0))
 		c.Remember(r.Prefix)
 		j.dispatch = c.Begin(r)
-		e := w.engines[slices.Index(table.Pool("m"), c)]
+		e := sim.engines[slices.Index(table.Pool("m"), c)]
 		e.queue = append(e.queue, j)
 	}
 	advance(jobs[len(jobs)-1].arrive + time.Minute)
@@ -208,28 +210,29 @@
 	for _, j := range jobs {
 		firsts = append(firsts, j.first-j.arrive)
 	}
-	return figures{first: p95(firsts), between: p95(gaps)}
+	return latencies{firstToken: p95(firsts), betweenTokens: p95(gaps)}
 }
 
-// earliest returns the engine whose next step comes first.
-func (w *world) earliest() int {
+// earliestEngine returns the index of the engine with the earliest next step.
+func (sim *simulation) earliestEngine() int {
 	best := 0
-	for n, e := range w.engines {
-		if e.next < w.engines[best].next {
+	for n, e := range sim.engines {
+		if e.next < sim.engines[best].next {
 			best = n
 		}
 	}
 	return best
 }
 
-// p95 returns the value that 95 in 100 do not exceed.
+// p95 returns the 95th percentile. It sorts the list.
 func p95(list []time.Duration) time.Duration {
 	slices.Sort(list)
 	return list[len(list)*95/100]
 }
 
-// candidates are the ways of picking that are compared.
-var candidates = []struct {
+// pickers are the compared pickers. The first is the baseline, the last has the default
+// weights.
+var pickers = []struct {
 	name string
 	pick func() routing.Picker
 }{
@@ -238,68 +241,68 @@
 	{"two choices, held 2048, tokens, prefix", func() routing.Picker {
 		return &routing.TwoChoices{Weights: routing.Weights{Held: 2048, Tokens: 1, Prefix: 1}}
 	}},
-	{"held only", least(1, 0, 0, 0)},
-	{"tokens only", least(0, 1, 0, 0)},
-	{"held 512, tokens", least(512, 1, 0, 0)},
-	{"held 8192, tokens", least(8192, 1, 0, 0)},
-	{"held 180000, tokens", least(180_000, 1, 0, 0)},
-	{"held 1000000, tokens", least(1_000_000, 1, 0, 0)},
-	{"held 512, tokens, recent 4", least(512, 1, 4, 0)},
-	{"held 512, tokens, recent 16", least(512, 1, 16, 0)},
-	{"held 512, tokens, recent 4, prefix 4", least(512, 1, 4, 4)},
-	{"held 512, tokens, recent 4, prefix 16", least(512, 1, 4, 16)},
-	{"held 512, recent 4, prefix 32", least(512, 0, 4, 32)},
-	{"recent 4, prefix 32", least(0, 0, 4, 32)},
-	{chosen, least(512, 1, 4, 32)},
+	{"held only", leastCost(1, 0, 0, 0)},
+	{"tokens only", leastCost(0, 1, 0, 0)},
+	{"held 512, tokens", leastCost(512, 1, 0, 0)},
+	{"held 8192, tokens", leastCost(8192, 1, 0, 0)},
+	{"held 180000, tokens", leastCost(180_000, 1, 0, 0)},
+	{"held 1000000, tokens", leastCost(1_000_000, 1, 0, 0)},
+	{"held 512, tokens, recent 4", leastCost(512, 1, 4, 0)},
+	{"held 512, tokens, recent 16", leastCost(512, 1, 16, 0)},
+	{"held 512, tokens, recent 4, prefix 4", leastCost(512, 1, 4, 4)},
+	{"held 512, tokens, recent 4, prefix 16", leastCost(512, 1, 4, 16)},
+	{"held 512, recent 4, prefix 32", leastCost(512, 0, 4, 32)},
+	{"recent 4, prefix 32", leastCost(0, 0, 4, 32)},
+	{defaultWeights, leastCost(512, 1, 4, 32)},
 }
 
-// chosen names the weights that are the defaults of the settings.
-const chosen = "held 512, tokens, recent 4, prefix 32"
+// defaultWeights is the name of the picker with the default weights of the settings.
+const defaultWeights = "held 512, tokens, recent 4, prefix 32"
 
-// average plays one way of picking over seeds and returns the mean of the figures.
-func average(load float64, seeds uint64, pick func() routing.Picker) figures {
-	var sum figures
+// averageLatencies runs one picker with several seeds and returns the mean latencies.
+func averageLatencies(load float64, seeds uint64, pick func() routing.Picker) latencies {
+	var sum latencies
 	for seed := range seeds {
-		f := newWorld(17, 3).play(traffic(seed, load, 60*time.Second), pick())
-		sum.first += f.first / time.Duration(seeds)
-		sum.between += f.between / time.Duration(seeds)
+		f := newSimulation(17, 3).run(generateTraffic(seed, load, 60*time.Second), pick())
+		sum.firstToken += f.firstToken / time.Duration(seeds)
+		sum.betweenTokens += f.betweenTokens / time.Duration(seeds)
 	}
 	return sum
 }
 
-// least returns a LeastCost with weights.
-func least(held, tokens, recent, prefix float64) func() routing.Picker {
+// leastCost returns a constructor of a LeastCost with the given weights.
+func leastCost(held, tokens, recent, prefix float64) func() routing.Picker {
 	return func() routing.Picker {
 		return &routing.LeastCost{Weights: routing.Weights{Held: held, Tokens: tokens, Recent: recent, Prefix: prefix}}
 	}
 }
 
-// loads are the requests a second for 17 engines, from light to near their limit.
+// loads are request rates for 17 engines, in requests per second, from light load to near capacity.
 var loads = []float64{30, 50, 65}
 
-// BenchmarkSweep prints p95 to the first token and between tokens for every way of picking.
+// BenchmarkSweep prints the p95 time to the first token and between tokens for every picker.
 func BenchmarkSweep(b *testing.B) {
 	for b.Loop() {
 		var table strings.Builder
 		for _, load := range loads {
-			for _, c := range candidates {
-				f := average(load, 3, c.pick)
-				_, _ = fmt.Fprintf(&table, "%3.0f/s | %-40s | p95 first %7.0f ms | p95 between %5.1f ms\n", load, c.name, float64(f.first)/1e6, float64(f.between)/1e6)
+			for _, c := range pickers {
+				f := averageLatencies(load, 3, c.pick)
+				_, _ = fmt.Fprintf(&table, "%3.0f/s | %-40s | p95 first %7.0f ms | p95 between %5.1f ms\n", load, c.name, float64(f.firstToken)/1e6, float64(f.betweenTokens)/1e6)
 			}
 		}
 		fmt.Printf("\n%s", table.String())
 	}
 }
 
-// TestChosenWeightsBeatRoundRobin bounds the chosen weights by the baseline's
-// figures in the same run: less time between tokens, and little more to the first.
-func TestChosenWeightsBeatRoundRobin(t *testing.T) {
-	base := average(50, 2, candidates[0].pick)
-	best := average(50, 2, candidates[len(candidates)-1].pick)
-	between := float64(best.between) / float64(base.between)
-	first := float64(best.first) / float64(base.first)
-	t.Logf("between tokens %.2f, to the first %.2f of round robin's", between, first)
+// TestDefaultWeightsBeatRoundRobin compares the default weights with round robin in the
+// same run: less time between tokens, and little more time to the first token.
+func TestDefaultWeightsBeatRoundRobin(t *testing.T) {
+	base := averageLatencies(50, 2, pickers[0].pick)
+	best := averageLatencies(50, 2, pickers[len(pickers)-1].pick)
+	between := float64(best.betweenTokens) / float64(base.betweenTokens)
+	first := float64(best.firstToken) / float64(base.firstToken)
+	t.Logf("time between tokens is %.2f, time to first token %.2f of round robin's", between, first)
 	if between > 0.8 || first > 1.25 {
-		t.Errorf("the chosen weights give %.2f between tokens and %.2f to the first of round robin's", between, first)
+		t.Errorf("time between tokens is %.2f of round robin's, want at most 0.80; time to first token is %.2f, want at most 1.25", between, first)
 	}
 }
