--- a/protocol/direct/check_test.go
+++ b/protocol/direct/check_test.go
@@ -17,7 +17,8 @@
 	"github.com/troutmast/troutmast/protocol/direct"
 )
 
-// A request waits for its connection; what it was checked for before may have changed by then.
+// The conditions for sending a request may change while it waits for a connection. A request whose
+// check then fails must not be sent, and the new connection stays in the pool for the next request.
 func TestARequestThatMustNotLeaveIsNotSentAndItsConnectionIsKept(t *testing.T) {
 	g := NewWithT(t)
 	var requests, connections atomic.Int32
--- a/protocol/direct/dial.go
+++ b/protocol/direct/dial.go
@@ -10,26 +10,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dialer makes TCP connections that notice a silent peer.
+// Dialer opens TCP connections that fail if the peer stops acknowledging data.
 type Dialer struct {
-	// Timeout bounds the time to connect.
+	// Timeout is the maximum time to connect.
 	Timeout time.Duration
-	// Silence bounds how long sent bytes may stay unacknowledged; 0 leaves it to the system.
+	// Silence is the maximum time that sent data may stay unacknowledged (TCP_USER_TIMEOUT).
+	// 0 leaves the system's default.
 	Silence time.Duration
 }
 
-// Dial connects to an address.
+// Dial connects to an IPv4 address.
 func (d Dialer) Dial(ctx context.Context, at netip.AddrPort) (net.Conn, error) {
 	return d.DialContext(ctx, "tcp4", at.String())
 }
 
-// DialContext connects to an address as net/http asks for it.
+// DialContext connects to an address. It can be used as DialContext of an http.Transport.
 func (d Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	nd := net.Dialer{Timeout: d.Timeout, KeepAlive: -1, Control: d.control}
 	return nd.DialContext(ctx, network, address)
 }
 
-// control sets the socket options.
+// control sets TCP_USER_TIMEOUT on the socket.
 func (d Dialer) control(_, _ string, raw syscall.RawConn) error {
 	if d.Silence <= 0 {
 		return nil
--- a/protocol/direct/direct.go
+++ b/protocol/direct/direct.go
@@ -1,7 +1,7 @@
-// Package direct sends one HTTP/1.1 request over one connection and reads its
-// answer, without ever sending it a second time. It keeps connections for later
-// requests, reports whether a failed request can have arrived, and lets out no
-// answer that belongs to another request.
+// Package direct sends an HTTP/1.1 request over one connection and reads its
+// response. It never retries a request. It keeps idle connections for later
+// requests, reports whether a failed request may have reached the server, and
+// never returns a response that belongs to another request.
 package direct
 
 import (
@@ -18,42 +18,44 @@
 	"time"
 )
 
-// The errors of an exchange.
+// Errors that Pool.Do returns.
 var (
-	// ErrUnsent means that no byte of the request left.
-	ErrUnsent = errors.New("direct: not sent")
-	// ErrUnknown means that the request may have arrived, and no answer to it did.
-	ErrUnknown = errors.New("direct: no answer")
+	// ErrUnsent means that no byte of the request was sent.
+	ErrUnsent = errors.New("direct: request not sent")
+	// ErrUnknown means that the request may have reached the server but no response was received.
+	ErrUnknown = errors.New("direct: no response received")
 )
 
-// maxForeign is how many answers to other requests are read past before a connection is given up.
+// maxForeign is the number of responses to other requests that are skipped before the connection
+// is closed.
 const maxForeign = 2
 
-// Request is one request to send.
+// Request is an HTTP request to send.
 type Request struct {
 	Method string
-	// URI is the request's target as it stands in the request line.
+	// URI is the request target as written in the request line.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody tells that the request has a body, if an empty one.
+	// HasBody is set if the request has a body, even an empty one.
 	HasBody bool
-	// Match reports whether an answer belongs to the request.
+	// Match, if set, reports whether a response with these headers belongs to the request.
 	Match func(http.Header) bool
-	// Fresh asks for a connection that has not rested for longer than a moment.
+	// Fresh requires a connection that is new or has been idle for at most restFresh.
 	Fresh bool
-	// Check, if set, is called once a connection is there, right before the first byte leaves:
-	// a dial may take long. Its error keeps the request from being sent, as ErrUnsent.
+	// Check, if set, is called once the connection is established, right before the first byte is
+	// sent, since its result may change during a slow dial. If it returns an error, the request is
+	// not sent and Do returns ErrUnsent.
 	Check func() error
 }
 
-// Response is an answer whose body is still to be read. Close must be called.
+// Response is a response whose body has not been read yet. The caller must call Close.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Length is the length of the body, or -1 when it is not told.
+	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
 
 	conn  *conn
@@ -63,8 +65,8 @@
 	whole bool
 }
 
-// Do sends a request and reads the head of its answer. Ending ctx ends the
-// exchange, also while the body is read.
+// Do sends a request and reads the status line and the headers of its response.
+// Cancelling ctx aborts the exchange, also while the body is being read.
 func (p *Pool) Do(ctx context.Context, at netip.AddrPort, r *Request) (*Response, error) {
 	c, err := p.get(ctx, at, r.Fresh)
 	if err != nil {
@@ -94,7 +96,7 @@
 	return out, nil
 }
 
-// check reports why the request must not be sent now, or nil.
+// check returns the error of Check, or nil if Check is not set.
 func (r *Request) check() error {
 	if r.Check == nil {
 		return nil
@@ -102,7 +104,7 @@
 	return r.Check()
 }
 
-// http returns the request as net/http writes it.
+// http returns the request as an *http.Request.
 func (r *Request) http() *http.Request {
 	req := &http.Request{
 		Method:        r.Method,
@@ -128,7 +130,7 @@
 	return req
 }
 
-// send writes a request as a whole.
+// send writes a request and flushes the buffer.
 func (c *conn) send(req *http.Request) error {
 	c.wrote = true
 	if err := req.Write(c.bw); err != nil {
@@ -137,7 +139,8 @@
 	return c.bw.Flush()
 }
 
-// answer reads the head of the request's own answer, reading past answers to others.
+// answer reads the head of the response to a request. It skips informational
+// responses and responses to other requests.
 func (c *conn) answer(req *http.Request, match func(http.Header) bool) (*http.Response, error) {
 	for foreign := 0; ; {
 		resp, err := http.ReadResponse(c.br, req)
@@ -149,7 +152,7 @@
 		case match == nil || match(resp.Header):
 			return resp, nil
 		case foreign == maxForeign || resp.Close || resp.ContentLength < 0:
-			return nil, errors.New("answer to another request")
+			return nil, errors.New("response belongs to another request")
 		}
 		foreign++
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -158,7 +161,7 @@
 	}
 }
 
-// bodyReader reads a body and notes its end.
+// bodyReader reads a body and records that its end was reached.
 type bodyReader struct{ r *Response }
 
 // Read implements io.Reader.
@@ -170,10 +173,12 @@
 	return n, err
 }
 
-// Framed reports whether the answer itself says where it ends, apart from the end of its connection.
+// Framed reports whether the end of the body is known from a content length or a transfer encoding,
+// not only from the end of the connection.
 func (r *Response) Framed() bool { return r.Length >= 0 || len(r.inner.TransferEncoding) > 0 }
 
-// Close ends the exchange. The connection is kept if the whole answer was read, else it is cut.
+// Close ends the exchange. The connection returns to the pool if the complete response was read;
+// otherwise it is closed.
 func (r *Response) Close() {
 	undisturbed := r.stop()
 	if !undisturbed || !r.whole || r.inner.Close || r.conn.br.Buffered() > 0 {
@@ -184,16 +189,16 @@
 	r.pool.put(r.conn)
 }
 
-// ReadDeadline lets reading of the body fail at a time.
+// ReadDeadline sets the time after which reading the body fails.
 func (r *Response) ReadDeadline(t time.Time) { _ = r.conn.SetReadDeadline(t) }
 
-// Cut ends the exchange from another goroutine: what is being read fails at once.
+// Cut aborts the exchange: a read in progress fails at once. It may be called from another goroutine.
 func (r *Response) Cut() { r.conn.kill() }
 
-// readerSize is the size of a connection's buffers, in bytes.
+// readerSize is the size of the read buffer and of the write buffer of a connection, in bytes.
 const readerSize = 4096
 
-// newBuffers gives a connection its buffers.
+// newBuffers allocates the buffers of a connection.
 func (c *conn) newBuffers() {
 	c.br = bufio.NewReaderSize(c.Conn, readerSize)
 	c.bw = bufio.NewWriterSize(c.Conn, readerSize)
--- a/protocol/direct/pool.go
+++ b/protocol/direct/pool.go
@@ -13,17 +13,18 @@
 	"time"
 )
 
-// Times for which a connection may rest.
+// Limits on the time that a connection may be idle.
 const (
-	// restDefault is for how long a connection rests if its peer says nothing of it.
+	// restDefault applies if the server sends no Keep-Alive timeout.
 	restDefault = 4 * time.Second
-	// restMargin is how long before the peer's own time a connection is given up.
+	// restMargin is subtracted from the server's Keep-Alive timeout, so that the pool stops using a
+	// connection before the server closes it.
 	restMargin = 1100 * time.Millisecond
-	// restFresh is for how long a connection may have rested to count as fresh.
+	// restFresh is the maximum idle time of a connection for a request with Fresh set.
 	restFresh = 900 * time.Millisecond
 )
 
-// Pool keeps connections that rest; safe for concurrent use.
+// Pool keeps idle connections. It is safe for concurrent use.
 type Pool struct {
 	dialer Dialer
 	now    func() time.Time
@@ -36,20 +37,21 @@
 	return &Pool{dialer: d, now: now, idle: map[netip.AddrPort][]*conn{}}
 }
 
-// conn is one connection, at rest or in use by one exchange.
+// conn is a connection that is idle or in use by one exchange.
 type conn struct {
 	net.Conn
 	at    netip.AddrPort
 	br    *bufio.Reader
 	bw    *bufio.Writer
 	wrote bool
-	// since is when the connection came to rest, until when it may.
+	// since is the time at which the connection became idle; until is the time until which it may
+	// be used again.
 	since time.Time
 	until time.Time
 	keep  time.Duration
 }
 
-// get returns a connection at rest, or a new one.
+// get returns an idle connection or opens a new one.
 func (p *Pool) get(ctx context.Context, at netip.AddrPort, fresh bool) (*conn, error) {
 	for {
 		c := p.take(at, fresh)
@@ -70,7 +72,8 @@
 	return c, nil
 }
 
-// take takes the connection that rested least out of the pool, if it may still be used.
+// take removes the most recently used idle connection from the pool and returns
+// it, or returns nil if that connection has been idle for too long.
 func (p *Pool) take(at netip.AddrPort, fresh bool) *conn {
 	now := p.now()
 	p.mu.Lock()
@@ -88,7 +91,7 @@
 	return c
 }
 
-// put lets a connection rest.
+// put returns a connection to the pool.
 func (p *Pool) put(c *conn) {
 	c.since = p.now()
 	c.until = c.since.Add(c.keep)
@@ -104,7 +107,7 @@
 // drop closes a connection.
 func (p *Pool) drop(c *conn) { _ = c.Close() }
 
-// Sweep closes the connections that have rested too long.
+// Sweep closes the connections whose idle time has expired.
 func (p *Pool) Sweep() {
 	now := p.now()
 	p.mu.Lock()
@@ -129,10 +132,10 @@
 	}
 }
 
-// kill makes every use of the connection fail from now on.
+// kill makes all current and later reads and writes on the connection fail.
 func (c *conn) kill() { _ = c.SetDeadline(time.Unix(1, 0)) }
 
-// rest notes for how long the peer lets the connection rest, from its Keep-Alive header.
+// rest sets the permitted idle time from a Keep-Alive header of the server.
 func (c *conn) rest(keepAlive string) {
 	if c.keep == 0 {
 		c.keep = restDefault
@@ -145,10 +148,10 @@
 	}
 }
 
-// errClosed is what a connection at rest shows when its peer has closed it or sent bytes nobody asked for.
-var errClosed = errors.New("direct: connection is used up")
+// errClosed means that the server closed an idle connection or sent unexpected data on it.
+var errClosed = errors.New("direct: idle connection was closed or received unexpected data")
 
-// sound reports whether a connection at rest is still open and silent.
+// sound reports whether an idle connection is open and has no unread data.
 func (c *conn) sound() bool {
 	if c.br.Buffered() > 0 {
 		return false
--- a/protocol/peer/convert.go
+++ b/protocol/peer/convert.go
@@ -10,15 +10,16 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Milliseconds returns a duration in whole milliseconds, rounded up so that an age never looks younger.
+// Milliseconds returns a duration in whole milliseconds. It rounds up, so that an age is never
+// understated.
 func Milliseconds(d time.Duration) uint32 {
 	return uint32(max(0, (d+time.Millisecond-1)/time.Millisecond))
 }
 
-// Duration is the reverse of Milliseconds.
+// Duration returns a number of milliseconds as a time.Duration.
 func Duration(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// EncodeNode returns a node as a message; age is how old its words are.
+// EncodeNode returns a node's status as a message; age is the age of that status.
 func EncodeNode(n membership.Node, age time.Duration) *rpc.Node {
 	return &rpc.Node{
 		Name:        n.Name,
@@ -36,7 +37,8 @@
 	}
 }
 
-// DecodeNode returns what a message says of a node; asked is when the question was asked.
+// DecodeNode returns the node status in a message; asked is the time of the request that the
+// message answers.
 func DecodeNode(m *rpc.Node, asked time.Time) (membership.Node, error) {
 	addr, err := netip.ParseAddrPort(m.GetAddress())
 	if err != nil {
@@ -58,7 +60,7 @@
 	}, nil
 }
 
-// EncodeReport returns a report as a message; age is how long ago it was asked for.
+// EncodeReport returns a report as a message; age is the time since the probe that it answers.
 func EncodeReport(r evidence.Report, age time.Duration) *rpc.Report {
 	return &rpc.Report{
 		Instance:    string(r.Instance),
@@ -75,7 +77,7 @@
 	}
 }
 
-// decodeReport is the reverse of EncodeReport.
+// decodeReport returns the report in a message, without its age.
 func decodeReport(m *rpc.Report) evidence.Report {
 	return evidence.Report{
 		Instance:    state.InstanceID(m.GetInstance()),
@@ -89,7 +91,8 @@
 	}
 }
 
-// DecodeDelta returns what a response says of instances, with the age of each changed report.
+// DecodeDelta returns the instance reports that changed or expired according to a response, and
+// the age of each changed report.
 func DecodeDelta(m *rpc.ExchangeResponse) (evidence.Delta, []time.Duration) {
 	d := evidence.Delta{Version: m.GetVersion()}
 	ages := make([]time.Duration, 0, len(m.GetChanged()))
--- a/protocol/peer/json.go
+++ b/protocol/peer/json.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// JSONCodec lets connect carry plain Go values as JSON.
+// JSONCodec is a connect codec that encodes plain Go values as JSON.
 type JSONCodec struct{}
 
 // Name implements connect.Codec.
--- a/protocol/peer/ledger.go
+++ b/protocol/peer/ledger.go
@@ -9,7 +9,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// EncodeLedger adds what changed of a ledger to an answer.
+// EncodeLedger adds the changes of a quarantine ledger to a response. It sends ages
+// instead of times, since the clocks of two nodes may differ.
 func EncodeLedger(m *rpc.ExchangeResponse, d quarantine.Delta, version uint64, now time.Time) {
 	m.LedgerVersion = version
 	for _, e := range d.Endings {
@@ -22,8 +23,8 @@
 	}
 }
 
-// DecodeLedger returns what an answer says of a ledger, by the clock of the node
-// that got it; a fingerprint of another size is left out.
+// DecodeLedger returns the changes of a quarantine ledger in a response, with
+// times by the clock of the receiving node. It skips fingerprints of the wrong size.
 func DecodeLedger(m *rpc.ExchangeResponse, now time.Time) quarantine.Delta {
 	var d quarantine.Delta
 	for _, e := range m.GetEndings() {
@@ -51,7 +52,7 @@
 	return out
 }
 
-// decodeFingerprints returns the fingerprints among some bytes.
+// decodeFingerprints decodes fingerprints and skips those of the wrong size.
 func decodeFingerprints(list [][]byte) []quarantine.Fingerprint {
 	var out []quarantine.Fingerprint
 	for _, raw := range list {
--- a/protocol/peer/peer.go
+++ b/protocol/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer is the client side of what troutmast's nodes say to each other.
+// Package peer is the client for calls between troutmast nodes.
 package peer
 
 import (
@@ -25,11 +25,11 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// ErrPeer means a peer did not answer as it should.
-var ErrPeer = errors.New("peer: no usable answer")
+// ErrPeer means that a peer could not be reached or sent an unusable response.
+var ErrPeer = errors.New("peer: no usable response")
 
-// Protocols returns what nodes speak to each other: HTTP/2, with TLS or without,
-// since it sends the headers of repeated calls in a few bytes.
+// Protocols returns the protocols for calls between nodes: HTTP/2, with or
+// without TLS. HTTP/2 compresses the headers of repeated calls to a few bytes.
 func Protocols() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetHTTP2(true)
@@ -40,7 +40,7 @@
 // Bearer returns the value of the Authorization header for a secret.
 func Bearer(secret string) string { return "Bearer " + secret }
 
-// Authorized tells, in constant time, whether a request carries a secret.
+// Authorized reports whether a request carries a secret. It compares in constant time.
 func Authorized(h http.Header, secret string) bool {
 	return subtle.ConstantTimeCompare([]byte(h.Get("Authorization")), []byte(Bearer(secret))) == 1
 }
@@ -55,7 +55,7 @@
 	}))
 }
 
-// Client speaks to all peers; safe for concurrent use.
+// Client calls the peers of a node. It is safe for concurrent use.
 type Client struct {
 	hc      *http.Client
 	scheme  string
@@ -69,21 +69,21 @@
 	conns map[netip.AddrPort]rpcconnect.PeerClient
 }
 
-// Options are what a Client is made of.
+// Options configure a Client.
 type Options struct {
 	Secret string
-	// Seeds are addresses of peers that are tried while none is known.
+	// Seeds are the addresses to try while no live peer is known.
 	Seeds []netip.AddrPort
-	// Source is the address from which peers are called.
+	// Source is the local address of connections to peers.
 	Source  netip.Addr
 	Timeout time.Duration
 	Meter   *exchange.Meter
-	// TLS, when set, makes the nodes speak https to each other.
+	// TLS, if set, enables https for calls to peers.
 	TLS *tls.Config
 	Now func() time.Time
 }
 
-// scheme returns the scheme by which peers are called.
+// scheme returns the URL scheme of calls to peers.
 func (o *Options) scheme() string {
 	if o.TLS != nil {
 		return "https://"
@@ -91,7 +91,7 @@
 	return "http://"
 }
 
-// NewClient returns a Client that knows peers from a directory and from seed addresses.
+// NewClient returns a Client that finds peers in a directory and, while it has none, at seed addresses.
 func NewClient(dir *membership.Directory, o Options) *Client {
 	t := &http.Transport{
 		IdleConnTimeout: 30 * time.Second,
@@ -111,7 +111,7 @@
 	}
 }
 
-// At returns the client of one address.
+// At returns the client for the peer at an address.
 func (c *Client) At(addr netip.AddrPort) rpcconnect.PeerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +123,7 @@
 	return p
 }
 
-// Exchange asks a peer what is new.
+// Exchange requests the changes that a peer has for this node.
 func (c *Client) Exchange(ctx context.Context, addr netip.AddrPort, req *rpc.ExchangeRequest) (*rpc.ExchangeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -134,7 +134,7 @@
 	return resp.Msg, nil
 }
 
-// Addresses returns where peers are: the live ones, else every address known.
+// Addresses returns the addresses of the live peers, or the seed addresses if there are none.
 func (c *Client) Addresses() []netip.AddrPort {
 	var list []netip.AddrPort
 	for _, n := range c.dir.LivePeers("", c.now()) {
@@ -146,9 +146,9 @@
 	return slices.Clone(c.seeds)
 }
 
-// Snapshot implements statelog.Peers.
+// Snapshot implements statelog.Peers. It returns the first snapshot that a peer sends.
 func (c *Client) Snapshot(ctx context.Context, newerThan state.Offset) (*state.Snapshot, error) {
-	last := fmt.Errorf("%w: no peer is known", ErrPeer)
+	last := fmt.Errorf("%w: no peer address known", ErrPeer)
 	for _, addr := range c.Addresses() {
 		snap, err := c.snapshotFrom(ctx, addr, newerThan)
 		if err == nil {
@@ -159,7 +159,7 @@
 	return nil, last
 }
 
-// snapshotFrom asks one peer for its state.
+// snapshotFrom requests the snapshot of one peer.
 func (c *Client) snapshotFrom(ctx context.Context, addr netip.AddrPort, newerThan state.Offset) (*state.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*c.timeout)
 	defer cancel()
@@ -170,14 +170,14 @@
 	return &state.Snapshot{At: state.Offset(resp.Msg.GetAt()), Digest: resp.Msg.GetDigest(), Data: resp.Msg.GetData()}, nil
 }
 
-// listPeers is how many peers are asked for their instance list at a time.
+// listPeers is the number of peers that Instances requests a list from.
 const listPeers = 3
 
-// Instances returns the youngest instance list that some peers have, and its age.
+// Instances requests the instance lists of a few random peers and returns the newest one with its age.
 func (c *Client) Instances(ctx context.Context) ([]platform.Instance, time.Duration, error) {
 	var youngest []platform.Instance
 	var age time.Duration
-	err := fmt.Errorf("%w: no peer is known", ErrPeer)
+	err := fmt.Errorf("%w: no peer address known", ErrPeer)
 	addrs := c.Addresses()
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 	for _, addr := range addrs[:min(listPeers, len(addrs))] {
@@ -196,7 +196,7 @@
 	return youngest, age, nil
 }
 
-// instancesFrom asks one peer for its instance list.
+// instancesFrom requests the instance list of one peer and its age.
 func (c *Client) instancesFrom(ctx context.Context, addr netip.AddrPort) ([]platform.Instance, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -212,9 +212,9 @@
 }
 
 // Records implements statelog.Peers. No entries and no error mean that a peer
-// with the whole state has none from the offset on.
+// with the complete state has no entries from the offset on.
 func (c *Client) Records(ctx context.Context, from state.Offset, most int) ([]state.Entry, error) {
-	err := fmt.Errorf("%w: no peer is known", ErrPeer)
+	err := fmt.Errorf("%w: no peer address known", ErrPeer)
 	for _, addr := range c.Addresses() {
 		entries, one := c.recordsFrom(ctx, addr, from, most)
 		if one == nil && len(entries) > 0 {
@@ -227,7 +227,7 @@
 	return nil, err
 }
 
-// recordsFrom asks one peer for entries.
+// recordsFrom requests log entries from one peer.
 func (c *Client) recordsFrom(ctx context.Context, addr netip.AddrPort, from state.Offset, most int) ([]state.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/protocol/platform/platform.go
+++ b/protocol/platform/platform.go
@@ -1,6 +1,6 @@
 // Package platform is the adapter to the users' platform: its log and its list
-// of instances, over HTTP with JSON. Another platform is fitted by replacing
-// this file.
+// of instances, over HTTP with JSON. To support another platform, replace this
+// file.
 package platform
 
 import (
@@ -22,45 +22,45 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// ErrPlatform means the platform did not answer as it should.
-var ErrPlatform = errors.New("platform: no usable answer")
+// ErrPlatform means that the platform could not be reached or sent an unusable response.
+var ErrPlatform = errors.New("platform: no usable response")
 
-// maxAnswerBytes bounds an answer of the platform.
+// maxAnswerBytes is the maximum size of a response from the platform.
 const maxAnswerBytes = 64 << 20
 
-// Instance is one entry of the platform's list.
+// Instance is an entry of the platform's list of instances.
 type Instance struct {
 	ID      state.InstanceID `json:"id"`
 	Hall    state.HallName   `json:"hall"`
 	Domain  string           `json:"domain"`
 	Address netip.AddrPort   `json:"address"`
 	Leaving bool             `json:"leaving,omitempty"`
-	// ChecksFences is set when the target refuses orders of an older epoch.
+	// ChecksFences is set if the target rejects orders with an older epoch.
 	ChecksFences bool `json:"checks_fences,omitempty"`
 }
 
-// Page is the platform's answer to a read of the log.
+// Page is the platform's response to a read of the log.
 type Page struct {
-	// Era counts how often the log came back from an older copy.
+	// Era is the number of times that the log was restored from a backup.
 	Era     int64        `json:"era,omitempty"`
 	First   state.Offset `json:"first"`
 	Head    state.Offset `json:"head"`
 	Entries []Entry      `json:"entries"`
 }
 
-// Entry is one record in a Page.
+// Entry is a log record in a Page.
 type Entry struct {
 	Offset state.Offset `json:"offset"`
 	Time   time.Time    `json:"time"`
 	Data   []byte       `json:"data"`
 }
 
-// Appended is the platform's answer to an append.
+// Appended is the platform's response to an append.
 type Appended struct {
 	Offset state.Offset `json:"offset"`
 }
 
-// Client speaks to the platform at one address.
+// Client calls the platform at one address.
 type Client struct {
 	base  string
 	agent string
@@ -71,12 +71,12 @@
 	list []Instance
 }
 
-// NewClient returns a Client of a node for a platform at an address.
+// NewClient returns the Client of a node for the platform at an address.
 func NewClient(addr netip.AddrPort, node string, x *exchange.Client) *Client {
 	return &Client{base: "http://" + addr.String(), agent: UserAgent(node), x: x}
 }
 
-// UserAgent returns how a node names itself to the platform.
+// UserAgent returns the User-Agent header that a node sends to the platform.
 func UserAgent(node string) string { return "troutmastd/" + node }
 
 // Append implements statelog.Log.
@@ -95,7 +95,7 @@
 	}
 	defer drain(resp)
 	if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-		return 0, fmt.Errorf("%w: the platform answered %s", statelog.ErrNotAppended, resp.Status)
+		return 0, fmt.Errorf("%w: platform returned %s", statelog.ErrNotAppended, resp.Status)
 	}
 	var a Appended
 	if err := decode(resp, &a); err != nil {
@@ -123,8 +123,8 @@
 	return page, nil
 }
 
-// Instances returns the platform's list, which lags behind reality. A list that
-// has not changed is not sent again.
+// Instances returns the platform's list of instances, which may be out of date.
+// An unchanged list is not transferred again.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -146,7 +146,7 @@
 	return list, nil
 }
 
-// get fetches a path and decodes the answer.
+// get requests a path and decodes the JSON response.
 func (c *Client) get(ctx context.Context, path string, into any) error {
 	resp, err := c.fetch(ctx, path, "")
 	if err != nil {
@@ -156,7 +156,7 @@
 	return decode(resp, into)
 }
 
-// fetch asks for a path, with the tag of what is already held.
+// fetch requests a path. A non-empty etag makes the request conditional on a changed resource.
 func (c *Client) fetch(ctx context.Context, path, etag string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
@@ -173,10 +173,10 @@
 	return resp, nil
 }
 
-// decode reads a bounded JSON answer.
+// decode decodes a JSON response of at most maxAnswerBytes.
 func decode(resp *http.Response, into any) error {
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("%w: %s", ErrPlatform, resp.Status)
+		return fmt.Errorf("%w: want status 2xx, got %s", ErrPlatform, resp.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(into); err != nil {
 		return fmt.Errorf("%w: %w", ErrPlatform, err)
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// drain reads what is left of a short body, so that the connection can be used again.
+// drain reads up to 4096 remaining bytes of a body, so that the connection can be reused, and closes it.
 func drain(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, 4096)
 	_ = resp.Body.Close()
--- a/protocol/rpc/past_test.go
+++ b/protocol/rpc/past_test.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/types/descriptorpb"
 )
 
-// Builds of different versions speak to each other, and troutctl to daemons of either: a field
-// of an earlier version keeps its number, its name and its type, and a call its messages.
+// Nodes of different versions call each other, and troutctl calls nodes of any version. Each field
+// of an earlier version must keep its number, name and type, and each call its message types.
 func TestNothingThatAnEarlierVersionKnowsIsTakenAway(t *testing.T) {
 	g := NewWithT(t)
 	paths, err := filepath.Glob("testdata/*/troutmast.binpb")
@@ -32,7 +32,7 @@
 	}
 }
 
-// checkMessages checks that all fields of earlier messages are still there.
+// checkMessages checks that all fields of the earlier messages are unchanged.
 func checkMessages(g *WithT, before, now []*descriptorpb.DescriptorProto) {
 	byName := map[string]*descriptorpb.DescriptorProto{}
 	for _, m := range now {
@@ -51,7 +51,7 @@
 	}
 }
 
-// checkCalls checks that all calls of earlier services are still there, with their messages.
+// checkCalls checks that all calls of the earlier services are unchanged, with the same message types.
 func checkCalls(g *WithT, before, now *descriptorpb.FileDescriptorProto) {
 	calls := map[string]*descriptorpb.MethodDescriptorProto{}
 	for _, s := range now.GetService() {
--- a/protocol/target/report_test.go
+++ b/protocol/target/report_test.go
@@ -16,13 +16,13 @@
 		name, data string
 		ok         bool
 	}{
-		{"whole", `{"instance":"a","incarnation":"1","phase":"ready","epoch":3,"group":"g"}`, true},
+		{"complete", `{"instance":"a","incarnation":"1","phase":"ready","epoch":3,"group":"g"}`, true},
 		{"no instance", `{"incarnation":"1","phase":"ready"}`, false},
 		{"no incarnation", `{"instance":"a","phase":"ready"}`, false},
 		{"unknown phase", `{"instance":"a","incarnation":"1","phase":"almost"}`, false},
 		{"negative load", `{"instance":"a","incarnation":"1","phase":"ready","held":-1}`, false},
-		{"cut", `{"instance":"a"`, false},
-		{"a number for the epoch that does not fit", `{"instance":"a","incarnation":"1","phase":"ready","epoch":-1}`, false},
+		{"truncated", `{"instance":"a"`, false},
+		{"negative epoch", `{"instance":"a","incarnation":"1","phase":"ready","epoch":-1}`, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/protocol/target/target.go
+++ b/protocol/target/target.go
@@ -1,5 +1,5 @@
 // Package target is the adapter to target instances: model engines and plain
-// services, over HTTP. Another engine is fitted by replacing this file.
+// services, over HTTP. To support another engine, replace this file.
 package target
 
 import (
@@ -27,37 +27,38 @@
 
 // Errors of this package.
 var (
-	// ErrTarget means a target did not answer as it should.
-	ErrTarget = errors.New("target: no usable answer")
-	// ErrFenced means a target refused an order as older than the last it obeyed.
-	ErrFenced = errors.New("target: order refused as stale")
-	// ErrUnreachable means that no byte of a call can have reached a target.
-	ErrUnreachable = fmt.Errorf("%w: not reached", ErrTarget)
-	// ErrRefused means a target said that it did not run a call.
-	ErrRefused = fmt.Errorf("%w: refused", ErrTarget)
-	// ErrMismatch means an answer was not bound to the request it came for.
-	ErrMismatch = errors.New("target: the answer is of another request")
+	// ErrTarget means that a target could not be reached or sent an unusable response.
+	ErrTarget = errors.New("target: no usable response")
+	// ErrFenced means that a target rejected an order whose epoch is older than that of the last
+	// order it accepted.
+	ErrFenced = errors.New("target: order rejected: a newer epoch was already accepted")
+	// ErrUnreachable means that no byte of a call can have reached the target.
+	ErrUnreachable = fmt.Errorf("%w: target unreachable", ErrTarget)
+	// ErrRefused means that a target responded that it did not run a call.
+	ErrRefused = fmt.Errorf("%w: target did not run the call", ErrTarget)
+	// ErrMismatch means that a response does not carry the ID of its request.
+	ErrMismatch = errors.New("target: request ID of the response differs from that of the request")
 )
 
-// Header names that the adapter sends and expects.
+// Names of the headers that the adapter sends and reads.
 const (
-	// HeaderRequestID binds an answer to its request: the target echoes it.
+	// HeaderRequestID is the ID of a request. The target repeats it in the response.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderGroup and HeaderEpoch name the group that is meant; a target in another one refuses.
+	// HeaderGroup and HeaderEpoch identify the group at one epoch that a request is for. A target in
+	// another group or epoch rejects the request.
 	HeaderGroup = "Troutmast-Group"
 	HeaderEpoch = "Troutmast-Epoch"
-	// HeaderResume is the number of tokens already delivered of a stream to be resumed.
+	// HeaderResume is the number of tokens already delivered of the stream to resume.
 	HeaderResume = "Troutmast-Resume-Tokens"
-	// HeaderKey carries the key of a call that may not be repeated.
+	// HeaderKey is the idempotency key of a call that must not be run twice.
 	HeaderKey = "Idempotency-Key"
-	// HeaderRetryAfter is, on a refusal, for how many seconds a target wants no further request
-	// of this node.
+	// HeaderRetryAfter is the cooldown that an overloaded target requests from this node, in seconds.
 	HeaderRetryAfter = "Retry-After"
-	// HeaderNotRun is set by a target on an answer that says it did not run the request.
+	// HeaderNotRun is set by a target on a response to a request that it did not run.
 	HeaderNotRun = "Troutmast-Not-Run"
 )
 
-// Report is what a target answers to a probe.
+// Report is the response of a target to a probe.
 type Report struct {
 	Instance    state.InstanceID `json:"instance"`
 	Incarnation string           `json:"incarnation"`
@@ -71,7 +72,7 @@
 	Slots       int              `json:"slots"`
 }
 
-// Order is what a target is told to be.
+// Order assigns a target its group, epoch, rank and model.
 type Order struct {
 	Group state.GroupName `json:"group,omitempty"`
 	Epoch state.Epoch     `json:"epoch"`
@@ -80,10 +81,10 @@
 	Model state.Model     `json:"model"`
 }
 
-// maxReportBytes bounds the answer to a probe.
+// maxReportBytes is the maximum size of the response to a probe.
 const maxReportBytes = 64 << 10
 
-// Client speaks to targets.
+// Client calls targets.
 type Client struct {
 	control *exchange.Client
 	serve   *exchange.Client
@@ -93,19 +94,20 @@
 	last map[netip.AddrPort]tagged
 }
 
-// tagged is the last report of a target, with the tag that the target gave it.
+// tagged is the last report of a target with its ETag.
 type tagged struct {
 	etag   string
 	report evidence.Report
 }
 
-// NewClient returns a Client. once must not keep connections alive.
+// NewClient returns a Client. controlX sends probes and orders, serve sends calls, and once sends
+// calls that need a connection of their own: it must not keep connections alive.
 func NewClient(controlX, serve, once *exchange.Client) *Client {
 	return &Client{control: controlX, serve: serve, once: once, last: map[netip.AddrPort]tagged{}}
 }
 
-// Probe asks a target what it is. A target that tags its reports answers one
-// that has not changed in a few bytes.
+// Probe requests the report of a target. If the target sends an ETag with its
+// reports, an unchanged report is not transferred again.
 func (c *Client) Probe(ctx context.Context, addr netip.AddrPort) (evidence.Report, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/v1/report", nil)
 	if err != nil {
@@ -128,7 +130,7 @@
 	case resp.StatusCode == http.StatusNotModified && last.etag != "":
 		return last.report, nil
 	case resp.StatusCode != http.StatusOK:
-		return evidence.Report{}, fmt.Errorf("%w: %s", ErrTarget, resp.Status)
+		return evidence.Report{}, fmt.Errorf("%w: want status 200, got %s", ErrTarget, resp.Status)
 	}
 	r, err := DecodeReport(io.LimitReader(resp.Body, maxReportBytes))
 	if err == nil {
@@ -137,21 +139,21 @@
 	return r, err
 }
 
-// lastReport returns the last tagged report of an address.
+// lastReport returns the last report of the target at an address.
 func (c *Client) lastReport(addr netip.AddrPort) tagged {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.last[addr]
 }
 
-// keepReport remembers the last report of an address.
+// keepReport records the last report of the target at an address.
 func (c *Client) keepReport(addr netip.AddrPort, t tagged) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.last[addr] = t
 }
 
-// DecodeReport reads and checks what a target reported.
+// DecodeReport decodes and validates the report of a target.
 func DecodeReport(r io.Reader) (evidence.Report, error) {
 	var w Report
 	if err := json.NewDecoder(r).Decode(&w); err != nil {
@@ -159,7 +161,7 @@
 	}
 	known := w.Phase == evidence.PhaseIdle || w.Phase == evidence.PhaseLoading || w.Phase == evidence.PhaseReady
 	if w.Instance == "" || w.Incarnation == "" || !known || w.Held < 0 || w.Tokens < 0 || w.Slots < 0 {
-		return evidence.Report{}, fmt.Errorf("%w: incomplete report", ErrTarget)
+		return evidence.Report{}, fmt.Errorf("%w: report has a missing ID, an unknown phase or a negative load", ErrTarget)
 	}
 	return evidence.Report{
 		Instance:    w.Instance,
@@ -192,12 +194,12 @@
 	case resp.StatusCode == http.StatusConflict:
 		return ErrFenced
 	case resp.StatusCode/100 != 2:
-		return fmt.Errorf("%w: %s", ErrTarget, resp.Status)
+		return fmt.Errorf("%w: want status 2xx, got %s", ErrTarget, resp.Status)
 	}
 	return nil
 }
 
-// Call is one request to a target.
+// Call is a request to a target.
 type Call struct {
 	Address     netip.AddrPort
 	Method      string
@@ -205,20 +207,21 @@
 	ContentType string
 	Body        []byte
 	RequestID   string
-	// Group and Epoch are set for a request to a replica group.
+	// Group and Epoch are set if the call is for a replica group.
 	Group state.GroupName
 	Epoch state.Epoch
-	// Resume is the number of tokens already delivered.
+	// Resume is the number of tokens already delivered of the stream to resume.
 	Resume int
-	// Key is set for a call that may not be repeated.
+	// Key is the idempotency key of a call that must not be run twice.
 	Key string
-	// Once gives the call a connection of its own.
+	// Once makes the call use a connection of its own.
 	Once bool
-	// Check, if set, is asked right before the call leaves; its error keeps it from leaving.
+	// Check, if set, is called right before the call is sent. If it returns an error, the call is
+	// not sent.
 	Check func() error
 }
 
-// Refusal means that a target said it did not run a call. It is an ErrRefused.
+// Refusal means that a target responded that it did not run a call. It wraps ErrRefused.
 type Refusal struct {
 	Status string
 	fleet.Notice
@@ -227,10 +230,10 @@
 // Error implements error.
 func (r *Refusal) Error() string { return fmt.Sprintf("%v: %s", ErrRefused, r.Status) }
 
-// Unwrap makes a Refusal an ErrRefused.
+// Unwrap returns ErrRefused.
 func (r *Refusal) Unwrap() error { return ErrRefused }
 
-// notice reads for how long a target that is overloaded wants no further call.
+// notice returns the cooldown that an overloaded target requests in its response.
 func notice(resp *http.Response) fleet.Notice {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return fleet.Notice{}
@@ -239,17 +242,18 @@
 	return fleet.Notice{Cooldown: d, CooldownFault: err}
 }
 
-// Answer is the head of a target's answer; Body must be closed.
+// Answer is the response of a target. The caller must close Body.
 type Answer struct {
 	Status      int
 	ContentType string
-	// Delimited is set when a cut in the body can be told from its end.
+	// Delimited is set if a truncated body can be told from a complete one.
 	Delimited bool
 	Body      io.ReadCloser
 	fleet.Notice
 }
 
-// Send sends a call and returns the head of the answer, or what is certain about the attempt.
+// Send sends a call and returns the head of the response. The outcome states whether the target ran
+// the call, as far as this is known.
 func (c *Client) Send(ctx context.Context, call Call) (*Answer, retry.Outcome, error) {
 	req, err := call.request(ctx)
 	if err != nil {
