--- a/cmd/troutctl/troutctl.go
+++ b/cmd/troutctl/troutctl.go
@@ -1,4 +1,4 @@
-// Command troutctl asks and commands troutmast in the operators' language.
+// Command troutctl sends queries and commands in the operators' language to troutmast.
 package main
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/troutmast/troutmast/transport/ctl"
 )
 
-// main runs one invocation.
+// main runs one invocation and exits with its code.
 func main() {
 	os.Exit(ctl.Run(os.Args[1:], os.LookupEnv, os.Stdout, os.Stderr))
 }
--- a/cmd/troutmast-demo/troutmast-demo.go
+++ b/cmd/troutmast-demo/troutmast-demo.go
@@ -1,6 +1,6 @@
-// Command troutmast-demo is the first run: it starts stand-ins and three nodes
-// on loopback, forms a group, sends a request, shows what runs where, and stops
-// everything it has started.
+// Command troutmast-demo is a first run of troutmast: it starts stand-ins and
+// three nodes on loopback, forms a group, sends a request through each node,
+// shows groups and nodes, and stops everything it has started.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	}
 }
 
-// run starts everything, walks the path once and stops everything.
+// run starts the processes, forms a group, sends the requests and stops the processes.
 func run() error {
 	self, err := os.Executable()
 	if err != nil {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// command runs one command on the first node and prints its answer.
+// command runs one command on the first node, retries it for up to 5 s, and prints its output.
 func command(l *lab.Lab, text string) error {
 	var out string
 	err := lab.Eventually(5*time.Second, func() error {
@@ -90,16 +90,16 @@
 	return err
 }
 
-// whole returns an error until the group serves.
+// whole returns an error unless group hearth-1 is in state whole, in which it serves.
 func whole(l *lab.Lab) error {
 	out, code := l.Ctl(l.Nodes[0], "show groups where state = whole")
 	if code != 0 || !strings.Contains(out, "hearth-1") {
-		return fmt.Errorf("the group is not whole yet: %s", out)
+		return fmt.Errorf("group hearth-1 has not reached state whole: %s", out)
 	}
 	return nil
 }
 
-// complete sends a completion to a node and prints the answer.
+// complete sends a completion request to a node and prints the response.
 func complete(n *lab.Node) error {
 	body := []byte(`{"model":"hearth-lm","max_tokens":6,"messages":[{"role":"user","content":"What does fault E4 mean?"}]}`)
 	return lab.Eventually(5*time.Second, func() error {
--- a/cmd/troutmast-standin/troutmast-standin.go
+++ b/cmd/troutmast-standin/troutmast-standin.go
@@ -1,4 +1,4 @@
-// Command troutmast-standin runs stand-ins of the platform and of targets, for tests and the first run.
+// Command troutmast-standin runs a stand-in of the platform or of a target, for tests and the demo.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// options are the settings of a stand-in.
+// options are the command-line settings of a stand-in.
 type options struct {
 	addr       string
 	platform   string
@@ -33,28 +33,28 @@
 	crashOn    string
 }
 
-// crashCode is the exit code of a target that ends under a request.
+// crashCode is the exit code of a target that crashes on a request.
 const crashCode = 3
 
-// main runs the stand-in that the command line names.
+// main runs the stand-in given on the command line.
 func main() {
 	o := options{addr: "127.0.0.1:8090", platform: "127.0.0.1:8090", hall: "hall-1", domain: "domain-1", loadTime: 200 * time.Millisecond, tokenDelay: 2 * time.Millisecond, slots: 16}
 	plat := flaggy.NewSubcommand("platform")
-	plat.Description = "the log and the instance list"
+	plat.Description = "serve the log and the instance list of the platform"
 	plat.String(&o.addr, "", "addr", "ip:port to listen on")
 	tgt := flaggy.NewSubcommand("target")
-	tgt.Description = "one target instance"
+	tgt.Description = "run one target instance"
 	tgt.String(&o.addr, "", "addr", "ip:port to listen on")
 	tgt.String(&o.platform, "", "platform", "ip:port of the platform")
-	tgt.String(&o.id, "", "id", "id of the instance")
+	tgt.String(&o.id, "", "id", "ID of the instance")
 	tgt.String(&o.hall, "", "hall", "data hall")
 	tgt.String(&o.domain, "", "domain", "fabric domain")
-	tgt.Bool(&o.service, "", "service", "be a plain service")
-	tgt.Bool(&o.fences, "", "fences", "check the epoch of orders")
-	tgt.Duration(&o.loadTime, "", "load-time", "time to load")
+	tgt.Bool(&o.service, "", "service", "run as a plain service")
+	tgt.Bool(&o.fences, "", "fences", "reject orders with an older epoch")
+	tgt.Duration(&o.loadTime, "", "load-time", "time to load a model")
 	tgt.Duration(&o.tokenDelay, "", "token-delay", "time between tokens")
-	tgt.Int(&o.slots, "", "slots", "requests batched")
-	tgt.String(&o.crashOn, "", "crash-on", "text in a completion under which the process ends")
+	tgt.Int(&o.slots, "", "slots", "number of requests in a batch")
+	tgt.String(&o.crashOn, "", "crash-on", "text in a completion request on which the process exits")
 	flaggy.SetName("troutmast-standin")
 	flaggy.AttachSubcommand(plat, 1)
 	flaggy.AttachSubcommand(tgt, 1)
@@ -66,16 +66,16 @@
 	case tgt.Used:
 		h = o.target()
 	default:
-		flaggy.ShowHelpAndExit("name a stand-in: platform or target")
+		flaggy.ShowHelpAndExit("missing subcommand: platform or target")
 	}
 	s := &http.Server{Addr: o.addr, Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	if err := s.ListenAndServe(); err != nil {
-		log.WithError(err).Error("stand-in ended")
+		log.WithError(err).Error("HTTP server of the stand-in failed")
 		os.Exit(1)
 	}
 }
 
-// target returns the routes of a target and keeps it registered.
+// target starts to register the target and returns its HTTP handler.
 func (o *options) target() http.Handler {
 	addr, err := netip.ParseAddrPort(o.addr)
 	if err != nil {
@@ -94,18 +94,18 @@
 	}).Handler()
 }
 
-// register puts the target into the platform's list, until that has worked once.
+// register adds the target to the platform's list. It retries until a request gets a response.
 func (o *options) register(addr netip.AddrPort) {
 	entry := platform.Instance{ID: state.InstanceID(o.id), Hall: state.HallName(o.hall), Domain: o.domain, Address: addr, ChecksFences: o.fences}
 	data, err := json.Marshal(entry)
 	if err != nil {
-		log.WithError(err).Error("not registered")
+		log.WithError(err).Error("cannot register the target with the platform")
 		return
 	}
 	for {
 		req, err := http.NewRequest(http.MethodPut, "http://"+o.platform+"/v1/instances/"+o.id, bytes.NewReader(data))
 		if err != nil {
-			log.WithError(err).Error("not registered")
+			log.WithError(err).Error("cannot register the target with the platform")
 			return
 		}
 		resp, err := http.DefaultClient.Do(req)
--- a/cmd/troutmastd/onplatform.go
+++ b/cmd/troutmastd/onplatform.go
@@ -22,19 +22,19 @@
 	"github.com/troutmast/troutmast/transport/settings"
 )
 
-// Bounds of the connections to the platform.
+// Limits of the connections to the platform.
 const (
 	dialTimeout = 400 * time.Millisecond
 	silence     = 2 * time.Second
 	restTime    = 4 * time.Second
-	// logTime bounds the writing of the last log lines.
+	// logTime is the maximum time to write the remaining log lines at exit.
 	logTime = 200 * time.Millisecond
 )
 
-// errSettings means that the platform's settings cannot be used.
+// errSettings means that the platform's settings file is invalid.
 var errSettings = errors.New("settings")
 
-// runOnPlatform runs the node by the platform's settings file until a signal ends it.
+// runOnPlatform runs a node with the platform's settings file until SIGTERM or an interrupt.
 func runOnPlatform(path string) error {
 	set, err := readPlatformSettings(path)
 	if err != nil {
@@ -62,11 +62,11 @@
 }
 
 // readPlatformSettings reads the platform's settings file, and the policy from the
-// program's own flags and environment. The error names all faults of both.
+// flags and the environment. The error lists all faults of both.
 func readPlatformSettings(path string) (*entry.Settings, error) {
 	policy := entry.DefaultPolicy()
 	p := flaggy.NewParser("troutmastd")
-	p.Description = "entry node of troutmast on a platform; every flag can also be given as an environment variable"
+	p.Description = "entry node of troutmast on a platform; every flag can also be set by an environment variable"
 	policyErr := settings.PolicyFromOS(p, &policy)
 	set, err := platform.ReadSettings(path)
 	if err != nil {
@@ -79,11 +79,12 @@
 	return set, nil
 }
 
-// reloadInterval is the time between two looks at the settings file.
+// reloadInterval is the time between two checks of the settings file.
 const reloadInterval = 5 * time.Second
 
-// reloadOnChange reads the settings anew on SIGHUP and when the file's text has
-// changed. Settings that cannot be used leave the old ones in force.
+// reloadOnChange checks the settings file on SIGHUP and at every interval, and
+// applies it if its text has changed. If the new settings are invalid, the
+// previous ones stay in effect.
 func reloadOnChange(ctx context.Context, path string, hup <-chan os.Signal, node *entry.Node, logger *log.Logger) {
 	last, _ := os.ReadFile(path)
 	for {
@@ -103,15 +104,15 @@
 			err = node.Reload(set)
 		}
 		if err != nil {
-			logger.WithError(err).Error("reload refused, the old settings stay in force")
+			logger.WithError(err).Error("reload refused, keeping the previous settings")
 		}
 	}
 }
 
-// noneKept is the number of connections kept by a client that always makes new ones.
+// noneKept is the number of idle connections of a client that opens a new connection for each request.
 const noneKept = 0
 
-// newHTTPClient returns a client that keeps a number of connections to each address.
+// newHTTPClient returns a client that keeps up to a number of idle connections to each address.
 func newHTTPClient(idle int) *http.Client {
 	dialer := direct.Dialer{Timeout: dialTimeout, Silence: silence}
 	return &http.Client{Transport: &http.Transport{
--- a/cmd/troutmastd/onplatform_test.go
+++ b/cmd/troutmastd/onplatform_test.go
@@ -13,7 +13,7 @@
 	"github.com/troutmast/troutmast/platform"
 )
 
-// A daemon whose settings file cannot be used ends at once with exit code 2 and names every faulty field.
+// A node with an invalid settings file must exit at once with code 2 and name every invalid field.
 func TestFaultySettingsEndTheStart(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
--- a/cmd/troutmastd/troutmastd.go
+++ b/cmd/troutmastd/troutmastd.go
@@ -1,4 +1,4 @@
-// Command troutmastd is one entry node of troutmast.
+// Command troutmastd runs an entry node of troutmast.
 package main
 
 import (
@@ -26,17 +26,17 @@
 	exitSettings = 2
 )
 
-// main reads the settings and runs the node until it is told to stop.
+// main reads the settings and runs the node until a signal stops it.
 //
-// Where the platform's settings file is named in the environment, the node
-// serves callers as the platform's clients speak; else it has its own interface.
+// If the environment names a settings file of the platform, the node serves the
+// protocol of the platform's clients; otherwise it serves troutmast's own API.
 func main() {
 	if path := os.Getenv(platform.SettingsVariable); path != "" {
 		exit(runOnPlatform(path))
 		return
 	}
 	p := flaggy.NewParser("troutmastd")
-	p.Description = "entry node of troutmast; every flag can also be given as an environment variable"
+	p.Description = "entry node of troutmast; every flag can also be set by an environment variable"
 	set, err := settings.FromOS(p)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -47,7 +47,8 @@
 	exit(run(set))
 }
 
-// exit ends the process with the code of an error, unless there is none.
+// exit prints an error and ends the process with its exit code. It returns if the error is nil or
+// context.Canceled.
 func exit(err error) {
 	switch {
 	case errors.Is(err, settings.ErrSettings), errors.Is(err, errSettings):
@@ -59,13 +60,13 @@
 	}
 }
 
-// run runs a node until a signal ends it.
+// run runs a node until SIGTERM or an interrupt.
 func run(set *settings.Settings) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	clock := steady.NewClock()
 	clock.OnWake(func(d time.Duration) {
-		log.WithField("ms", d.Milliseconds()).Warn("the machine was suspended: what was known is older by that")
+		log.WithField("ms", d.Milliseconds()).Warn("the machine was suspended, ages include this time")
 	})
 	n, err := node.New(set, clock)
 	if err != nil {
