--- a/protocol/direct/check_test.go
+++ b/protocol/direct/check_test.go
@@ -19,7 +19,7 @@
 
 // The conditions for sending a request may change while it waits for a connection. A request whose
 // check then fails must not be sent, and the new connection stays in the pool for the next request.
-func TestARequestThatMustNotLeaveIsNotSentAndItsConnectionIsKept(t *testing.T) {
+func TestFailedCheckSendsNothingAndKeepsTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	var requests, connections atomic.Int32
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -33,16 +33,16 @@
 	}
 	srv.Start()
 	defer srv.Close()
-	at := netip.MustParseAddrPort(srv.Listener.Addr().String())
+	addr := netip.MustParseAddrPort(srv.Listener.Addr().String())
 	pool := direct.NewPool(direct.Dialer{Timeout: time.Second}, time.Now)
-	errNotNow := errors.New("not now")
+	errCheck := errors.New("not now")
 	for range 2 {
-		_, err := pool.Do(context.Background(), at, &direct.Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, Check: func() error { return errNotNow }})
+		_, err := pool.Do(context.Background(), addr, &direct.Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, Check: func() error { return errCheck }})
 		g.Expect(err).To(MatchError(direct.ErrUnsent))
-		g.Expect(err).To(MatchError(errNotNow))
+		g.Expect(err).To(MatchError(errCheck))
 	}
 	g.Expect(requests.Load()).To(BeZero())
-	resp, err := pool.Do(context.Background(), at, &direct.Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, Check: func() error { return nil }})
+	resp, err := pool.Do(context.Background(), addr, &direct.Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, Check: func() error { return nil }})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer resp.Close()
 	g.Expect(requests.Load()).To(BeEquivalentTo(1))
--- a/protocol/direct/dial.go
+++ b/protocol/direct/dial.go
@@ -20,14 +20,14 @@
 }
 
 // Dial connects to an IPv4 address.
-func (d Dialer) Dial(ctx context.Context, at netip.AddrPort) (net.Conn, error) {
-	return d.DialContext(ctx, "tcp4", at.String())
+func (d Dialer) Dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
+	return d.DialContext(ctx, "tcp4", addr.String())
 }
 
 // DialContext connects to an address. It can be used as DialContext of an http.Transport.
 func (d Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	nd := net.Dialer{Timeout: d.Timeout, KeepAlive: -1, Control: d.control}
-	return nd.DialContext(ctx, network, address)
+	dialer := net.Dialer{Timeout: d.Timeout, KeepAlive: -1, Control: d.control}
+	return dialer.DialContext(ctx, network, address)
 }
 
 // control sets TCP_USER_TIMEOUT on the socket.
@@ -35,12 +35,12 @@
 	if d.Silence <= 0 {
 		return nil
 	}
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Silence.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Silence.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
--- a/protocol/direct/direct.go
+++ b/protocol/direct/direct.go
@@ -22,13 +22,13 @@
 var (
 	// ErrUnsent means that no byte of the request was sent.
 	ErrUnsent = errors.New("direct: request not sent")
-	// ErrUnknown means that the request may have reached the server but no response was received.
-	ErrUnknown = errors.New("direct: no response received")
+	// ErrNoResponse means that the request may have reached the server but no response was received.
+	ErrNoResponse = errors.New("direct: no response received")
 )
 
-// maxForeign is the number of responses to other requests that are skipped before the connection
-// is closed.
-const maxForeign = 2
+// maxSkippedResponses is the number of responses to other requests that are skipped before the
+// connection is closed.
+const maxSkippedResponses = 2
 
 // Request is an HTTP request to send.
 type Request struct {
@@ -42,7 +42,7 @@
 	HasBody bool
 	// Match, if set, reports whether a response with these headers belongs to the request.
 	Match func(http.Header) bool
-	// Fresh requires a connection that is new or has been idle for at most restFresh.
+	// Fresh requires a connection that is new or has been idle for at most maxFreshIdle.
 	Fresh bool
 	// Check, if set, is called once the connection is established, right before the first byte is
 	// sent, since its result may change during a slow dial. If it returns an error, the request is
@@ -58,54 +58,54 @@
 	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
 
-	conn  *conn
-	pool  *Pool
-	inner *http.Response
-	stop  func() bool
-	whole bool
+	conn         *conn
+	pool         *Pool
+	inner        *http.Response
+	stop         func() bool
+	bodyComplete bool
 }
 
 // Do sends a request and reads the status line and the headers of its response.
 // Cancelling ctx aborts the exchange, also while the body is being read.
-func (p *Pool) Do(ctx context.Context, at netip.AddrPort, r *Request) (*Response, error) {
-	c, err := p.get(ctx, at, r.Fresh)
+func (p *Pool) Do(ctx context.Context, addr netip.AddrPort, r *Request) (*Response, error) {
+	c, err := p.get(ctx, addr, r.Fresh)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
 	}
-	if err := r.check(); err != nil {
-		c.rest("")
+	if err := r.runCheck(); err != nil {
+		c.setIdleTimeout("")
 		p.put(c)
 		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
 	}
-	stop := context.AfterFunc(ctx, c.kill)
-	req := r.http()
+	stop := context.AfterFunc(ctx, c.abort)
+	req := r.httpRequest()
 	err = c.send(req)
 	if err != nil {
 		stop()
-		p.drop(c)
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		p.discard(c)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
-	resp, err := c.answer(req, r.Match) //nolint:bodyclose // Response.Close ends the exchange
+	resp, err := c.readResponse(req, r.Match) //nolint:bodyclose // Response.Close ends the exchange
 	if err != nil {
 		stop()
-		p.drop(c)
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		p.discard(c)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	out := &Response{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, conn: c, pool: p, inner: resp, stop: stop}
 	out.Body = &bodyReader{r: out}
 	return out, nil
 }
 
-// check returns the error of Check, or nil if Check is not set.
-func (r *Request) check() error {
+// runCheck returns the error of Check, or nil if Check is not set.
+func (r *Request) runCheck() error {
 	if r.Check == nil {
 		return nil
 	}
 	return r.Check()
 }
 
-// http returns the request as an *http.Request.
-func (r *Request) http() *http.Request {
+// httpRequest returns the request as an *http.Request.
+func (r *Request) httpRequest() *http.Request {
 	req := &http.Request{
 		Method:        r.Method,
 		URL:           &url.URL{Opaque: r.URI},
@@ -119,7 +119,7 @@
 	if strings.HasPrefix(r.URI, "//") {
 		req.URL = &url.URL{Path: r.URI}
 	}
-	if _, named := r.Header["User-Agent"]; !named {
+	if _, hasUserAgent := r.Header["User-Agent"]; !hasUserAgent {
 		r.Header["User-Agent"] = []string{""}
 	}
 	if len(r.Body) > 0 {
@@ -139,10 +139,10 @@
 	return c.bw.Flush()
 }
 
-// answer reads the head of the response to a request. It skips informational
+// readResponse reads the head of the response to a request. It skips informational
 // responses and responses to other requests.
-func (c *conn) answer(req *http.Request, match func(http.Header) bool) (*http.Response, error) {
-	for foreign := 0; ; {
+func (c *conn) readResponse(req *http.Request, match func(http.Header) bool) (*http.Response, error) {
+	for skipped := 0; ; {
 		resp, err := http.ReadResponse(c.br, req)
 		switch {
 		case err != nil:
@@ -151,10 +151,10 @@
 			continue
 		case match == nil || match(resp.Header):
 			return resp, nil
-		case foreign == maxForeign || resp.Close || resp.ContentLength < 0:
+		case skipped == maxSkippedResponses || resp.Close || resp.ContentLength < 0:
 			return nil, errors.New("response belongs to another request")
 		}
-		foreign++
+		skipped++
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
@@ -168,7 +168,7 @@
 func (b *bodyReader) Read(p []byte) (int, error) {
 	n, err := b.r.inner.Body.Read(p)
 	if err == io.EOF {
-		b.r.whole = true
+		b.r.bodyComplete = true
 	}
 	return n, err
 }
@@ -180,26 +180,26 @@
 // Close ends the exchange. The connection returns to the pool if the complete response was read;
 // otherwise it is closed.
 func (r *Response) Close() {
-	undisturbed := r.stop()
-	if !undisturbed || !r.whole || r.inner.Close || r.conn.br.Buffered() > 0 {
-		r.pool.drop(r.conn)
+	notCancelled := r.stop()
+	if !notCancelled || !r.bodyComplete || r.inner.Close || r.conn.br.Buffered() > 0 {
+		r.pool.discard(r.conn)
 		return
 	}
-	r.conn.rest(r.Header.Get("Keep-Alive"))
+	r.conn.setIdleTimeout(r.Header.Get("Keep-Alive"))
 	r.pool.put(r.conn)
 }
 
-// ReadDeadline sets the time after which reading the body fails.
-func (r *Response) ReadDeadline(t time.Time) { _ = r.conn.SetReadDeadline(t) }
+// SetReadDeadline sets the time after which reading the body fails.
+func (r *Response) SetReadDeadline(t time.Time) { _ = r.conn.SetReadDeadline(t) }
 
-// Cut aborts the exchange: a read in progress fails at once. It may be called from another goroutine.
-func (r *Response) Cut() { r.conn.kill() }
+// Abort aborts the exchange: a read in progress fails at once. It may be called from another goroutine.
+func (r *Response) Abort() { r.conn.abort() }
 
-// readerSize is the size of the read buffer and of the write buffer of a connection, in bytes.
-const readerSize = 4096
+// bufferSize is the size of the read buffer and of the write buffer of a connection, in bytes.
+const bufferSize = 4096
 
-// newBuffers allocates the buffers of a connection.
-func (c *conn) newBuffers() {
-	c.br = bufio.NewReaderSize(c.Conn, readerSize)
-	c.bw = bufio.NewWriterSize(c.Conn, readerSize)
+// initBuffers allocates the buffers of a connection.
+func (c *conn) initBuffers() {
+	c.br = bufio.NewReaderSize(c.Conn, bufferSize)
+	c.bw = bufio.NewWriterSize(c.Conn, bufferSize)
 }
--- a/protocol/peer/convert.go
+++ b/protocol/peer/convert.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// DecodeNode returns the node status in a message; asked is the time of the request that the
-// message answers.
-func DecodeNode(m *rpc.Node, asked time.Time) (membership.Node, error) {
+// DecodeNode returns the node status in a message; requestedAt is the time of the request that
+// the message answers.
+func DecodeNode(m *rpc.Node, requestedAt time.Time) (membership.Node, error) {
 	addr, err := netip.ParseAddrPort(m.GetAddress())
 	if err != nil {
 		return membership.Node{}, err
@@ -56,7 +56,7 @@
 		InFlight:    int(m.GetHeld()),
 		RequestRate: int(m.GetDemand()),
 		Models:      m.GetModels(),
-		RequestedAt: asked.Add(-Duration(m.GetAgeMs())),
+		RequestedAt: requestedAt.Add(-Duration(m.GetAgeMs())),
 	}, nil
 }
 
--- a/protocol/peer/ledger.go
+++ b/protocol/peer/ledger.go
@@ -28,8 +28,8 @@
 func DecodeLedger(m *rpc.ExchangeResponse, now time.Time) quarantine.Delta {
 	var d quarantine.Delta
 	for _, e := range m.GetEndings() {
-		in := fleet.Incarnation{ID: state.InstanceID(e.GetInstance()), Life: e.GetIncarnation()}
-		ending := quarantine.Ending{Instance: in, Episode: int(e.GetEpisode()), By: quarantine.Source(e.GetBy()), At: now.Add(-Duration(e.GetAgeMs())), Back: e.GetBack()}
+		incarnation := fleet.Incarnation{ID: state.InstanceID(e.GetInstance()), Life: e.GetIncarnation()}
+		ending := quarantine.Ending{Instance: incarnation, Episode: int(e.GetEpisode()), By: quarantine.Source(e.GetBy()), At: now.Add(-Duration(e.GetAgeMs())), Back: e.GetBack()}
 		ending.Requests, ending.Apart = decodeFingerprints(e.GetRequests()), decodeFingerprints(e.GetApart())
 		d.Endings = append(d.Endings, ending)
 	}
--- a/protocol/peer/peer.go
+++ b/protocol/peer/peer.go
@@ -57,16 +57,16 @@
 
 // Client calls the peers of a node. It is safe for concurrent use.
 type Client struct {
-	hc      *http.Client
-	scheme  string
-	secret  string
-	dir     *membership.Directory
-	seeds   []netip.AddrPort
-	timeout time.Duration
-	now     func() time.Time
+	httpClient *http.Client
+	scheme     string
+	secret     string
+	dir        *membership.Directory
+	seeds      []netip.AddrPort
+	timeout    time.Duration
+	now        func() time.Time
 
-	mu    sync.Mutex
-	conns map[netip.AddrPort]rpcconnect.PeerClient
+	mu      sync.Mutex
+	clients map[netip.AddrPort]rpcconnect.PeerClient
 }
 
 // Options configure a Client.
@@ -93,21 +93,21 @@
 
 // NewClient returns a Client that finds peers in a directory and, while it has none, at seed addresses.
 func NewClient(dir *membership.Directory, o Options) *Client {
-	t := &http.Transport{
+	transport := &http.Transport{
 		IdleConnTimeout: 30 * time.Second,
 		DialContext:     o.Meter.Dial(o.Timeout, o.Source),
 		Protocols:       Protocols(),
 		TLSClientConfig: o.TLS.Clone(),
 	}
 	return &Client{
-		hc:      &http.Client{Transport: t},
-		scheme:  o.scheme(),
-		secret:  o.Secret,
-		dir:     dir,
-		seeds:   o.Seeds,
-		timeout: o.Timeout,
-		now:     o.Now,
-		conns:   map[netip.AddrPort]rpcconnect.PeerClient{},
+		httpClient: &http.Client{Transport: transport},
+		scheme:     o.scheme(),
+		secret:     o.Secret,
+		dir:        dir,
+		seeds:      o.Seeds,
+		timeout:    o.Timeout,
+		now:        o.Now,
+		clients:    map[netip.AddrPort]rpcconnect.PeerClient{},
 	}
 }
 
@@ -115,10 +115,10 @@
 func (c *Client) At(addr netip.AddrPort) rpcconnect.PeerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p, ok := c.conns[addr]
+	p, ok := c.clients[addr]
 	if !ok {
-		p = rpcconnect.NewPeerClient(c.hc, c.scheme+addr.String(), WithSecret(c.secret))
-		c.conns[addr] = p
+		p = rpcconnect.NewPeerClient(c.httpClient, c.scheme+addr.String(), WithSecret(c.secret))
+		c.clients[addr] = p
 	}
 	return p
 }
@@ -148,15 +148,15 @@
 
 // Snapshot implements statelog.Peers. It returns the first snapshot that a peer sends.
 func (c *Client) Snapshot(ctx context.Context, newerThan state.Offset) (*state.Snapshot, error) {
-	last := fmt.Errorf("%w: no peer address known", ErrPeer)
+	lastErr := fmt.Errorf("%w: no peer address known", ErrPeer)
 	for _, addr := range c.Addresses() {
 		snap, err := c.snapshotFrom(ctx, addr, newerThan)
 		if err == nil {
 			return snap, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // snapshotFrom requests the snapshot of one peer.
@@ -170,30 +170,30 @@
 	return &state.Snapshot{At: state.Offset(resp.Msg.GetAt()), Digest: resp.Msg.GetDigest(), Data: resp.Msg.GetData()}, nil
 }
 
-// listPeers is the number of peers that Instances requests a list from.
-const listPeers = 3
+// maxListPeers is the number of peers that Instances requests a list from.
+const maxListPeers = 3
 
 // Instances requests the instance lists of a few random peers and returns the newest one with its age.
 func (c *Client) Instances(ctx context.Context) ([]platform.Instance, time.Duration, error) {
-	var youngest []platform.Instance
+	var newest []platform.Instance
 	var age time.Duration
 	err := fmt.Errorf("%w: no peer address known", ErrPeer)
 	addrs := c.Addresses()
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	for _, addr := range addrs[:min(listPeers, len(addrs))] {
-		list, a, one := c.instancesFrom(ctx, addr)
-		if one != nil {
-			err = errors.Join(err, one)
+	for _, addr := range addrs[:min(maxListPeers, len(addrs))] {
+		list, a, peerErr := c.instancesFrom(ctx, addr)
+		if peerErr != nil {
+			err = errors.Join(err, peerErr)
 			continue
 		}
-		if youngest == nil || a < age {
-			youngest, age = list, a
+		if newest == nil || a < age {
+			newest, age = list, a
 		}
 	}
-	if youngest == nil {
+	if newest == nil {
 		return nil, 0, err
 	}
-	return youngest, age, nil
+	return newest, age, nil
 }
 
 // instancesFrom requests the instance list of one peer and its age.
@@ -213,25 +213,25 @@
 
 // Records implements statelog.Peers. No entries and no error mean that a peer
 // with the complete state has no entries from the offset on.
-func (c *Client) Records(ctx context.Context, from state.Offset, most int) ([]state.Entry, error) {
+func (c *Client) Records(ctx context.Context, from state.Offset, limit int) ([]state.Entry, error) {
 	err := fmt.Errorf("%w: no peer address known", ErrPeer)
 	for _, addr := range c.Addresses() {
-		entries, one := c.recordsFrom(ctx, addr, from, most)
-		if one == nil && len(entries) > 0 {
+		entries, peerErr := c.recordsFrom(ctx, addr, from, limit)
+		if peerErr == nil && len(entries) > 0 {
 			return entries, nil
 		}
-		if one == nil || err != nil {
-			err = one
+		if peerErr == nil || err != nil {
+			err = peerErr
 		}
 	}
 	return nil, err
 }
 
 // recordsFrom requests log entries from one peer.
-func (c *Client) recordsFrom(ctx context.Context, addr netip.AddrPort, from state.Offset, most int) ([]state.Entry, error) {
+func (c *Client) recordsFrom(ctx context.Context, addr netip.AddrPort, from state.Offset, limit int) ([]state.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.At(addr).Records(ctx, connect.NewRequest(&rpc.RecordsRequest{From: uint64(from), Most: uint32(most)}))
+	resp, err := c.At(addr).Records(ctx, connect.NewRequest(&rpc.RecordsRequest{From: uint64(from), Most: uint32(limit)}))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrPeer, err)
 	}
--- a/protocol/platform/platform.go
+++ b/protocol/platform/platform.go
@@ -25,8 +25,8 @@
 // ErrPlatform means that the platform could not be reached or sent an unusable response.
 var ErrPlatform = errors.New("platform: no usable response")
 
-// maxAnswerBytes is the maximum size of a response from the platform.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes is the maximum size of a response from the platform.
+const maxResponseBytes = 64 << 20
 
 // Instance is an entry of the platform's list of instances.
 type Instance struct {
@@ -62,9 +62,9 @@
 
 // Client calls the platform at one address.
 type Client struct {
-	base  string
-	agent string
-	x     *exchange.Client
+	base       string
+	userAgent  string
+	httpClient *exchange.Client
 
 	mu   sync.Mutex
 	etag string
@@ -72,8 +72,8 @@
 }
 
 // NewClient returns the Client of a node for the platform at an address.
-func NewClient(addr netip.AddrPort, node string, x *exchange.Client) *Client {
-	return &Client{base: "http://" + addr.String(), agent: UserAgent(node), x: x}
+func NewClient(addr netip.AddrPort, node string, httpClient *exchange.Client) *Client {
+	return &Client{base: "http://" + addr.String(), userAgent: UserAgent(node), httpClient: httpClient}
 }
 
 // UserAgent returns the User-Agent header that a node sends to the platform.
@@ -85,15 +85,15 @@
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", statelog.ErrNotAppended, err)
 	}
-	req.Header.Set("User-Agent", c.agent)
-	resp, sent, err := c.x.Do(req)
+	req.Header.Set("User-Agent", c.userAgent)
+	resp, sent, err := c.httpClient.Do(req)
 	if err != nil && !sent {
 		return 0, fmt.Errorf("%w: %w", statelog.ErrNotAppended, err)
 	}
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrPlatform, err)
 	}
-	defer drain(resp)
+	defer drainBody(resp)
 	if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
 		return 0, fmt.Errorf("%w: platform returned %s", statelog.ErrNotAppended, resp.Status)
 	}
@@ -105,10 +105,10 @@
 }
 
 // Read implements statelog.Log.
-func (c *Client) Read(ctx context.Context, from state.Offset, most int, wait time.Duration) (statelog.Page, error) {
+func (c *Client) Read(ctx context.Context, from state.Offset, limit int, wait time.Duration) (statelog.Page, error) {
 	q := url.Values{}
 	q.Set("from", strconv.FormatUint(uint64(from), 10))
-	q.Set("most", strconv.Itoa(most))
+	q.Set("most", strconv.Itoa(limit))
 	q.Set("wait", wait.String())
 	ctx, cancel := context.WithTimeout(ctx, wait+2*time.Second)
 	defer cancel()
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer drain(resp)
+	defer drainBody(resp)
 	if resp.StatusCode == http.StatusNotModified {
 		return c.list, nil
 	}
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	defer drain(resp)
+	defer drainBody(resp)
 	return decode(resp, into)
 }
 
@@ -162,30 +162,31 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrPlatform, err)
 	}
-	req.Header.Set("User-Agent", c.agent)
+	req.Header.Set("User-Agent", c.userAgent)
 	if etag != "" {
 		req.Header.Set("If-None-Match", etag)
 	}
-	resp, _, err := c.x.Do(req)
+	resp, _, err := c.httpClient.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrPlatform, err)
 	}
 	return resp, nil
 }
 
-// decode decodes a JSON response of at most maxAnswerBytes.
+// decode decodes a JSON response of at most maxResponseBytes.
 func decode(resp *http.Response, into any) error {
 	if resp.StatusCode/100 != 2 {
 		return fmt.Errorf("%w: want status 2xx, got %s", ErrPlatform, resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(into); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(into); err != nil {
 		return fmt.Errorf("%w: %w", ErrPlatform, err)
 	}
 	return nil
 }
 
-// drain reads up to 4096 remaining bytes of a body, so that the connection can be reused, and closes it.
-func drain(resp *http.Response) {
+// drainBody reads up to 4096 remaining bytes of a body, so that the connection can be reused, and
+// closes it.
+func drainBody(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, 4096)
 	_ = resp.Body.Close()
 }
--- a/protocol/target/report_test.go
+++ b/protocol/target/report_test.go
@@ -11,7 +11,7 @@
 	"github.com/troutmast/troutmast/protocol/target"
 )
 
-func TestDecodeReportRefusesWhatIsIncomplete(t *testing.T) {
+func TestDecodeReportRejectsInvalidReports(t *testing.T) {
 	cases := []struct {
 		name, data string
 		ok         bool
--- a/protocol/target/target.go
+++ b/protocol/target/target.go
@@ -86,24 +86,24 @@
 
 // Client calls targets.
 type Client struct {
-	control *exchange.Client
-	serve   *exchange.Client
-	once    *exchange.Client
+	controlHTTP *exchange.Client
+	serveHTTP   *exchange.Client
+	onceHTTP    *exchange.Client
 
-	mu   sync.Mutex
-	last map[netip.AddrPort]tagged
+	mu          sync.Mutex
+	lastReports map[netip.AddrPort]taggedReport
 }
 
-// tagged is the last report of a target with its ETag.
-type tagged struct {
+// taggedReport is the last report of a target with its ETag.
+type taggedReport struct {
 	etag   string
 	report evidence.Report
 }
 
-// NewClient returns a Client. controlX sends probes and orders, serve sends calls, and once sends
-// calls that need a connection of their own: it must not keep connections alive.
-func NewClient(controlX, serve, once *exchange.Client) *Client {
-	return &Client{control: controlX, serve: serve, once: once, last: map[netip.AddrPort]tagged{}}
+// NewClient returns a Client. controlHTTP sends probes and orders, serveHTTP sends calls, and
+// onceHTTP sends calls that need a connection of their own: it must not keep connections alive.
+func NewClient(controlHTTP, serveHTTP, onceHTTP *exchange.Client) *Client {
+	return &Client{controlHTTP: controlHTTP, serveHTTP: serveHTTP, onceHTTP: onceHTTP, lastReports: map[netip.AddrPort]taggedReport{}}
 }
 
 // Probe requests the report of a target. If the target sends an ETag with its
@@ -118,7 +118,7 @@
 	if last.etag != "" {
 		req.Header.Set("If-None-Match", last.etag)
 	}
-	resp, _, err := c.control.Do(req)
+	resp, _, err := c.controlHTTP.Do(req)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return evidence.Report{}, fmt.Errorf("%w: %w", probe.ErrNotListening, err)
@@ -134,44 +134,44 @@
 	}
 	r, err := DecodeReport(io.LimitReader(resp.Body, maxReportBytes))
 	if err == nil {
-		c.keepReport(addr, tagged{etag: resp.Header.Get("ETag"), report: r})
+		c.storeReport(addr, taggedReport{etag: resp.Header.Get("ETag"), report: r})
 	}
 	return r, err
 }
 
 // lastReport returns the last report of the target at an address.
-func (c *Client) lastReport(addr netip.AddrPort) tagged {
+func (c *Client) lastReport(addr netip.AddrPort) taggedReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last[addr]
+	return c.lastReports[addr]
 }
 
-// keepReport records the last report of the target at an address.
-func (c *Client) keepReport(addr netip.AddrPort, t tagged) {
+// storeReport records the last report of the target at an address.
+func (c *Client) storeReport(addr netip.AddrPort, t taggedReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last[addr] = t
+	c.lastReports[addr] = t
 }
 
 // DecodeReport decodes and validates the report of a target.
 func DecodeReport(r io.Reader) (evidence.Report, error) {
-	var w Report
-	if err := json.NewDecoder(r).Decode(&w); err != nil {
+	var msg Report
+	if err := json.NewDecoder(r).Decode(&msg); err != nil {
 		return evidence.Report{}, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
-	known := w.Phase == evidence.PhaseIdle || w.Phase == evidence.PhaseLoading || w.Phase == evidence.PhaseReady
-	if w.Instance == "" || w.Incarnation == "" || !known || w.Held < 0 || w.Tokens < 0 || w.Slots < 0 {
+	phaseKnown := msg.Phase == evidence.PhaseIdle || msg.Phase == evidence.PhaseLoading || msg.Phase == evidence.PhaseReady
+	if msg.Instance == "" || msg.Incarnation == "" || !phaseKnown || msg.Held < 0 || msg.Tokens < 0 || msg.Slots < 0 {
 		return evidence.Report{}, fmt.Errorf("%w: report has a missing ID, an unknown phase or a negative load", ErrTarget)
 	}
 	return evidence.Report{
-		Instance:    w.Instance,
-		Incarnation: w.Incarnation,
-		Group:       w.Group,
-		Epoch:       w.Epoch,
-		Rank:        w.Rank,
-		Phase:       w.Phase,
-		Leaving:     w.Leaving,
-		Load:        evidence.Load{InFlight: w.Held, Tokens: w.Tokens, BatchSlots: w.Slots},
+		Instance:    msg.Instance,
+		Incarnation: msg.Incarnation,
+		Group:       msg.Group,
+		Epoch:       msg.Epoch,
+		Rank:        msg.Rank,
+		Phase:       msg.Phase,
+		Leaving:     msg.Leaving,
+		Load:        evidence.Load{InFlight: msg.Held, Tokens: msg.Tokens, BatchSlots: msg.Slots},
 	}, nil
 }
 
@@ -185,7 +185,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTarget, err)
 	}
-	resp, _, err := c.control.Do(req)
+	resp, _, err := c.controlHTTP.Do(req)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTarget, err)
 	}
@@ -233,8 +233,8 @@
 // Unwrap returns ErrRefused.
 func (r *Refusal) Unwrap() error { return ErrRefused }
 
-// notice returns the cooldown that an overloaded target requests in its response.
-func notice(resp *http.Response) fleet.Notice {
+// parseNotice returns the cooldown that an overloaded target requests in its response.
+func parseNotice(resp *http.Response) fleet.Notice {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return fleet.Notice{}
 	}
@@ -259,11 +259,11 @@
 	if err != nil {
 		return nil, retry.NotRun, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
-	x := c.serve
+	httpClient := c.serveHTTP
 	if call.Once {
-		x = c.once
+		httpClient = c.onceHTTP
 	}
-	resp, sent, err := x.DoIf(req, call.Check)
+	resp, sent, err := httpClient.DoIf(req, call.Check)
 	switch {
 	case errors.Is(err, exchange.ErrHeldBack):
 		return nil, retry.NotRun, err
@@ -278,14 +278,14 @@
 	}
 	if resp.Header.Get(HeaderNotRun) != "" {
 		_ = resp.Body.Close()
-		return nil, retry.NotRun, &Refusal{Status: resp.Status, Notice: notice(resp)}
+		return nil, retry.NotRun, &Refusal{Status: resp.Status, Notice: parseNotice(resp)}
 	}
 	return &Answer{
 		Status:      resp.StatusCode,
 		ContentType: resp.Header.Get("Content-Type"),
 		Delimited:   resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
 		Body:        resp.Body,
-		Notice:      notice(resp),
+		Notice:      parseNotice(resp),
 	}, retry.Run, nil
 }
 
@@ -295,15 +295,15 @@
 	if err != nil {
 		return nil, err
 	}
-	set := func(name, value string) {
+	setHeader := func(name, value string) {
 		if value != "" {
 			req.Header.Set(name, value)
 		}
 	}
-	set(HeaderRequestID, c.RequestID)
-	set("Content-Type", c.ContentType)
-	set(HeaderGroup, string(c.Group))
-	set(HeaderKey, c.Key)
+	setHeader(HeaderRequestID, c.RequestID)
+	setHeader("Content-Type", c.ContentType)
+	setHeader(HeaderGroup, string(c.Group))
+	setHeader(HeaderKey, c.Key)
 	if c.Epoch != 0 {
 		req.Header.Set(HeaderEpoch, strconv.FormatUint(uint64(c.Epoch), 10))
 	}
