--- a/cmd/troutmast-demo/troutmast-demo.go
+++ b/cmd/troutmast-demo/troutmast-demo.go
@@ -56,15 +56,15 @@
 		"create group hearth-1 model hearth-lm version v1 size 4 in yxe-hall",
 	}
 	for _, c := range commands {
-		if err := command(l, c); err != nil {
+		if err := runCommand(l, c); err != nil {
 			return err
 		}
 	}
-	if err := lab.Eventually(10*time.Second, func() error { return whole(l) }); err != nil {
+	if err := lab.Eventually(10*time.Second, func() error { return checkGroup(l) }); err != nil {
 		return err
 	}
 	for _, n := range l.Nodes {
-		if err := complete(n); err != nil {
+		if err := sendCompletion(n); err != nil {
 			return err
 		}
 	}
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// command runs one command on the first node, retries it for up to 5 s, and prints its output.
-func command(l *lab.Lab, text string) error {
+// runCommand runs one command on the first node, retries it for up to 5 s, and prints its output.
+func runCommand(l *lab.Lab, text string) error {
 	var out string
 	err := lab.Eventually(5*time.Second, func() error {
 		var code int
@@ -90,8 +90,8 @@
 	return err
 }
 
-// whole returns an error unless group hearth-1 is in state whole, in which it serves.
-func whole(l *lab.Lab) error {
+// checkGroup returns an error unless group hearth-1 is in state whole, in which it serves.
+func checkGroup(l *lab.Lab) error {
 	out, code := l.Ctl(l.Nodes[0], "show groups where state = whole")
 	if code != 0 || !strings.Contains(out, "hearth-1") {
 		return fmt.Errorf("group hearth-1 has not reached state whole: %s", out)
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// complete sends a completion request to a node and prints the response.
-func complete(n *lab.Node) error {
+// sendCompletion sends a completion request to a node and prints the response.
+func sendCompletion(n *lab.Node) error {
 	body := []byte(`{"model":"hearth-lm","max_tokens":6,"messages":[{"role":"user","content":"What does fault E4 mean?"}]}`)
 	return lab.Eventually(5*time.Second, func() error {
 		req, err := http.NewRequest(http.MethodPost, "http://"+n.Addr.String()+"/v1/chat/completions", bytes.NewReader(body))
@@ -113,14 +113,14 @@
 			return err
 		}
 		defer func() { _ = resp.Body.Close() }()
-		answer, err := io.ReadAll(resp.Body)
+		data, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return err
 		}
 		if resp.StatusCode != http.StatusOK {
-			return fmt.Errorf("%s: %s", resp.Status, answer)
+			return fmt.Errorf("%s: %s", resp.Status, data)
 		}
-		fmt.Printf("\n%s (%s) answered a completion:\n%s\n", n.Name, n.Hall, answer)
+		fmt.Printf("\n%s (%s) answered a completion:\n%s\n", n.Name, n.Hall, data)
 		return nil
 	})
 }
--- a/cmd/troutmast-standin/troutmast-standin.go
+++ b/cmd/troutmast-standin/troutmast-standin.go
@@ -33,8 +33,8 @@
 	crashOn    string
 }
 
-// crashCode is the exit code of a target that crashes on a request.
-const crashCode = 3
+// crashExitCode is the exit code of a target that crashes on a request.
+const crashExitCode = 3
 
 // main runs the stand-in given on the command line.
 func main() {
@@ -64,7 +64,7 @@
 	case plat.Used:
 		h = standin.NewPlatform().Handler()
 	case tgt.Used:
-		h = o.target()
+		h = o.startTarget()
 	default:
 		flaggy.ShowHelpAndExit("missing subcommand: platform or target")
 	}
@@ -75,8 +75,8 @@
 	}
 }
 
-// target starts to register the target and returns its HTTP handler.
-func (o *options) target() http.Handler {
+// startTarget starts to register the target and returns its HTTP handler.
+func (o *options) startTarget() http.Handler {
 	addr, err := netip.ParseAddrPort(o.addr)
 	if err != nil {
 		flaggy.ShowHelpAndExit(fmt.Sprintf("--addr: %v", err))
@@ -90,7 +90,7 @@
 		TokenDelay:   o.tokenDelay,
 		Slots:        o.slots,
 		CrashOn:      o.crashOn,
-		Crash:        func() { os.Exit(crashCode) },
+		Crash:        func() { os.Exit(crashExitCode) },
 	}).Handler()
 }
 
--- a/cmd/troutmastd/onplatform.go
+++ b/cmd/troutmastd/onplatform.go
@@ -24,19 +24,19 @@
 
 // Limits of the connections to the platform.
 const (
-	dialTimeout = 400 * time.Millisecond
-	silence     = 2 * time.Second
-	restTime    = 4 * time.Second
-	// logTime is the maximum time to write the remaining log lines at exit.
-	logTime = 200 * time.Millisecond
+	dialTimeout     = 400 * time.Millisecond
+	ackTimeout      = 2 * time.Second
+	idleConnTimeout = 4 * time.Second
+	// logCloseTimeout is the maximum time to write the remaining log lines at exit.
+	logCloseTimeout = 200 * time.Millisecond
 )
 
-// errSettings means that the platform's settings file is invalid.
-var errSettings = errors.New("settings")
+// errPlatformSettings means that the platform's settings file is invalid.
+var errPlatformSettings = errors.New("settings")
 
 // runOnPlatform runs a node with the platform's settings file until SIGTERM or an interrupt.
 func runOnPlatform(path string) error {
-	set, err := readPlatformSettings(path)
+	cfg, err := readPlatformSettings(path)
 	if err != nil {
 		return err
 	}
@@ -44,16 +44,16 @@
 	defer cancel()
 	signal.Ignore(syscall.SIGPIPE)
 	sink := logsink.New(os.Stdout, logsink.DefaultOptions())
-	defer sink.Close(logTime)
+	defer sink.Close(logCloseTimeout)
 	logger := &log.Logger{Handler: json.New(sink), Level: log.InfoLevel}
 	ports := entry.Ports{
-		Store:   &platform.Store{Client: newHTTPClient(4), Address: set.Store},
+		Store:   &platform.Store{Client: newHTTPClient(4), Address: cfg.Store},
 		Decoder: platform.Decoder{},
-		Targets: &platform.Targets{Client: newHTTPClient(2), Fresh: newHTTPClient(noneKept)},
+		Targets: &platform.Targets{Client: newHTTPClient(2), Fresh: newHTTPClient(noIdleConns)},
 		Dialect: platform.Dialect{},
 	}
 	clock := steady.NewClock()
-	node := entry.New(set, ports, clock, logger)
+	node := entry.New(cfg, ports, clock, logger)
 	clock.OnWake(node.Woke)
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -68,15 +68,15 @@
 	p := flaggy.NewParser("troutmastd")
 	p.Description = "entry node of troutmast on a platform; every flag can also be set by an environment variable"
 	policyErr := settings.PolicyFromOS(p, &policy)
-	set, err := platform.ReadSettings(path)
+	cfg, err := platform.ReadSettings(path)
 	if err != nil {
-		err = errors.Join(errSettings, err)
+		err = errors.Join(errPlatformSettings, err)
 	}
 	if err := errors.Join(err, policyErr); err != nil {
 		return nil, err
 	}
-	set.Policy = policy
-	return set, nil
+	cfg.Policy = policy
+	return cfg, nil
 }
 
 // reloadInterval is the time between two checks of the settings file.
@@ -86,7 +86,7 @@
 // applies it if its text has changed. If the new settings are invalid, the
 // previous ones stay in effect.
 func reloadOnChange(ctx context.Context, path string, hup <-chan os.Signal, node *entry.Node, logger *log.Logger) {
-	last, _ := os.ReadFile(path)
+	lastText, _ := os.ReadFile(path)
 	for {
 		select {
 		case <-ctx.Done():
@@ -95,13 +95,13 @@
 		case <-time.After(reloadInterval):
 		}
 		text, err := os.ReadFile(path)
-		if err != nil || bytes.Equal(text, last) {
+		if err != nil || bytes.Equal(text, lastText) {
 			continue
 		}
-		last = text
-		set, err := platform.ParseSettings(string(text))
+		lastText = text
+		cfg, err := platform.ParseSettings(string(text))
 		if err == nil {
-			err = node.Reload(set)
+			err = node.Reload(cfg)
 		}
 		if err != nil {
 			logger.WithError(err).Error("reload refused, keeping the previous settings")
@@ -109,17 +109,18 @@
 	}
 }
 
-// noneKept is the number of idle connections of a client that opens a new connection for each request.
-const noneKept = 0
+// noIdleConns is the number of idle connections of a client that opens a new connection for each
+// request.
+const noIdleConns = 0
 
 // newHTTPClient returns a client that keeps up to a number of idle connections to each address.
-func newHTTPClient(idle int) *http.Client {
-	dialer := direct.Dialer{Timeout: dialTimeout, Silence: silence}
+func newHTTPClient(maxIdleConns int) *http.Client {
+	dialer := direct.Dialer{Timeout: dialTimeout, Silence: ackTimeout}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
 		DisableCompression:  true,
-		DisableKeepAlives:   idle == noneKept,
-		MaxIdleConnsPerHost: idle,
-		IdleConnTimeout:     restTime,
+		DisableKeepAlives:   maxIdleConns == noIdleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleConnTimeout,
 	}}
 }
--- a/cmd/troutmastd/onplatform_test.go
+++ b/cmd/troutmastd/onplatform_test.go
@@ -14,7 +14,7 @@
 )
 
 // A node with an invalid settings file must exit at once with code 2 and name every invalid field.
-func TestFaultySettingsEndTheStart(t *testing.T) {
+func TestInvalidSettingsStopTheStart(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "troutmastd")
--- a/cmd/troutmastd/troutmastd.go
+++ b/cmd/troutmastd/troutmastd.go
@@ -32,26 +32,26 @@
 // protocol of the platform's clients; otherwise it serves troutmast's own API.
 func main() {
 	if path := os.Getenv(platform.SettingsVariable); path != "" {
-		exit(runOnPlatform(path))
+		exitOnError(runOnPlatform(path))
 		return
 	}
 	p := flaggy.NewParser("troutmastd")
 	p.Description = "entry node of troutmast; every flag can also be set by an environment variable"
-	set, err := settings.FromOS(p)
+	cfg, err := settings.FromOS(p)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(exitSettings)
 	}
 	log.SetHandler(json.New(os.Stderr))
-	log.SetLevelFromString(set.LogLevel)
-	exit(run(set))
+	log.SetLevelFromString(cfg.LogLevel)
+	exitOnError(run(cfg))
 }
 
-// exit prints an error and ends the process with its exit code. It returns if the error is nil or
-// context.Canceled.
-func exit(err error) {
+// exitOnError prints an error and ends the process with its exit code. It returns if the error is
+// nil or context.Canceled.
+func exitOnError(err error) {
 	switch {
-	case errors.Is(err, settings.ErrSettings), errors.Is(err, errSettings):
+	case errors.Is(err, settings.ErrSettings), errors.Is(err, errPlatformSettings):
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(exitSettings)
 	case err != nil && !errors.Is(err, context.Canceled):
@@ -61,14 +61,14 @@
 }
 
 // run runs a node until SIGTERM or an interrupt.
-func run(set *settings.Settings) error {
+func run(cfg *settings.Settings) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	clock := steady.NewClock()
 	clock.OnWake(func(d time.Duration) {
 		log.WithField("ms", d.Milliseconds()).Warn("the machine was suspended, ages include this time")
 	})
-	n, err := node.New(set, clock)
+	n, err := node.New(cfg, clock)
 	if err != nil {
 		return err
 	}
