--- a/cmd/troutmastd/onplatform.go
+++ b/cmd/troutmastd/onplatform.go
@@ -113,7 +113,7 @@
 // request.
 const noIdleConns = 0
 
-// newHTTPClient returns a client that keeps up to a number of idle connections to each address.
+// newHTTPClient returns a client that keeps at most maxIdleConns idle connections to each address.
 func newHTTPClient(maxIdleConns int) *http.Client {
 	dialer := direct.Dialer{Timeout: dialTimeout, Silence: ackTimeout}
 	return &http.Client{Transport: &http.Transport{
--- a/protocol/direct/direct.go
+++ b/protocol/direct/direct.go
@@ -192,7 +192,8 @@
 // SetReadDeadline sets the time after which reading the body fails.
 func (r *Response) SetReadDeadline(t time.Time) { _ = r.conn.SetReadDeadline(t) }
 
-// Abort aborts the exchange: a read in progress fails at once. It may be called from another goroutine.
+// Abort ends the exchange at once: a read in progress fails. It may be called from another
+// goroutine.
 func (r *Response) Abort() { r.conn.abort() }
 
 // bufferSize is the size of the read buffer and of the write buffer of a connection, in bytes.
--- a/protocol/direct/pool.go
+++ b/protocol/direct/pool.go
@@ -72,8 +72,8 @@
 	return c, nil
 }
 
-// takeIdle removes the most recently used idle connection from the pool and returns
-// it, or returns nil if that connection has been idle for too long.
+// takeIdle removes the most recently used idle connection from the pool and returns it. It returns
+// nil if there is none or if that connection has been idle for too long.
 func (p *Pool) takeIdle(addr netip.AddrPort, fresh bool) *conn {
 	now := p.now()
 	p.mu.Lock()
--- a/protocol/peer/peer.go
+++ b/protocol/peer/peer.go
@@ -91,7 +91,8 @@
 	return "http://"
 }
 
-// NewClient returns a Client that finds peers in a directory and, while it has none, at seed addresses.
+// NewClient returns a Client that finds live peers in a directory. While there are none, it uses the
+// seed addresses.
 func NewClient(dir *membership.Directory, o Options) *Client {
 	transport := &http.Transport{
 		IdleConnTimeout: 30 * time.Second,
@@ -170,7 +171,7 @@
 	return &state.Snapshot{At: state.Offset(resp.Msg.GetAt()), Digest: resp.Msg.GetDigest(), Data: resp.Msg.GetData()}, nil
 }
 
-// maxListPeers is the number of peers that Instances requests a list from.
+// maxListPeers is the maximum number of peers that one call of Instances requests a list from.
 const maxListPeers = 3
 
 // Instances requests the instance lists of a few random peers and returns the newest one with its age.
