--- a/protocol/peer/peer.go
+++ b/protocol/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer is the client side of what troutmast's nodes say to each other.
+// Package peer is the client for calls between troutmast nodes.
 package peer
 
 import (
@@ -25,11 +25,11 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// ErrPeer means a peer did not answer as it should.
-var ErrPeer = errors.New("peer: no usable answer")
+// ErrPeer means that a peer could not be reached or sent an unusable response.
+var ErrPeer = errors.New("peer: no usable response")
 
-// Protocols returns what nodes speak to each other: HTTP/2, with TLS or without,
-// since it sends the headers of repeated calls in a few bytes.
+// Protocols returns the protocols for calls between nodes: HTTP/2, with or
+// without TLS. HTTP/2 compresses the headers of repeated calls to a few bytes.
 func Protocols() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetHTTP2(true)
@@ -40,7 +40,7 @@
 // Bearer returns the value of the Authorization header for a secret.
 func Bearer(secret string) string { return "Bearer " + secret }
 
-// Authorized tells, in constant time, whether a request carries a secret.
+// Authorized reports whether a request carries a secret. It compares in constant time.
 func Authorized(h http.Header, secret string) bool {
 	return subtle.ConstantTimeCompare([]byte(h.Get("Authorization")), []byte(Bearer(secret))) == 1
 }
@@ -55,35 +55,35 @@
 	}))
 }
 
-// Client speaks to all peers; safe for concurrent use.
+// Client calls the peers of a node. It is safe for concurrent use.
 type Client struct {
-	hc      *http.Client
-	scheme  string
-	secret  string
-	dir     *membership.Directory
-	seeds   []netip.AddrPort
-	timeout time.Duration
-	now     func() time.Time
+	httpClient *http.Client
+	scheme     string
+	secret     string
+	dir        *membership.Directory
+	seeds      []netip.AddrPort
+	timeout    time.Duration
+	now        func() time.Time
 
-	mu    sync.Mutex
-	conns map[netip.AddrPort]rpcconnect.PeerClient
+	mu      sync.Mutex
+	clients map[netip.AddrPort]rpcconnect.PeerClient
 }
 
-// Options are what a Client is made of.
+// Options configure a Client.
 type Options struct {
 	Secret string
-	// Seeds are addresses of peers that are tried while none is known.
+	// Seeds are the addresses to try while no live peer is known.
 	Seeds []netip.AddrPort
-	// Source is the address from which peers are called.
+	// Source is the local address of connections to peers.
 	Source  netip.Addr
 	Timeout time.Duration
 	Meter   *exchange.Meter
-	// TLS, when set, makes the nodes speak https to each other.
+	// TLS, if set, enables https for calls to peers.
 	TLS *tls.Config
 	Now func() time.Time
 }
 
-// scheme returns the scheme by which peers are called.
+// scheme returns the URL scheme of calls to peers.
 func (o *Options) scheme() string {
 	if o.TLS != nil {
 		return "https://"
@@ -91,39 +91,40 @@
 	return "http://"
 }
 
-// NewClient returns a Client that knows peers from a directory and from seed addresses.
+// NewClient returns a Client that finds live peers in a directory. While there are none, it uses the
+// seed addresses.
 func NewClient(dir *membership.Directory, o Options) *Client {
-	t := &http.Transport{
+	transport := &http.Transport{
 		IdleConnTimeout: 30 * time.Second,
 		DialContext:     o.Meter.Dial(o.Timeout, o.Source),
 		Protocols:       Protocols(),
 		TLSClientConfig: o.TLS.Clone(),
 	}
 	return &Client{
-		hc:      &http.Client{Transport: t},
-		scheme:  o.scheme(),
-		secret:  o.Secret,
-		dir:     dir,
-		seeds:   o.Seeds,
-		timeout: o.Timeout,
-		now:     o.Now,
-		conns:   map[netip.AddrPort]rpcconnect.PeerClient{},
+		httpClient: &http.Client{Transport: transport},
+		scheme:     o.scheme(),
+		secret:     o.Secret,
+		dir:        dir,
+		seeds:      o.Seeds,
+		timeout:    o.Timeout,
+		now:        o.Now,
+		clients:    map[netip.AddrPort]rpcconnect.PeerClient{},
 	}
 }
 
-// At returns the client of one address.
+// At returns the client for the peer at an address.
 func (c *Client) At(addr netip.AddrPort) rpcconnect.PeerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p, ok := c.conns[addr]
+	p, ok := c.clients[addr]
 	if !ok {
-		p = rpcconnect.NewPeerClient(c.hc, c.scheme+addr.String(), WithSecret(c.secret))
-		c.conns[addr] = p
+		p = rpcconnect.NewPeerClient(c.httpClient, c.scheme+addr.String(), WithSecret(c.secret))
+		c.clients[addr] = p
 	}
 	return p
 }
 
-// Exchange asks a peer what is new.
+// Exchange requests the changes that a peer has for this node.
 func (c *Client) Exchange(ctx context.Context, addr netip.AddrPort, req *rpc.ExchangeRequest) (*rpc.ExchangeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -134,7 +135,7 @@
 	return resp.Msg, nil
 }
 
-// Addresses returns where peers are: the live ones, else every address known.
+// Addresses returns the addresses of the live peers, or the seed addresses if there are none.
 func (c *Client) Addresses() []netip.AddrPort {
 	var list []netip.AddrPort
 	for _, n := range c.dir.LivePeers("", c.now()) {
@@ -146,20 +147,20 @@
 	return slices.Clone(c.seeds)
 }
 
-// Snapshot implements statelog.Peers.
+// Snapshot implements statelog.Peers. It returns the first snapshot that a peer sends.
 func (c *Client) Snapshot(ctx context.Context, newerThan state.Offset) (*state.Snapshot, error) {
-	last := fmt.Errorf("%w: no peer is known", ErrPeer)
+	lastErr := fmt.Errorf("%w: no peer address known", ErrPeer)
 	for _, addr := range c.Addresses() {
 		snap, err := c.snapshotFrom(ctx, addr, newerThan)
 		if err == nil {
 			return snap, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// snapshotFrom asks one peer for its state.
+// snapshotFrom requests the snapshot of one peer.
 func (c *Client) snapshotFrom(ctx context.Context, addr netip.AddrPort, newerThan state.Offset) (*state.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*c.timeout)
 	defer cancel()
@@ -170,33 +171,33 @@
 	return &state.Snapshot{At: state.Offset(resp.Msg.GetAt()), Digest: resp.Msg.GetDigest(), Data: resp.Msg.GetData()}, nil
 }
 
-// listPeers is how many peers are asked for their instance list at a time.
-const listPeers = 3
+// maxListPeers is the maximum number of peers that one call of Instances requests a list from.
+const maxListPeers = 3
 
-// Instances returns the youngest instance list that some peers have, and its age.
+// Instances requests the instance lists of a few random peers and returns the newest one with its age.
 func (c *Client) Instances(ctx context.Context) ([]platform.Instance, time.Duration, error) {
-	var youngest []platform.Instance
+	var newest []platform.Instance
 	var age time.Duration
-	err := fmt.Errorf("%w: no peer is known", ErrPeer)
+	err := fmt.Errorf("%w: no peer address known", ErrPeer)
 	addrs := c.Addresses()
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	for _, addr := range addrs[:min(listPeers, len(addrs))] {
-		list, a, one := c.instancesFrom(ctx, addr)
-		if one != nil {
-			err = errors.Join(err, one)
+	for _, addr := range addrs[:min(maxListPeers, len(addrs))] {
+		list, a, peerErr := c.instancesFrom(ctx, addr)
+		if peerErr != nil {
+			err = errors.Join(err, peerErr)
 			continue
 		}
-		if youngest == nil || a < age {
-			youngest, age = list, a
+		if newest == nil || a < age {
+			newest, age = list, a
 		}
 	}
-	if youngest == nil {
+	if newest == nil {
 		return nil, 0, err
 	}
-	return youngest, age, nil
+	return newest, age, nil
 }
 
-// instancesFrom asks one peer for its instance list.
+// instancesFrom requests the instance list of one peer and its age.
 func (c *Client) instancesFrom(ctx context.Context, addr netip.AddrPort) ([]platform.Instance, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -212,26 +213,26 @@
 }
 
 // Records implements statelog.Peers. No entries and no error mean that a peer
-// with the whole state has none from the offset on.
-func (c *Client) Records(ctx context.Context, from state.Offset, most int) ([]state.Entry, error) {
-	err := fmt.Errorf("%w: no peer is known", ErrPeer)
+// with the complete state has no entries from the offset on.
+func (c *Client) Records(ctx context.Context, from state.Offset, limit int) ([]state.Entry, error) {
+	err := fmt.Errorf("%w: no peer address known", ErrPeer)
 	for _, addr := range c.Addresses() {
-		entries, one := c.recordsFrom(ctx, addr, from, most)
-		if one == nil && len(entries) > 0 {
+		entries, peerErr := c.recordsFrom(ctx, addr, from, limit)
+		if peerErr == nil && len(entries) > 0 {
 			return entries, nil
 		}
-		if one == nil || err != nil {
-			err = one
+		if peerErr == nil || err != nil {
+			err = peerErr
 		}
 	}
 	return nil, err
 }
 
-// recordsFrom asks one peer for entries.
-func (c *Client) recordsFrom(ctx context.Context, addr netip.AddrPort, from state.Offset, most int) ([]state.Entry, error) {
+// recordsFrom requests log entries from one peer.
+func (c *Client) recordsFrom(ctx context.Context, addr netip.AddrPort, from state.Offset, limit int) ([]state.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.At(addr).Records(ctx, connect.NewRequest(&rpc.RecordsRequest{From: uint64(from), Most: uint32(most)}))
+	resp, err := c.At(addr).Records(ctx, connect.NewRequest(&rpc.RecordsRequest{From: uint64(from), Most: uint32(limit)}))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrPeer, err)
 	}
--- a/protocol/target/target.go
+++ b/protocol/target/target.go
@@ -1,5 +1,5 @@
 // Package target is the adapter to target instances: model engines and plain
-// services, over HTTP. Another engine is fitted by replacing this file.
+// services, over HTTP. To support another engine, replace this file.
 package target
 
 import (
@@ -27,37 +27,38 @@
 
 // Errors of this package.
 var (
-	// ErrTarget means a target did not answer as it should.
-	ErrTarget = errors.New("target: no usable answer")
-	// ErrFenced means a target refused an order as older than the last it obeyed.
-	ErrFenced = errors.New("target: order refused as stale")
-	// ErrUnreachable means that no byte of a call can have reached a target.
-	ErrUnreachable = fmt.Errorf("%w: not reached", ErrTarget)
-	// ErrRefused means a target said that it did not run a call.
-	ErrRefused = fmt.Errorf("%w: refused", ErrTarget)
-	// ErrMismatch means an answer was not bound to the request it came for.
-	ErrMismatch = errors.New("target: the answer is of another request")
+	// ErrTarget means that a target could not be reached or sent an unusable response.
+	ErrTarget = errors.New("target: no usable response")
+	// ErrFenced means that a target rejected an order whose epoch is older than that of the last
+	// order it accepted.
+	ErrFenced = errors.New("target: order rejected: a newer epoch was already accepted")
+	// ErrUnreachable means that no byte of a call can have reached the target.
+	ErrUnreachable = fmt.Errorf("%w: target unreachable", ErrTarget)
+	// ErrRefused means that a target responded that it did not run a call.
+	ErrRefused = fmt.Errorf("%w: target did not run the call", ErrTarget)
+	// ErrMismatch means that a response does not carry the ID of its request.
+	ErrMismatch = errors.New("target: request ID of the response differs from that of the request")
 )
 
-// Header names that the adapter sends and expects.
+// Names of the headers that the adapter sends and reads.
 const (
-	// HeaderRequestID binds an answer to its request: the target echoes it.
+	// HeaderRequestID is the ID of a request. The target repeats it in the response.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderGroup and HeaderEpoch name the group that is meant; a target in another one refuses.
+	// HeaderGroup and HeaderEpoch identify the group at one epoch that a request is for. A target in
+	// another group or epoch rejects the request.
 	HeaderGroup = "Troutmast-Group"
 	HeaderEpoch = "Troutmast-Epoch"
-	// HeaderResume is the number of tokens already delivered of a stream to be resumed.
+	// HeaderResume is the number of tokens already delivered of the stream to resume.
 	HeaderResume = "Troutmast-Resume-Tokens"
-	// HeaderKey carries the key of a call that may not be repeated.
+	// HeaderKey is the idempotency key of a call that must not be run twice.
 	HeaderKey = "Idempotency-Key"
-	// HeaderRetryAfter is, on a refusal, for how many seconds a target wants no further request
-	// of this node.
+	// HeaderRetryAfter is the cooldown that an overloaded target requests from this node, in seconds.
 	HeaderRetryAfter = "Retry-After"
-	// HeaderNotRun is set by a target on an answer that says it did not run the request.
+	// HeaderNotRun is set by a target on a response to a request that it did not run.
 	HeaderNotRun = "Troutmast-Not-Run"
 )
 
-// Report is what a target answers to a probe.
+// Report is the response of a target to a probe.
 type Report struct {
 	Instance    state.InstanceID `json:"instance"`
 	Incarnation string           `json:"incarnation"`
@@ -71,7 +72,7 @@
 	Slots       int              `json:"slots"`
 }
 
-// Order is what a target is told to be.
+// Order assigns a target its group, epoch, rank and model.
 type Order struct {
 	Group state.GroupName `json:"group,omitempty"`
 	Epoch state.Epoch     `json:"epoch"`
@@ -80,32 +81,33 @@
 	Model state.Model     `json:"model"`
 }
 
-// maxReportBytes bounds the answer to a probe.
+// maxReportBytes is the maximum size of the response to a probe.
 const maxReportBytes = 64 << 10
 
-// Client speaks to targets.
+// Client calls targets.
 type Client struct {
-	control *exchange.Client
-	serve   *exchange.Client
-	once    *exchange.Client
+	controlHTTP *exchange.Client
+	serveHTTP   *exchange.Client
+	onceHTTP    *exchange.Client
 
-	mu   sync.Mutex
-	last map[netip.AddrPort]tagged
+	mu          sync.Mutex
+	lastReports map[netip.AddrPort]taggedReport
 }
 
-// tagged is the last report of a target, with the tag that the target gave it.
-type tagged struct {
+// taggedReport is the last report of a target with its ETag.
+type taggedReport struct {
 	etag   string
 	report evidence.Report
 }
 
-// NewClient returns a Client. once must not keep connections alive.
-func NewClient(controlX, serve, once *exchange.Client) *Client {
-	return &Client{control: controlX, serve: serve, once: once, last: map[netip.AddrPort]tagged{}}
+// NewClient returns a Client. controlHTTP sends probes and orders, serveHTTP sends calls, and
+// onceHTTP sends calls that need a connection of their own: it must not keep connections alive.
+func NewClient(controlHTTP, serveHTTP, onceHTTP *exchange.Client) *Client {
+	return &Client{controlHTTP: controlHTTP, serveHTTP: serveHTTP, onceHTTP: onceHTTP, lastReports: map[netip.AddrPort]taggedReport{}}
 }
 
-// Probe asks a target what it is. A target that tags its reports answers one
-// that has not changed in a few bytes.
+// Probe requests the report of a target. If the target sends an ETag with its
+// reports, an unchanged report is not transferred again.
 func (c *Client) Probe(ctx context.Context, addr netip.AddrPort) (evidence.Report, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/v1/report", nil)
 	if err != nil {
@@ -116,7 +118,7 @@
 	if last.etag != "" {
 		req.Header.Set("If-None-Match", last.etag)
 	}
-	resp, _, err := c.control.Do(req)
+	resp, _, err := c.controlHTTP.Do(req)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return evidence.Report{}, fmt.Errorf("%w: %w", probe.ErrNotListening, err)
@@ -128,48 +130,48 @@
 	case resp.StatusCode == http.StatusNotModified && last.etag != "":
 		return last.report, nil
 	case resp.StatusCode != http.StatusOK:
-		return evidence.Report{}, fmt.Errorf("%w: %s", ErrTarget, resp.Status)
+		return evidence.Report{}, fmt.Errorf("%w: want status 200, got %s", ErrTarget, resp.Status)
 	}
 	r, err := DecodeReport(io.LimitReader(resp.Body, maxReportBytes))
 	if err == nil {
-		c.keepReport(addr, tagged{etag: resp.Header.Get("ETag"), report: r})
+		c.storeReport(addr, taggedReport{etag: resp.Header.Get("ETag"), report: r})
 	}
 	return r, err
 }
 
-// lastReport returns the last tagged report of an address.
-func (c *Client) lastReport(addr netip.AddrPort) tagged {
+// lastReport returns the last report of the target at an address.
+func (c *Client) lastReport(addr netip.AddrPort) taggedReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last[addr]
+	return c.lastReports[addr]
 }
 
-// keepReport remembers the last report of an address.
-func (c *Client) keepReport(addr netip.AddrPort, t tagged) {
+// storeReport records the last report of the target at an address.
+func (c *Client) storeReport(addr netip.AddrPort, t taggedReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last[addr] = t
+	c.lastReports[addr] = t
 }
 
-// DecodeReport reads and checks what a target reported.
+// DecodeReport decodes and validates the report of a target.
 func DecodeReport(r io.Reader) (evidence.Report, error) {
-	var w Report
-	if err := json.NewDecoder(r).Decode(&w); err != nil {
+	var msg Report
+	if err := json.NewDecoder(r).Decode(&msg); err != nil {
 		return evidence.Report{}, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
-	known := w.Phase == evidence.PhaseIdle || w.Phase == evidence.PhaseLoading || w.Phase == evidence.PhaseReady
-	if w.Instance == "" || w.Incarnation == "" || !known || w.Held < 0 || w.Tokens < 0 || w.Slots < 0 {
-		return evidence.Report{}, fmt.Errorf("%w: incomplete report", ErrTarget)
+	phaseKnown := msg.Phase == evidence.PhaseIdle || msg.Phase == evidence.PhaseLoading || msg.Phase == evidence.PhaseReady
+	if msg.Instance == "" || msg.Incarnation == "" || !phaseKnown || msg.Held < 0 || msg.Tokens < 0 || msg.Slots < 0 {
+		return evidence.Report{}, fmt.Errorf("%w: report has a missing ID, an unknown phase or a negative load", ErrTarget)
 	}
 	return evidence.Report{
-		Instance:    w.Instance,
-		Incarnation: w.Incarnation,
-		Group:       w.Group,
-		Epoch:       w.Epoch,
-		Rank:        w.Rank,
-		Phase:       w.Phase,
-		Leaving:     w.Leaving,
-		Load:        evidence.Load{InFlight: w.Held, Tokens: w.Tokens, BatchSlots: w.Slots},
+		Instance:    msg.Instance,
+		Incarnation: msg.Incarnation,
+		Group:       msg.Group,
+		Epoch:       msg.Epoch,
+		Rank:        msg.Rank,
+		Phase:       msg.Phase,
+		Leaving:     msg.Leaving,
+		Load:        evidence.Load{InFlight: msg.Held, Tokens: msg.Tokens, BatchSlots: msg.Slots},
 	}, nil
 }
 
@@ -183,7 +185,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTarget, err)
 	}
-	resp, _, err := c.control.Do(req)
+	resp, _, err := c.controlHTTP.Do(req)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTarget, err)
 	}
@@ -192,12 +194,12 @@
 	case resp.StatusCode == http.StatusConflict:
 		return ErrFenced
 	case resp.StatusCode/100 != 2:
-		return fmt.Errorf("%w: %s", ErrTarget, resp.Status)
+		return fmt.Errorf("%w: want status 2xx, got %s", ErrTarget, resp.Status)
 	}
 	return nil
 }
 
-// Call is one request to a target.
+// Call is a request to a target.
 type Call struct {
 	Address     netip.AddrPort
 	Method      string
@@ -205,20 +207,21 @@
 	ContentType string
 	Body        []byte
 	RequestID   string
-	// Group and Epoch are set for a request to a replica group.
+	// Group and Epoch are set if the call is for a replica group.
 	Group state.GroupName
 	Epoch state.Epoch
-	// Resume is the number of tokens already delivered.
+	// Resume is the number of tokens already delivered of the stream to resume.
 	Resume int
-	// Key is set for a call that may not be repeated.
+	// Key is the idempotency key of a call that must not be run twice.
 	Key string
-	// Once gives the call a connection of its own.
+	// Once makes the call use a connection of its own.
 	Once bool
-	// Check, if set, is asked right before the call leaves; its error keeps it from leaving.
+	// Check, if set, is called right before the call is sent. If it returns an error, the call is
+	// not sent.
 	Check func() error
 }
 
-// Refusal means that a target said it did not run a call. It is an ErrRefused.
+// Refusal means that a target responded that it did not run a call. It wraps ErrRefused.
 type Refusal struct {
 	Status string
 	fleet.Notice
@@ -227,11 +230,11 @@
 // Error implements error.
 func (r *Refusal) Error() string { return fmt.Sprintf("%v: %s", ErrRefused, r.Status) }
 
-// Unwrap makes a Refusal an ErrRefused.
+// Unwrap returns ErrRefused.
 func (r *Refusal) Unwrap() error { return ErrRefused }
 
-// notice reads for how long a target that is overloaded wants no further call.
-func notice(resp *http.Response) fleet.Notice {
+// parseNotice returns the cooldown that an overloaded target requests in its response.
+func parseNotice(resp *http.Response) fleet.Notice {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return fleet.Notice{}
 	}
@@ -239,27 +242,28 @@
 	return fleet.Notice{Cooldown: d, CooldownFault: err}
 }
 
-// Answer is the head of a target's answer; Body must be closed.
+// Answer is the response of a target. The caller must close Body.
 type Answer struct {
 	Status      int
 	ContentType string
-	// Delimited is set when a cut in the body can be told from its end.
+	// Delimited is set if a truncated body can be told from a complete one.
 	Delimited bool
 	Body      io.ReadCloser
 	fleet.Notice
 }
 
-// Send sends a call and returns the head of the answer, or what is certain about the attempt.
+// Send sends a call and returns the head of the response. The outcome states whether the target ran
+// the call, as far as this is known.
 func (c *Client) Send(ctx context.Context, call Call) (*Answer, retry.Outcome, error) {
 	req, err := call.request(ctx)
 	if err != nil {
 		return nil, retry.NotRun, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
-	x := c.serve
+	httpClient := c.serveHTTP
 	if call.Once {
-		x = c.once
+		httpClient = c.onceHTTP
 	}
-	resp, sent, err := x.DoIf(req, call.Check)
+	resp, sent, err := httpClient.DoIf(req, call.Check)
 	switch {
 	case errors.Is(err, exchange.ErrHeldBack):
 		return nil, retry.NotRun, err
@@ -274,14 +278,14 @@
 	}
 	if resp.Header.Get(HeaderNotRun) != "" {
 		_ = resp.Body.Close()
-		return nil, retry.NotRun, &Refusal{Status: resp.Status, Notice: notice(resp)}
+		return nil, retry.NotRun, &Refusal{Status: resp.Status, Notice: parseNotice(resp)}
 	}
 	return &Answer{
 		Status:      resp.StatusCode,
 		ContentType: resp.Header.Get("Content-Type"),
 		Delimited:   resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
 		Body:        resp.Body,
-		Notice:      notice(resp),
+		Notice:      parseNotice(resp),
 	}, retry.Completed, nil
 }
 
@@ -291,15 +295,15 @@
 	if err != nil {
 		return nil, err
 	}
-	set := func(name, value string) {
+	setHeader := func(name, value string) {
 		if value != "" {
 			req.Header.Set(name, value)
 		}
 	}
-	set(HeaderRequestID, c.RequestID)
-	set("Content-Type", c.ContentType)
-	set(HeaderGroup, string(c.Group))
-	set(HeaderKey, c.Key)
+	setHeader(HeaderRequestID, c.RequestID)
+	setHeader("Content-Type", c.ContentType)
+	setHeader(HeaderGroup, string(c.Group))
+	setHeader(HeaderKey, c.Key)
 	if c.Epoch != 0 {
 		req.Header.Set(HeaderEpoch, strconv.FormatUint(uint64(c.Epoch), 10))
 	}
