--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -91,7 +91,7 @@
 		wg.Wait()
 		held, queued := p.InUse()
 		if held != granted || queued != 0 {
-			t.Fatalf("Held() = %d held, %d waiting; want %d held, 0 waiting", held, queued, granted)
+			t.Fatalf("InUse() = %d held, %d waiting; want %d held, 0 waiting", held, queued, granted)
 		}
 	})
 }
--- a/coordination/cooldown/cooldown.go
+++ b/coordination/cooldown/cooldown.go
@@ -38,7 +38,7 @@
 	cooldowns map[state.InstanceID][]*Cooldown
 }
 
-// NewTracker returns an empty Book.
+// NewTracker returns an empty Tracker.
 func NewTracker(policy Policy) *Tracker {
 	return &Tracker{policy: policy, cooldowns: map[state.InstanceID][]*Cooldown{}}
 }
--- a/coordination/cooldown/history_test.go
+++ b/coordination/cooldown/history_test.go
@@ -17,7 +17,7 @@
 
 // Simulations of nodes that send requests to instances of a plain service, to compare ways
 // of applying cooldowns. Some instances shed load for a while, or all are overloaded. Each
-// node picks instances with its own dispatch.Table and Book. Time is simulated.
+// node picks instances with its own dispatch.Table and Tracker. Time is simulated.
 
 // cooldownMode is a way of applying cooldowns.
 type cooldownMode struct {
--- a/coordination/evidence/evidence.go
+++ b/coordination/evidence/evidence.go
@@ -197,7 +197,7 @@
 	}
 }
 
-// identityMultiplier makes Identity depend on the order of the members' incarnations.
+// identityMultiplier makes IncarnationHash depend on the order of the members' incarnations.
 const identityMultiplier = 1099511628211
 
 // memberMismatch describes why a member does not match the group, or returns "".
--- a/coordination/evidence/evidence_test.go
+++ b/coordination/evidence/evidence_test.go
@@ -27,7 +27,7 @@
 	return evidence.Report{Instance: id, Incarnation: "1", Group: "g", Epoch: 5, Rank: rank, Phase: evidence.PhaseReady}
 }
 
-func TestJudge(t *testing.T) {
+func TestCheckGroup(t *testing.T) {
 	change := func(f func(*evidence.Report)) evidence.Report {
 		r := ready("b", 1)
 		f(&r)
@@ -91,7 +91,7 @@
 }
 
 // Judging a complete group of 16 members must not allocate.
-func TestJudgeAllocations(t *testing.T) {
+func TestCheckGroupAllocations(t *testing.T) {
 	g := NewWithT(t)
 	table := evidence.NewTable()
 	big := &state.Group{Name: "g", Epoch: 5}
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -23,7 +23,7 @@
 	Applied     state.Offset
 	Ready       bool
 	Stopping    bool
-	// LogLag is how long before SaidAt the node was last up to date with the log.
+	// LogLag is how long before RequestedAt the node was last up to date with the log.
 	LogLag time.Duration
 	// InFlight is the number of requests in flight.
 	InFlight int
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -92,7 +92,7 @@
 
 // A relayed report may show that a node has applied the drain although its requests in
 // flight were counted before that. It must not make the group count as cleared.
-func TestClearedOfIgnoresRelayedReports(t *testing.T) {
+func TestIsDrainedIgnoresRelayedReports(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	group := &state.Group{Name: "g", Hall: "h", Drained: 10}
@@ -106,7 +106,7 @@
 	g.Expect(d.IsDrained(group, now, 30*time.Second)).To(BeFalse(), "m has not reported its requests in flight")
 }
 
-func TestLearnKeepsNewestReport(t *testing.T) {
+func TestUpdateKeepsNewestReport(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	d := membership.NewDirectory(membership.Node{Name: "self", Hall: "h"}, 2*time.Second)
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -23,7 +23,7 @@
 
 // InstanceClient sends probes and orders to instances.
 type InstanceClient interface {
-	// Probe returns an instance's report. ErrDown means that the instance is certainly not running.
+	// Probe returns an instance's report. ErrNotListening means that the instance is certainly not running.
 	Probe(ctx context.Context, addr netip.AddrPort) (evidence.Report, error)
 	Order(ctx context.Context, addr netip.AddrPort, o control.Order) error
 }
--- a/coordination/quarantine/doubt.go
+++ b/coordination/quarantine/doubt.go
@@ -139,7 +139,7 @@
 
 // RecordIncarnation records that a probe sent at probedAt found the instance in the given incarnation, so
 // that all its other incarnations have ended. It returns the requests that were in progress on an
-// ended incarnation, as Ended does.
+// ended incarnation, as RecordEnding does.
 func (l *Ledger) RecordIncarnation(in fleet.Incarnation, probedAt, now time.Time) []Fingerprint {
 	var added []Fingerprint
 	for _, other := range l.suspectedIncarnations(in.ID) {
@@ -152,7 +152,7 @@
 }
 
 // RecordDown records that nothing listens at the address of an instance, so that all its incarnations
-// have ended. It returns the same requests as Current.
+// have ended. It returns the same requests as RecordIncarnation.
 func (l *Ledger) RecordDown(id state.InstanceID, now time.Time) []Fingerprint {
 	var added []Fingerprint
 	for _, in := range l.suspectedIncarnations(id) {
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -43,7 +43,7 @@
 // Verdict is the conclusion about one request.
 type Verdict struct {
 	// IndependentEndings counts the consecutive endings during the request that no other request accounts for.
-	// IndependentEndings that coincide count once.
+	// Endings that coincide count once.
 	IndependentEndings int
 	// Until is when the quarantine of the request ends; zero if it is not quarantined.
 	Until time.Time
--- a/coordination/quarantine/ledger.go
+++ b/coordination/quarantine/ledger.go
@@ -188,7 +188,7 @@
 // has changed.
 const refreshDivisor = 10
 
-// removeExpired removes entries older than Policy.Memory. l.mu is held.
+// removeExpired removes entries older than Policy.Retention. l.mu is held.
 func (l *Ledger) removeExpired(now time.Time) {
 	for key, r := range l.endings {
 		if now.Sub(r.last()) > l.policy.Retention {
--- a/coordination/ratelimit/dealer_test.go
+++ b/coordination/ratelimit/dealer_test.go
@@ -206,7 +206,7 @@
 
 // After a pause, tokens and grants from before it are dropped: another node may have issued
 // grants in the meantime.
-func TestDealerStartsEmptyAfterAPause(t *testing.T) {
+func TestAllocatorStartsEmptyAfterAPause(t *testing.T) {
 	g := NewWithT(t)
 	d := NewAllocator(DefaultPolicy(), func() float64 { return 0 })
 	r := AllocationInput{Share: 1, Nodes: []NodeUsage{{Name: "n"}}, Limits: []Limit{{Instance: instance, PerSecond: 8}}, Weight: func(string, *Limit) float64 { return 1 }}
--- a/transport/caller/service.go
+++ b/transport/caller/service.go
@@ -86,7 +86,7 @@
 	return context.WithTimeout(context.WithoutCancel(ctx), s.c.Clock.Until(q.deadline))
 }
 
-// settler records how a call that may not be repeated ended; the result is set for retry.Run.
+// settler records how a call that may not be repeated ended; the result is set for retry.Completed.
 type settler interface {
 	settle(o retry.Outcome, result *state.Result)
 }
