--- a/transport/entry/beliefs.go
+++ b/transport/entry/beliefs.go
@@ -12,19 +12,20 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// beliefs remembers what the node last logged of what it depends on and believes.
+// beliefs is the state of dependencies and instances as the node last logged it.
 type beliefs struct {
 	store, keys, ready bool
 	instances          map[state.InstanceID]belief
 }
 
-// belief is what the node last logged of one instance.
+// belief is the state of one instance as the node last logged it.
 type belief struct {
 	lost, draining, unlisted bool
 	membership               fleet.Membership
 }
 
-// watchBeliefs logs every dependency that is lost or regained, and every change of what is believed of instances.
+// watchBeliefs logs each loss and recovery of a dependency, and each change in the observed state of
+// instances, quarantined requests and cooldowns.
 func (n *Node) watchBeliefs(ctx context.Context) {
 	b := &beliefs{instances: map[state.InstanceID]belief{}}
 	held := map[quarantine.Fingerprint]time.Time{}
@@ -40,7 +41,7 @@
 	}
 }
 
-// logDependency logs a change of whether something is there.
+// logDependency logs a change of whether a dependency is available.
 func (n *Node) logDependency(name string, was *bool, is bool, age time.Duration) {
 	if *was == is {
 		return
@@ -54,7 +55,7 @@
 	n.log.WithFields(log.Fields{"dependency": name, "age_ms": age.Milliseconds()}).Info(event)
 }
 
-// logInstances logs what changed of the instances.
+// logInstances logs the instances whose state changed and those that the roster has dropped.
 func (n *Node) logInstances(b *beliefs, views []roster.View) {
 	seen := make(map[state.InstanceID]bool, len(views))
 	for i := range views {
@@ -77,7 +78,7 @@
 	for id := range b.instances {
 		if !seen[id] {
 			delete(b.instances, id)
-			n.log.WithField("instance", id).Info("instance ended")
+			n.log.WithField("instance", id).Info("instance removed from the roster")
 		}
 	}
 }
--- a/transport/entry/era.go
+++ b/transport/entry/era.go
@@ -11,18 +11,20 @@
 	"github.com/troutmast/troutmast/coordination/source"
 )
 
-// eras is which era of the store a node knows of. The store may come back from a copy some
-// seconds old; what was written since is gone, and is written again by those who wrote it.
+// eras tracks the newest era of the store that a node knows of. The store may be restored from a
+// backup some seconds old. Records written after the backup are lost, and their writers write
+// them again.
 type eras struct {
 	mu    sync.Mutex
 	known bool
 	era   int64
-	// settled is when what others write again counts as written.
+	// settled is the time from which on the lost records of the others count as written again.
 	settled time.Time
 }
 
-// observe records an era that an answer showed at a time, and reports whether it is a later
-// one than was known, and which one that was. The first answer of all ends no era.
+// observe records the era that an answer names. It returns the era known before, and reports
+// whether the answer shows a restoration: a later era than one already known. The first answer
+// never does.
 func (e *eras) observe(era int64, now time.Time, settle time.Duration) (before int64, restored bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -37,30 +39,32 @@
 	return before, restored
 }
 
-// current returns the newest era.
+// current returns the newest era that the node knows of.
 func (e *eras) current() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.era
 }
 
-// confirms reports whether a question asked at a time is answered by more than an older copy:
-// a key taken away, or an instance dropped, since the copy was made still stands in it.
+// confirms reports whether the answer to a read begun at a time is current. Right after a
+// restoration, the backup still contains keys that were revoked and instances that were
+// dropped after it was made.
 func (e *eras) confirms(asked time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !asked.Before(e.settled)
 }
 
-// unsettled returns for how long answers still confirm nothing, or 0.
+// unsettled returns for how long answers do not count as current yet, or 0.
 func (e *eras) unsettled(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return max(e.settled.Sub(now), 0)
 }
 
-// observeEra records which era of the store an answer showed, of the store itself or told by
-// another node.
+// observeEra records the era of the store that the store itself or another node named in an
+// answer. After a restoration, the node writes its entry again, reads the list and reports to
+// the leader.
 func (n *Node) observeEra(era int64, from string) {
 	before, restored := n.eras.observe(era, n.clock.Now(), n.policy.RestoreSettle)
 	if !restored {
@@ -76,8 +80,8 @@
 	n.tellSoon()
 }
 
-// follow reads what is new of a topic, or the newest records where nothing was read yet, the
-// records are gone, or the store came back from an older copy.
+// follow reads the records of a topic after the cursor. It reads the newest record of each key
+// instead if nothing was read yet, if the records are gone, or if the store was restored.
 func (n *Node) follow(ctx context.Context, topic source.Topic, c *source.Cursor, wait time.Duration) (source.Tail, source.Reading, error) {
 	from := c.From(n.clock.Now())
 	tail, err := n.readTail(ctx, topic, from, wait)
@@ -93,12 +97,12 @@
 	return tail, reading, nil
 }
 
-// staleRetry is the pause after an answer of another era, so that answers that go on to be of
-// one do not make a reader ask without end. It is five times the way to a store.
+// staleRetry is the pause after an answer of another era. It keeps a reader from reading in a
+// busy loop while such answers persist. It is five times the latency to a store.
 const staleRetry = 20 * time.Millisecond
 
-// rewrite writes the node's entry again after each restoration of the store, as the copy may
-// lack it. Nodes spread these writes, since all of them notice a restoration at once.
+// rewrite writes the node's entry again after each restoration of the store, since the backup may
+// lack it. A random delay spreads the writes of the nodes, which all notice a restoration at once.
 func (n *Node) rewrite(ctx context.Context) {
 	for {
 		select {
--- a/transport/entry/feed.go
+++ b/transport/entry/feed.go
@@ -7,30 +7,30 @@
 	"github.com/troutmast/troutmast/internal/steady"
 )
 
-// feed is how far what the placing node tells of the store reaches: a node that
-// is told in time need not read the store itself. Both times are those of the
-// placing node's own questions, so that a pause anywhere makes them look older.
+// feed tracks how recent the configuration and the instance list are that the leader relays. A
+// node that gets them in time need not read the store itself. Both times are the starts of the
+// leader's own reads, so that a pause anywhere makes the data look older, never younger.
 type feed struct {
 	config atomic.Int64
 	list   atomic.Int64
 }
 
-// never is the age of what was never told.
+// never is the age of data that the leader has not relayed.
 const never = time.Hour
 
-// take notes that the placing node told of the store as of two times.
+// take records the times as of which the leader relayed the configuration and the instance list.
 func (f *feed) take(config, list time.Time) {
 	f.config.Store(steady.Nanos(config))
 	f.list.Store(steady.Nanos(list))
 }
 
-// configAge returns how old the configuration that was told may be.
+// configAge returns the maximum age of the relayed configuration.
 func (f *feed) configAge(now time.Time) time.Duration { return ageOf(f.config.Load(), now) }
 
-// listAge returns how old the list that was told may be.
+// listAge returns the maximum age of the relayed instance list.
 func (f *feed) listAge(now time.Time) time.Duration { return ageOf(f.list.Load(), now) }
 
-// ageOf returns the age of a time on the steady clock, 0 being none.
+// ageOf returns the age of a time in nanoseconds of the steady clock, and never for 0.
 func ageOf(at int64, now time.Time) time.Duration {
 	if at == 0 {
 		return never
--- a/transport/entry/follow.go
+++ b/transport/entry/follow.go
@@ -14,7 +14,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// followConfig keeps up with the operator's configuration.
+// followConfig reads the operator's configuration from the store, unless the leader relays it in time.
 func (n *Node) followConfig(ctx context.Context) {
 	cursor, wait := n.newCursor(), n.policy.StoreRetry
 	for {
@@ -48,8 +48,8 @@
 	}
 }
 
-// relies reports whether the node leaves reading the store to the placing node. A
-// node that would place next reads now and then itself, to know that it can.
+// relies reports whether the node leaves reading the store to the leader. A standby still reads
+// it at every StandbyRead, to know that it can.
 func (n *Node) relies() bool {
 	if placing, _ := n.peers.isPlacing(); placing || n.storeFailed.Load() {
 		return false
@@ -57,10 +57,10 @@
 	return n.ownStoreAge() < n.policy.StandbyRead || !n.peers.standby()
 }
 
-// configWait returns how long a read of the configuration waits for a new one.
-// Keys are trusted for a time from the last question on, so where that is
-// bounded, questions must be asked several times as often. What the placing node
-// tells the others is as old as its last question, so that it asks often.
+// configWait returns how long a read of the configuration waits for a newer one. The age of the
+// configuration counts from the start of the last read. Where keys are trusted only for a limited
+// time, reads must therefore start several times within it. The leader reads often, since the
+// configuration that it relays is as old as its own last read.
 func (n *Node) configWait() time.Duration {
 	now := n.clock.Now()
 	wait := n.policy.ConfigWait
@@ -72,14 +72,14 @@
 	if left := n.eras.unsettled(now); left > 0 {
 		return min(wait, left)
 	}
-	// Keys that were not confirmed while the store was being restored are not to wait on.
+	// Keys that could not be confirmed while the store was being restored are about to expire: do not wait.
 	if age, ok := n.know.Age(); n.set.StrictKeys && ok && age > n.set.KeysWithin/2 {
 		return 0
 	}
 	return wait
 }
 
-// learnConfig takes in a configuration; one that cannot be read leaves the last in force.
+// learnConfig applies a configuration. One that cannot be decoded leaves the previous one in force.
 func (n *Node) learnConfig(raw []byte, from string) {
 	if len(raw) == 0 {
 		return
@@ -87,7 +87,7 @@
 	newer, err := n.know.Learn(raw)
 	if err != nil {
 		n.Count("config.unreadable")
-		n.log.WithError(err).WithField("from", from).Error("configuration not read")
+		n.log.WithError(err).WithField("from", from).Error("configuration cannot be decoded")
 		return
 	}
 	if newer {
@@ -97,8 +97,8 @@
 	}
 }
 
-// storeRead notes that the store answered a question asked at a time. A question
-// that waited long for its answer does not make the last one look older.
+// storeRead records that the store answered a read begun at a time. A read that waited long for
+// its answer does not replace one that began later.
 func (n *Node) storeRead(asked time.Time) {
 	at := int64(asked.Sub(n.started)) + 1
 	for {
@@ -109,8 +109,8 @@
 	}
 }
 
-// storeAge returns how long ago the last question was asked that the store
-// answered, to this node or to the placing one if this one has not failed since.
+// storeAge returns the time since the start of the last successful read of the store, by this
+// node or by the leader. The leader's reads do not count if this node's last read failed.
 func (n *Node) storeAge() time.Duration {
 	own := n.ownStoreAge()
 	if n.storeFailed.Load() {
@@ -119,7 +119,7 @@
 	return min(own, n.feed.configAge(n.clock.Now()))
 }
 
-// ownStoreAge returns how long ago the last question was asked that the store answered to this node.
+// ownStoreAge returns the time since the start of this node's last successful read of the store.
 func (n *Node) ownStoreAge() time.Duration {
 	at := n.storeAt.Load()
 	if at == 0 {
@@ -128,7 +128,8 @@
 	return n.clock.Since(n.started) - time.Duration(at)
 }
 
-// readTail reads a topic from an offset on, or its newest records for an offset below 0.
+// readTail reads the records of a topic from an offset on, or the newest record of each key if the
+// offset is negative. It logs only the first failure in a row.
 func (n *Node) readTail(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.Tail, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.policy.StoreTimeout+wait)
 	defer cancel()
@@ -149,7 +150,7 @@
 	return tail, err
 }
 
-// readOnce makes one read of a topic.
+// readOnce is readTail without a timeout, counters and logs.
 func (n *Node) readOnce(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.Tail, error) {
 	if from >= 0 {
 		return n.ports.Store.Read(ctx, topic, from, wait)
@@ -159,7 +160,7 @@
 	return tail, err
 }
 
-// followInstances keeps up with the platform's list of instances.
+// followInstances reads the platform's instance list from the store, unless the leader relays it in time.
 func (n *Node) followInstances(ctx context.Context) {
 	cursor := n.newCursor()
 	var last time.Time
@@ -192,7 +193,8 @@
 	}
 }
 
-// listPause returns the time until the next read of the list, given the one before the last read.
+// listPause returns the pause before the next read of the list, given the pause before the last
+// read and its result.
 func (n *Node) listPause(before time.Duration, tail source.Tail, err error) time.Duration {
 	placing, _ := n.peers.isPlacing()
 	switch {
@@ -208,7 +210,7 @@
 	return n.policy.ListInterval
 }
 
-// waitForList waits for the next read of the list and reports whether the node still runs.
+// waitForList waits until the next read of the list is due and reports whether the node is still running.
 func (n *Node) waitForList(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -220,7 +222,7 @@
 	return true
 }
 
-// readListSoon asks for frequent reads of the list, or no longer.
+// readListSoon turns frequent reads of the list on or off.
 func (n *Node) readListSoon(on bool) {
 	if n.listSoon.Swap(on) || !on {
 		return
@@ -228,7 +230,7 @@
 	n.readListNow()
 }
 
-// readListNow has the list read at once.
+// readListNow requests a read of the list at once.
 func (n *Node) readListNow() {
 	select {
 	case n.listNow <- struct{}{}:
@@ -236,8 +238,8 @@
 	}
 }
 
-// learnInstances applies records of the list; recent says that those of a tail were
-// written since a read a moment ago.
+// learnInstances applies records of the instance list to the roster. If recent is set, records that
+// follow the last read count as just written: that read was within RecentRead.
 func (n *Node) learnInstances(tail source.Tail, reading source.Reading, recent bool) {
 	whole := reading == source.All || reading == source.Restored
 	now := n.clock.Now()
@@ -252,9 +254,9 @@
 		}
 		in, err := n.ports.Decoder.Instance(item.Key, item.Value)
 		if err != nil {
-			// The entry names no instance to use, whatever an earlier one said.
+			// Without a readable entry the instance cannot be used, even if an earlier entry was readable.
 			n.Count("instances.unreadable")
-			n.log.WithError(err).WithField("position", item.Offset).Warn("entry not read")
+			n.log.WithError(err).WithField("position", item.Offset).Warn("instance entry cannot be decoded")
 			n.roster.MarkUnlisted(id, position, now)
 			entries = slices.DeleteFunc(entries, func(in fleet.Instance) bool { return in.ID == id })
 			continue
@@ -273,7 +275,7 @@
 	switch {
 	case whole && (reading == source.Restored || !n.eras.confirms(now)):
 		n.roster.ApplyBackup(entries, now)
-		n.log.WithFields(log.Fields{"era": tail.Era, "entries": len(entries)}).Info("instance list read from an older copy")
+		n.log.WithFields(log.Fields{"era": tail.Era, "entries": len(entries)}).Info("instance list read from a backup of the store")
 	case whole:
 		n.roster.ApplySnapshot(entries, source.Position(tail.Era, tail.End), now)
 	}
@@ -283,15 +285,14 @@
 	}
 }
 
-// newCursor returns a cursor of a reader that has read nothing.
+// newCursor returns the cursor of a reader that has not read anything yet.
 func (n *Node) newCursor() *source.Cursor { return &source.Cursor{Settle: n.policy.RestoreSettle} }
 
-// writeEntry writes the node's entry into the store and returns where it stands, and whether
-// the store took it.
+// writeEntry appends the node's entry to the store and returns its place there, and whether it was written.
 func (n *Node) writeEntry(ctx context.Context) (source.Place, bool) {
 	value, err := json.Marshal(n.peers.self())
 	if err != nil {
-		n.log.WithError(err).Error("entry of the node")
+		n.log.WithError(err).Error("node entry cannot be encoded")
 		return source.Place{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.policy.StoreTimeout)
@@ -305,8 +306,8 @@
 	return place, true
 }
 
-// register writes the node's entry into the store, whose place there is the node's number: the
-// store gives an offset out again only in a later era, so that no two lives have the same one.
+// register writes the node's entry into the store and derives the node's number from its place
+// there. The store reuses an offset only in a later era, so no two incarnations have the same number.
 func (n *Node) register(ctx context.Context) {
 	for {
 		if place, ok := n.writeEntry(ctx); ok {
--- a/transport/entry/knowledge.go
+++ b/transport/entry/knowledge.go
@@ -11,19 +11,19 @@
 	"github.com/troutmast/troutmast/state/catalog"
 )
 
-// keysMargin is taken off the time for which keys are trusted, for the way of a request to its instance.
+// keysMargin is subtracted from the time for which keys are trusted, to allow for the transit of a
+// request to its instance.
 const keysMargin = 400 * time.Millisecond
 
-// Knowledge is the configuration in force at a node, and how old the node's
-// knowledge of it may be; safe for concurrent use.
+// Knowledge holds the configuration in force at a node and the time at which it was last confirmed
+// to be current. It is safe for concurrent use.
 //
-// The age counts from the moment at which the question was asked that was last
-// answered with this configuration, so that a pause anywhere makes it look
-// older, never younger.
+// The age counts from the start of the last read that was answered with this configuration, so
+// that a pause anywhere makes it look older, never younger.
 type Knowledge struct {
 	clock   clockwork.Clock
 	decoder Decoder
-	// within is for how long keys are trusted, in nanoseconds; 0 is without bound.
+	// within is the time for which keys are trusted, in nanoseconds; 0 means no limit.
 	within atomic.Int64
 
 	mu      sync.Mutex
@@ -32,14 +32,14 @@
 	fresh   atomic.Int64
 }
 
-// NewKnowledge returns a Knowledge without configuration.
+// NewKnowledge returns a Knowledge without a configuration.
 func NewKnowledge(decoder Decoder, strict bool, within time.Duration, clock clockwork.Clock) *Knowledge {
 	k := &Knowledge{clock: clock, decoder: decoder}
 	k.SetBound(strict, within)
 	return k
 }
 
-// SetBound changes for how long keys are trusted; without strict, they always are.
+// SetBound sets the time for which keys are trusted. If strict is false, they always are.
 func (k *Knowledge) SetBound(strict bool, within time.Duration) {
 	if !strict {
 		within = 0
@@ -47,10 +47,10 @@
 	k.within.Store(int64(within))
 }
 
-// Catalog returns the configuration, or nil while none is known.
+// Catalog returns the configuration in force, or nil if there is none yet.
 func (k *Knowledge) Catalog() *catalog.Catalog { return k.catalog.Load() }
 
-// Raw returns the configuration as the store holds it, and its version.
+// Raw returns the encoded configuration, as it is in the store, and its version.
 func (k *Knowledge) Raw() ([]byte, int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -60,7 +60,8 @@
 	return nil, 0
 }
 
-// Learn puts a configuration in force, unless that one or a newer one already is, and reports whether it did.
+// Learn decodes a configuration and puts it in force, unless the same or a newer version already
+// is. It reports whether the configuration changed.
 func (k *Knowledge) Learn(raw []byte) (bool, error) {
 	c, err := k.decoder.Catalog(raw)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return true, nil
 }
 
-// Confirm takes in that no newer configuration was there when a question was asked.
+// Confirm records that there was no newer configuration at the start of a read.
 func (k *Knowledge) Confirm(asked time.Time) {
 	for {
 		old := k.fresh.Load()
@@ -86,7 +87,8 @@
 	}
 }
 
-// Age returns how old the knowledge may be; false when none was ever had.
+// Age returns the time since the configuration was last confirmed to be current, and false if it
+// never was.
 func (k *Knowledge) Age() (time.Duration, bool) {
 	at := k.fresh.Load()
 	if at == 0 {
@@ -95,7 +97,7 @@
 	return time.Duration(steady.Nanos(k.clock.Now()) - at), true
 }
 
-// KeysFresh reports whether keys can still be trusted.
+// KeysFresh reports whether the configuration is recent enough for its keys to be trusted.
 func (k *Knowledge) KeysFresh() bool {
 	within := time.Duration(k.within.Load())
 	if within == 0 {
--- a/transport/entry/leaderload.go
+++ b/transport/entry/leaderload.go
@@ -7,32 +7,32 @@
 	"github.com/apex/log"
 )
 
-// leaderLoad adds up what leading costs between two log lines. The calls of a busy
-// leader end late and say little of instances and nodes.
+// leaderLoad sums the leader's work between two log lines. On an overloaded leader, calls complete
+// late, and their failures say little about instances and nodes.
 type leaderLoad struct {
 	mu sync.Mutex
 	leaderWork
 }
 
-// leaderWork is the work since the last log line.
+// leaderWork is the leader's work since the last log line.
 type leaderWork struct {
-	// steps are steps of the planners, stepTime the time that they took together, longestStep the longest.
+	// steps counts the planning steps, stepTime is their total and longestStep their maximum duration.
 	steps       int
 	stepTime    time.Duration
 	longestStep time.Duration
-	// reports are status reports of nodes that were answered, reportTime the time that took.
+	// reports counts the status reports of other nodes that were answered, reportTime is the total time spent on them.
 	reports    int
 	reportTime time.Duration
-	// probes are reports asked of instances, failedProbes those without an answer,
-	// lateProbes those of them that say nothing since this node ran late.
+	// probes counts the probes of instances, failedProbes those without an answer, and lateProbes
+	// those of the failed ones that are inconclusive because this node itself was overloaded.
 	probes       int
 	failedProbes int
 	lateProbes   int
-	// timerDelay is the longest delay of a timer of this process.
+	// timerDelay is the longest observed delay of a timer of this process.
 	timerDelay time.Duration
 }
 
-// step adds one step of all planners.
+// step records one planning step for all services.
 func (l *leaderLoad) step(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	l.longestStep = max(l.longestStep, took)
 }
 
-// statusReport adds one status report that was answered.
+// statusReport records one answered status report.
 func (l *leaderLoad) statusReport(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 	l.reportTime += took
 }
 
-// probe adds one probe.
+// probe records one probe. A late one is inconclusive because this node was overloaded.
 func (l *leaderLoad) probe(failed, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,21 +62,21 @@
 	}
 }
 
-// timer adds the delay of a timer.
+// timer records the delay of a timer.
 func (l *leaderLoad) timer(delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.timerDelay = max(l.timerDelay, delay)
 }
 
-// reset forgets what was added up while the node did not lead.
+// reset discards the work recorded while the node did not lead.
 func (l *leaderLoad) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leaderWork = leaderWork{}
 }
 
-// fields returns the work since the last call as fields of a log line.
+// fields returns the work since the last call as fields of a log line, and starts anew.
 func (l *leaderLoad) fields() log.Fields {
 	l.mu.Lock()
 	w := l.leaderWork
--- a/transport/entry/peers.go
+++ b/transport/entry/peers.go
@@ -19,58 +19,61 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// wordProcedure is the path of a node's word to the placing node.
+// wordProcedure is the path of a node's status report to the leader.
 const wordProcedure = "/troutmast.Entry/Tell"
 
-// peers is what a node knows of the other nodes.
+// peers holds what a node knows of the other nodes, and elects the leader among them.
 type peers struct {
 	n  *Node
 	hc *http.Client
 
 	mu    sync.Mutex
 	known map[string]NodeEntry
-	// contact is when each node was first known to this one, or last heard of by it.
+	// contact is when each node last sent a status report to this one, or first became known to it.
 	contact map[string]time.Time
 	passed  map[string]time.Time
 	words   map[string]heardWord
 	greeted map[string]time.Time
 	clients map[string]*connect.Client[Word, Answer]
 	placing bool
-	// since is when the node began to place.
+	// since is when the node last became leader.
 	since time.Time
-	// arrived tells that some node has had requests.
+	// arrived reports whether any node has received requests.
 	arrived bool
-	// version is that of the configuration at the placing node, as last heard.
+	// version is that of the leader's configuration, as of its last answer.
 	version int64
-	// feedFrom and feedVersion say which changes of the instances this node has: those of a node up to a version.
+	// feedFrom and feedVersion identify the instance changes that this node has: those of the node
+	// numbered feedFrom, up to its roster version feedVersion.
 	feedFrom    int64
 	feedVersion uint64
-	// ledgerSent is the version of this node's ledger that the leader was told, ledgerHas that
-	// of the leader's own that this node has.
+	// ledgerSent is the version of this node's quarantine ledger up to which the leader has it,
+	// ledgerHas the version of the leader's ledger up to which this node has it.
 	ledgerSent uint64
 	ledgerHas  uint64
-	// limitsHas is the version of the leader's rate limits that this node has, dealtAt when it
-	// last asked a leader that deals for it, told how many nodes may run by a leader's word.
+	// limitsHas is the version up to which this node has the leader's rate limits. dealtAt is when
+	// it sent its last status report to a leader that allocates rates to it. told is the number of
+	// nodes that may be running, according to the leader; 0 if the leader named none.
 	limitsHas uint64
 	dealtAt   time.Time
 	told      int
-	// complete tells that this node has read which other nodes there are, or was told by a leader.
+	// complete reports whether this node knows the other nodes, from the store or from a leader.
 	complete bool
-	// resting is until when this node does not place because it ran late.
+	// resting is the time until which this node does not lead because it was overloaded.
 	resting time.Time
-	// held is what all nodes hold at each instance, asked what callers ask of them, added up at totalAt.
+	// held is the number of requests in progress from all nodes at each instance, asked the demand
+	// at all nodes. Both were computed at totalAt.
 	held    map[state.InstanceID]int
 	asked   []demand.Flow
 	totalAt time.Time
 }
 
-// heardWord is the last word of a node.
+// heardWord is the last status report of a node and when it arrived.
 type heardWord struct {
 	word Word
 	at   time.Time
 }
 
-// newPeers returns the peers of a node.
+// newPeers returns the peers of a node, none of them known yet.
 func newPeers(n *Node) *peers {
 	dialer := direct.Dialer{Timeout: n.policy.StatusTimeout, Silence: silence}
 	return &peers{
@@ -90,7 +93,7 @@
 	return NodeEntry{Name: p.n.set.Name, Address: p.n.set.Peer.String(), Hall: p.n.set.Hall, Capacity: p.n.toldCapacity(), Number: p.n.number.Load()}
 }
 
-// run tells the placing node what this one knows, again and again.
+// run sends a status report to the leader at every interval, and at once when there is news.
 func (p *peers) run(ctx context.Context) {
 	p.seed()
 	for {
@@ -104,7 +107,7 @@
 	}
 }
 
-// seed takes in the nodes that the settings name.
+// seed adds the nodes that the settings name. Their names are unknown until they register.
 func (p *peers) seed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,12 +118,12 @@
 	}
 }
 
-// follow keeps up with the nodes' entries in the store.
+// follow reads the nodes' entries from the store as they are written.
 func (p *peers) follow(ctx context.Context) {
 	cursor := p.n.newCursor()
 	for {
 		if cursor.From(p.n.clock.Now()) >= 0 && p.n.feed.configAge(p.n.clock.Now()) < 2*p.n.policy.FeedAge {
-			// The placing node tells of new ones.
+			// The leader's answers list new nodes.
 			if !p.n.sleep(ctx, p.n.policy.FeedAge) {
 				return
 			}
@@ -140,15 +143,15 @@
 			p.setComplete()
 			p.shareBudgets()
 		}
-		// Each new entry ends all waiting reads: without a pause, nodes that start
-		// together would read once for each of the others.
+		// Each new entry completes all waiting reads. Without a pause, nodes that start
+		// together would each read once for every other node.
 		if !p.n.sleep(ctx, p.n.policy.NodesPause) {
 			return
 		}
 	}
 }
 
-// learn takes in a node's entry.
+// learn records a node's entry. It ignores this node's own and those without a name or a valid address.
 func (p *peers) learn(e NodeEntry) {
 	if _, err := netip.ParseAddrPort(e.Address); err != nil || e.Name == "" || e.Name == p.n.set.Name {
 		return
@@ -161,10 +164,10 @@
 	}
 }
 
-// precedes reports whether a node comes before another in the order in which nodes
-// place: the first that answers does. Larger nodes come first, since the work of
-// placing grows with the number of nodes and instances; among equals it is
-// rendezvous hashing.
+// precedes reports whether node a comes before node b in the order of succession: the
+// first node that answers and can lead is the leader. Larger nodes come first, since the
+// leader's work grows with the number of nodes and instances. Nodes of equal capacity are
+// ordered by rendezvous hashing.
 func precedes(a, b NodeEntry) bool {
 	if a.Capacity != b.Capacity {
 		return a.Capacity > b.Capacity
@@ -172,10 +175,11 @@
 	return rank(a.Address) > rank(b.Address)
 }
 
-// rank is the place of a node by rendezvous hashing.
+// rank returns the rendezvous hash of a node's address.
 func rank(address string) uint64 { return xxhash.Sum64String("placing\x00" + address) }
 
-// candidates returns the addresses of the nodes before this one in the order, without those passed over.
+// candidates returns the addresses of the nodes that precede this one, in order, without those
+// in backoff. If this node cannot lead, it returns all other nodes.
 func (p *peers) candidates(now time.Time) []string {
 	own := p.self()
 	p.mu.Lock()
@@ -201,7 +205,7 @@
 	return addresses
 }
 
-// standby reports whether this node is among the first in the order.
+// standby reports whether this node is the leader or one of its standbys by the order of succession.
 func (p *peers) standby() bool {
 	own := p.self()
 	p.mu.Lock()
@@ -215,13 +219,15 @@
 	return before <= p.n.policy.Standbys
 }
 
-// mayPlace reports whether this node can place groups, if not at once: until it
-// is old enough to know of all others, no node after it in the order does either.
+// mayPlace reports whether this node can lead, now or once LeadAfter has passed since its
+// start. The nodes that it precedes wait for it during that time instead of leading
+// themselves. The caller holds p.mu.
 func (p *peers) mayPlace(now time.Time) bool {
 	return !p.n.stopping.Load() && p.n.number.Load() > 0 && p.n.know.Catalog() != nil && !p.behindOthers() && !p.slowerThanOthers(now)
 }
 
-// slowerThanOthers reports whether the node lately ran late again and again while another one did not.
+// slowerThanOthers reports whether this node is overloaded and another one is not, or was so
+// within LateRest. The caller holds p.mu.
 func (p *peers) slowerThanOthers(now time.Time) bool {
 	if now.Before(p.resting) {
 		return true
@@ -239,7 +245,8 @@
 	return false
 }
 
-// behindOthers reports whether the node cannot read the store while another one lately could.
+// behindOthers reports whether this node cannot read the store while another one recently could.
+// The caller holds p.mu.
 func (p *peers) behindOthers() bool {
 	stale := p.n.storeStale()
 	if p.n.storeAge() < stale {
@@ -253,9 +260,9 @@
 	return false
 }
 
-// storeStale returns the age of its last read of the store from which on a node
-// counts as cut off from it. Where keys are trusted only for a time, it must hear of
-// them from another node well before that is over.
+// storeStale returns the age of its last read of the store from which on a node counts as cut
+// off from the store. Where keys are trusted only for a limited time, another node must take
+// over and relay the configuration well before that time ends.
 func (n *Node) storeStale() time.Duration {
 	if n.set.StrictKeys {
 		return min(n.policy.StoreStale, n.set.KeysWithin/3)
@@ -263,7 +270,8 @@
 	return n.policy.StoreStale
 }
 
-// round tells the first node that places; if there is none before this one, this one does.
+// round sends a status report to the preceding nodes in order until one answers as leader. If
+// none does, this node leads, provided that it can.
 func (p *peers) round(ctx context.Context) {
 	p.shareBudgets()
 	for _, address := range p.candidates(p.n.clock.Now()) {
@@ -275,7 +283,7 @@
 			return
 		}
 		if err == nil {
-			// It does not place, but what it knows of the configuration counts all the same.
+			// A node that does not lead still relays a valid configuration.
 			p.takeConfig(ans, asked)
 		}
 		p.pass(address, err == nil)
@@ -290,8 +298,8 @@
 	}
 }
 
-// greet tells a few nodes that were not heard of lately that this one places: one
-// that could not read the store since this one registered knows nothing of it.
+// greet sends status reports to a few nodes from which none arrived within NodeTimeout. A node
+// that has not read the store since this one registered does not know of it otherwise.
 func (p *peers) greet(ctx context.Context) {
 	now := p.n.clock.Now()
 	own := p.n.set.Peer.String()
@@ -313,7 +321,8 @@
 	}
 }
 
-// pass has a node passed over for a while; one that answered, but does not place, for less.
+// pass starts the backoff of a node that cannot be used as leader. It is shorter for a node that
+// answered and does not lead.
 func (p *peers) pass(address string, answered bool) {
 	until := p.n.clock.Now().Add(p.n.policy.UnreachableBackoff)
 	if answered {
@@ -324,7 +333,7 @@
 	p.passed[address] = until
 }
 
-// setPlacing notes whether this node places groups.
+// setPlacing records whether this node leads. A new leader reads the instance list at once.
 func (p *peers) setPlacing(on bool) {
 	p.mu.Lock()
 	was := p.placing
@@ -337,18 +346,18 @@
 		p.n.readListNow()
 	}
 	if on != was {
-		p.n.log.WithField("placing", on).Info("placing changed")
+		p.n.log.WithField("placing", on).Info("leadership changed")
 	}
 }
 
-// isPlacing reports whether this node places groups, and since when.
+// isPlacing reports whether this node leads, and when it last became leader.
 func (p *peers) isPlacing() (bool, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.placing, p.since
 }
 
-// named returns all nodes that are known by name, this one among them.
+// named returns all nodes whose names are known, including this one.
 func (p *peers) named() []NodeEntry {
 	list := []NodeEntry{p.self()}
 	p.mu.Lock()
@@ -361,8 +370,8 @@
 	return list
 }
 
-// total adds up what all nodes hold at each instance, and what callers ask of
-// them; neither must be changed.
+// total returns the number of requests in progress from all nodes at each instance, and the
+// demand at all nodes. Both are cached for SumInterval and must not be modified.
 func (p *peers) total() (map[state.InstanceID]int, []demand.Flow) {
 	now := p.n.clock.Now()
 	p.mu.Lock()
@@ -386,7 +395,7 @@
 	return p.held, p.asked
 }
 
-// anyArrived reports whether any node has had requests.
+// anyArrived reports whether any node has received requests.
 func (p *peers) anyArrived() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/entry/reach.go
+++ b/transport/entry/reach.go
@@ -13,21 +13,21 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// reachProcedure is the path of a question to another node whether it reaches an instance.
+// reachProcedure is the path of an indirect probe: a request to another node to probe an instance.
 const reachProcedure = "/troutmast.Entry/Reach"
 
-// ReachRequest asks a node for the report of an instance that the asking one does not reach.
+// ReachRequest asks a node to probe an instance that does not answer the sender.
 type ReachRequest struct {
 	Instance state.InstanceID `json:"i"`
 }
 
-// ReachAnswer is the report, if the instance answered.
+// ReachAnswer is the result of an indirect probe: the instance's report if it answered.
 type ReachAnswer struct {
 	Reached bool         `json:"r,omitempty"`
 	Report  fleet.Report `json:"report,omitzero"`
 }
 
-// reach asks an instance for its report on behalf of another node.
+// reach handles an indirect probe: it probes an instance on behalf of another node.
 func (p *peers) reach(ctx context.Context, req *connect.Request[ReachRequest]) (*connect.Response[ReachAnswer], error) {
 	n := p.n
 	asked := n.clock.Now()
@@ -46,11 +46,11 @@
 	return connect.NewResponse(&ReachAnswer{Reached: true, Report: rep}), nil
 }
 
-// indirectNodes is how many other nodes are asked about an instance at once.
+// indirectNodes is the number of other nodes that probe an instance on this node's behalf at once.
 const indirectNodes = 3
 
-// askAbout asks other nodes whether they reach an instance, and records the first report that one
-// of them gets.
+// askAbout has other nodes probe an instance and records the first report that one of them gets, or
+// the failure of all.
 func (p *peers) askAbout(ctx context.Context, m fleet.Instance, asked time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, 2*p.n.policy.ProbeTimeout)
 	defer cancel()
@@ -74,18 +74,19 @@
 	p.n.roster.RecordIndirectFailure(m.ID, asked)
 }
 
-// reportBy returns the report of an instance that another node got, or nil.
+// reportBy has another node probe an instance and returns the report, or nil if there is none.
 func (p *peers) reportBy(ctx context.Context, node NodeEntry, id state.InstanceID) *fleet.Report {
 	c := connect.NewClient[ReachRequest, ReachAnswer](p.hc, "http://"+node.Address+reachProcedure, connect.WithCodec(peer.JSONCodec{}))
 	resp, err := c.CallUnary(ctx, connect.NewRequest(&ReachRequest{Instance: id}))
 	if err != nil || !resp.Msg.Reached {
-		return nil // a node that is of an earlier version or gone reaches nothing either
+		return nil // a node that is down, or of a version without indirect probes, counts as not reaching the instance
 	}
 	return &resp.Msg.Report
 }
 
-// witnesses returns the nodes to ask about an instance: the one that last reached it, then others,
-// of all that lately reported to this one.
+// witnesses returns the nodes to use for indirect probes of an instance, out of those that recently
+// sent this node a status report. The one that last reached the instance comes first, then others
+// in random order.
 func (p *peers) witnesses(m fleet.Instance, now time.Time) []NodeEntry {
 	last := p.n.roster.LastIndirectProber(m.ID)
 	p.mu.Lock()
--- a/transport/entry/shares.go
+++ b/transport/entry/shares.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// setComplete records that this node has read which other nodes there are.
+// setComplete records that this node knows the other nodes.
 func (p *peers) setComplete() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.complete = true
 }
 
-// knowsAll reports whether this node has read which other nodes there are.
+// knowsAll reports whether this node knows the other nodes, from the store or from a leader.
 func (p *peers) knowsAll() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.complete
 }
 
-// shareBudgets divides what all nodes share by the nodes that there may be, once these are known.
+// shareBudgets divides the budgets that all nodes share by the number of nodes that may be running,
+// once that is known.
 func (p *peers) shareBudgets() {
 	if p.knowsAll() {
 		p.n.gate.SetNodes(p.possible(p.n.clock.Now()))
 	}
 }
 
-// possible returns how many nodes may be running, this one among them, by which what all
-// nodes share is divided: those that cannot be heard may be behind a cut. A leader leaves
-// out those that it has not heard of for long; another node goes by its word.
+// possible returns the number of nodes that may be running, including this one. It divides the
+// budgets that all nodes share. Nodes that do not report count too, since they may be behind a
+// network partition. The leader excludes those that have not reported within ForgetNode. The other
+// nodes use the number that the leader names.
 func (p *peers) possible(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,8 +47,8 @@
 	return n
 }
 
-// count returns the number of nodes that ever registered, as far as is known, this
-// one among them: those that cannot be heard may still repeat requests.
+// count returns the number of nodes that this node knows to have ever registered, including
+// itself. Nodes that do not report count too, since they may still retry requests.
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/entry/tell.go
+++ b/transport/entry/tell.go
@@ -12,7 +12,7 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// tell sends this node's word to another.
+// tell sends this node's status report to another node and returns the answer.
 func (p *peers) tell(ctx context.Context, address string) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.n.policy.StatusTimeout)
 	defer cancel()
@@ -28,7 +28,7 @@
 	resp, err := c.CallUnary(ctx, connect.NewRequest(w))
 	if err != nil {
 		if ctx.Err() != nil {
-			p.hc.CloseIdleConnections() // others may have gone silent too
+			p.hc.CloseIdleConnections() // other idle connections may be dead as well
 		}
 		return nil, err
 	}
@@ -40,7 +40,7 @@
 	return resp.Msg, nil
 }
 
-// word returns what this node tells.
+// word returns this node's status report.
 func (p *peers) word() *Word {
 	n := p.n
 	now := n.clock.Now()
@@ -71,15 +71,16 @@
 	return w
 }
 
-// heardVersion returns the version of the configuration at the placing node, as last heard.
+// heardVersion returns the version of the leader's configuration, as of its last answer.
 func (p *peers) heardVersion() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.version
 }
 
-// takeConfig takes in the placing node's configuration. What it knew was that old
-// when it answered, so it is at most that much older than the question.
+// takeConfig applies the configuration in an answer to a status report sent at a time. The answer
+// names the age of the configuration when it was written, which is after the status report was
+// sent: subtracting the age from the time of sending never makes the configuration look younger.
 func (p *peers) takeConfig(a *Answer, asked time.Time) {
 	n := p.n
 	p.mu.Lock()
@@ -93,14 +94,14 @@
 	}
 }
 
-// hasFeed returns which changes of the instances this node has.
+// hasFeed returns which instance changes this node has: the number of the node that sent them, and its roster version.
 func (p *peers) hasFeed() (int64, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.feedFrom, p.feedVersion
 }
 
-// takeChanges takes in what changed of the instances at the placing node.
+// takeChanges applies the instance changes in the leader's answer.
 func (p *peers) takeChanges(a *Answer) {
 	now := p.n.clock.Now()
 	for _, c := range a.Changes {
@@ -114,7 +115,7 @@
 	}
 }
 
-// giveChanges tells what changed of the instances since what a word names.
+// giveChanges adds to an answer the instance changes that the sender of a status report lacks.
 func (p *peers) giveChanges(a *Answer, w *Word) {
 	n := p.n
 	a.Feed = n.number.Load()
@@ -126,7 +127,7 @@
 	a.Changes, a.Now = n.roster.ChangesSince(after)
 }
 
-// take takes in what the placing node told; asked is when it was asked.
+// take applies the leader's answer to a status report that was sent at the time asked.
 func (p *peers) take(a *Answer, asked time.Time) {
 	n := p.n
 	p.takeConfig(a, asked)
@@ -147,12 +148,14 @@
 	p.takeLimits(a, asked)
 }
 
-// setLoads hands the table what all nodes hold at each instance, and what callers ask of them.
+// setLoads updates the dispatch table with the requests in progress at each instance and the
+// demand, both summed over all nodes.
 func (n *Node) setLoads(held map[state.InstanceID]int, asked []demand.Flow) {
 	n.table.SetOthers(minus(held, n.table.Held()), asked, n.demand.Flows(n.clock.Now()))
 }
 
-// minus returns what others hold, given what all hold and what this node does.
+// minus returns the number of requests in progress from other nodes at each instance, given
+// those from all nodes and those from this one.
 func minus(all, own map[state.InstanceID]int) map[state.InstanceID]int {
 	out := make(map[state.InstanceID]int, len(all))
 	for id, n := range all {
@@ -161,7 +164,7 @@
 	return out
 }
 
-// answer is what this node answers to the word of another.
+// answer handles the status report of another node.
 func (p *peers) answer(_ context.Context, req *connect.Request[Word]) (*connect.Response[Answer], error) {
 	n := p.n
 	now := n.clock.Now()
@@ -201,7 +204,8 @@
 	return connect.NewResponse(a), nil
 }
 
-// giveConfig tells the configuration in force here, whole to a node that is behind.
+// giveConfig adds to an answer the version and age of this node's configuration, and the
+// configuration itself if the sender has an older one.
 func (p *peers) giveConfig(a *Answer, w *Word) {
 	raw, version := p.n.know.Raw()
 	a.Version, a.AgeMS = version, age(never)
--- a/transport/entry/version.go
+++ b/transport/entry/version.go
@@ -8,27 +8,29 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Nodes of different builds run side by side while a system is upgraded or goes back. Messages
-// and records of the store only gain fields, which a build that does not know them leaves
-// out; what a build sends does not depend on who reads it. A version tells what a node acts on.
+// Protocol versions of the status reports between nodes. Builds that name none have version 0.
 //
-// The versions of what nodes say to each other. Builds that name none have version 0.
+// Nodes of different builds run side by side during an upgrade or a rollback. Messages and
+// records in the store only gain fields, which builds that do not know them ignore. What a build
+// sends does not depend on the receiver. The version states what a node implements.
 const (
-	// protocolLimits is the first version whose nodes send to instances with rate limits by grants.
+	// protocolLimits is the first version whose nodes send requests to rate-limited instances by grants.
 	protocolLimits = 1
-	// protocolVersion is the version of this build.
+	// protocolVersion is the protocol version of this build.
 	protocolVersion = protocolLimits
 )
 
-// leadingBonus is what each version adds to the capacity that a node tells, in cores: far less
-// than the sizes of nodes differ by. All builds order nodes by capacity, so that of nodes of one
-// size those of the newest build lead: an older leader would not hand on what it does not know.
+// leadingBonus is added per protocol version to the capacity that a node reports, in cores. It is
+// far below the differences between node sizes. All builds order nodes by capacity, so among nodes
+// of one size those of the newest build lead: an older leader would not relay fields that it does
+// not know.
 const leadingBonus = 1e-6
 
-// toldCapacity returns the capacity by which nodes order each other.
+// toldCapacity returns the capacity that this node reports, by which nodes are ordered for leadership.
 func (n *Node) toldCapacity() float64 { return n.set.Capacity + leadingBonus*protocolVersion }
 
-// heedVersion records the version that another node names. One of a later build is logged once.
+// heedVersion counts messages of a later protocol version than this build's. It logs each node and
+// version once.
 func (n *Node) heedVersion(version int, name string) {
 	if version <= protocolVersion {
 		return
@@ -39,14 +41,15 @@
 	}
 }
 
-// laterVersion keys the nodes that named a later version.
+// laterVersion is the key by which a node and its later version are logged only once.
 type laterVersion struct {
 	name    string
 	version int
 }
 
-// shieldLimited has a node of a build without rate limits keep away from the instances that
-// have one: it heeds which formations take no requests, and leaves out instances that look full.
+// shieldLimited changes an answer so that a node of a build without rate limits sends nothing to the
+// limited instances. Such a node sends no requests to groups in Avoid, and skips instances that
+// look full.
 func (n *Node) shieldLimited(a *Answer) {
 	limits := n.limits.InForce()
 	if len(limits) == 0 {
@@ -67,6 +70,6 @@
 	a.Held, a.Avoid = held, avoid
 }
 
-// heldWhenFull is how many requests for each of its places an instance is told to hold that
-// should be sent none.
+// heldWhenFull is the number of requests in progress per slot that is reported for an instance to
+// make it look full.
 const heldWhenFull = 100
