--- a/transport/entry/beliefs.go
+++ b/transport/entry/beliefs.go
@@ -28,30 +28,30 @@
 // instances, quarantined requests and cooldowns.
 func (n *Node) watchBeliefs(ctx context.Context) {
 	b := &beliefs{instances: map[state.InstanceID]belief{}}
-	held := map[quarantine.Fingerprint]time.Time{}
+	quarantined := map[quarantine.Fingerprint]time.Time{}
 	for n.sleep(ctx, n.policy.LogInterval) {
 		n.logDependency("store", &b.store, n.storeAge() < n.policy.StoreLostAfter, n.storeAge())
 		age, _ := n.know.Age()
 		n.logDependency("fresh keys", &b.keys, n.know.KeysFresh(), age)
 		n.logDependency("readiness", &b.ready, n.isReady(), 0)
 		n.logInstances(b, n.roster.All(n.clock.Now()))
-		n.logQuarantine(held)
+		n.logQuarantine(quarantined)
 		n.logCooldowns()
 		n.sweepLimits()
 	}
 }
 
 // logDependency logs a change of whether a dependency is available.
-func (n *Node) logDependency(name string, was *bool, is bool, age time.Duration) {
-	if *was == is {
+func (n *Node) logDependency(name string, wasAvailable *bool, isAvailable bool, age time.Duration) {
+	if *wasAvailable == isAvailable {
 		return
 	}
-	*was = is
+	*wasAvailable = isAvailable
 	event := "dependency lost"
-	if is {
+	if isAvailable {
 		event = "dependency regained"
 	}
-	n.Count("dependency." + name + "." + map[bool]string{true: "regained", false: "lost"}[is])
+	n.Count("dependency." + name + "." + map[bool]string{true: "regained", false: "lost"}[isAvailable])
 	n.log.WithFields(log.Fields{"dependency": name, "age_ms": age.Milliseconds()}).Info(event)
 }
 
@@ -61,18 +61,18 @@
 	for i := range views {
 		v := &views[i]
 		seen[v.ID] = true
-		is := belief{lost: v.Unreachable, draining: v.Draining, unlisted: v.Unlisted, membership: v.Membership}
-		was, known := b.instances[v.ID]
-		if known && was == is {
+		current := belief{lost: v.Unreachable, draining: v.Draining, unlisted: v.Unlisted, membership: v.Membership}
+		previous, known := b.instances[v.ID]
+		if known && previous == current {
 			continue
 		}
-		b.instances[v.ID] = is
-		if !known && is == (belief{}) {
+		b.instances[v.ID] = current
+		if !known && current == (belief{}) {
 			continue
 		}
 		n.log.WithFields(log.Fields{
-			"instance": v.ID, "unlisted": v.Unlisted, "lost": is.lost, "draining": is.draining, "group": is.membership.Group, "epoch": is.membership.Epoch,
-			"rank": is.membership.Rank, "state": is.membership.State, "position": v.Position, "address": v.Address.String(),
+			"instance": v.ID, "unlisted": v.Unlisted, "lost": current.lost, "draining": current.draining, "group": current.membership.Group, "epoch": current.membership.Epoch,
+			"rank": current.membership.Rank, "state": current.membership.State, "position": v.Position, "address": v.Address.String(),
 		}).Info("instance")
 	}
 	for id := range b.instances {
--- a/transport/entry/era.go
+++ b/transport/entry/era.go
@@ -25,10 +25,10 @@
 // observe records the era that an answer names. It returns the era known before, and reports
 // whether the answer shows a restoration: a later era than one already known. The first answer
 // never does.
-func (e *eras) observe(era int64, now time.Time, settle time.Duration) (before int64, restored bool) {
+func (e *eras) observe(era int64, now time.Time, settle time.Duration) (previous int64, restored bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	before = e.era
+	previous = e.era
 	restored = e.known && era > e.era
 	if restored {
 		e.settled = now.Add(settle)
@@ -36,7 +36,7 @@
 	if !e.known || restored {
 		e.known, e.era = true, era
 	}
-	return before, restored
+	return previous, restored
 }
 
 // current returns the newest era that the node knows of.
@@ -46,13 +46,13 @@
 	return e.era
 }
 
-// confirms reports whether the answer to a read begun at a time is current. Right after a
+// confirms reports whether the answer to a read that began at startedAt is current. Right after a
 // restoration, the backup still contains keys that were revoked and instances that were
 // dropped after it was made.
-func (e *eras) confirms(asked time.Time) bool {
+func (e *eras) confirms(startedAt time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !asked.Before(e.settled)
+	return !startedAt.Before(e.settled)
 }
 
 // unsettled returns for how long answers do not count as current yet, or 0.
@@ -66,12 +66,12 @@
 // answer. After a restoration, the node writes its entry again, reads the list and reports to
 // the leader.
 func (n *Node) observeEra(era int64, from string) {
-	before, restored := n.eras.observe(era, n.clock.Now(), n.policy.RestoreSettle)
+	previous, restored := n.eras.observe(era, n.clock.Now(), n.policy.RestoreSettle)
 	if !restored {
 		return
 	}
 	n.Count("store.restored")
-	n.log.WithFields(log.Fields{"before": before, "now": era, "from": from}).Warn("store came back from an older copy")
+	n.log.WithFields(log.Fields{"before": previous, "now": era, "from": from}).Warn("store came back from an older copy")
 	select {
 	case n.writeAgain <- struct{}{}:
 	default:
--- a/transport/entry/feed.go
+++ b/transport/entry/feed.go
@@ -19,9 +19,9 @@
 const never = time.Hour
 
 // take records the times as of which the leader relayed the configuration and the instance list.
-func (f *feed) take(config, list time.Time) {
-	f.config.Store(steady.Nanos(config))
-	f.list.Store(steady.Nanos(list))
+func (f *feed) take(configAsOf, listAsOf time.Time) {
+	f.config.Store(steady.Nanos(configAsOf))
+	f.list.Store(steady.Nanos(listAsOf))
 }
 
 // configAge returns the maximum age of the relayed configuration.
--- a/transport/entry/follow.go
+++ b/transport/entry/follow.go
@@ -16,7 +16,7 @@
 
 // followConfig reads the operator's configuration from the store, unless the leader relays it in time.
 func (n *Node) followConfig(ctx context.Context) {
-	cursor, wait := n.newCursor(), n.policy.StoreRetry
+	cursor, retryDelay := n.newCursor(), n.policy.StoreRetry
 	for {
 		if n.feed.configAge(n.clock.Now()) < n.policy.FeedAge && n.relies() {
 			cursor.Reset()
@@ -25,33 +25,33 @@
 			}
 			continue
 		}
-		asked := n.clock.Now()
+		startedAt := n.clock.Now()
 		tail, reading, err := n.follow(ctx, source.Configuration, cursor, n.configWait())
 		if err != nil {
 			if errors.Is(err, source.ErrTrimmed) {
 				cursor.Reset()
 			}
-			if !n.sleep(ctx, wait) {
+			if !n.sleep(ctx, retryDelay) {
 				return
 			}
-			wait = min(2*wait, n.policy.StoreRetryMax)
+			retryDelay = min(2*retryDelay, n.policy.StoreRetryMax)
 			continue
 		}
-		wait = n.policy.StoreRetry
+		retryDelay = n.policy.StoreRetry
 		for _, item := range tail.Items {
 			n.learnConfig(item.Value, "store")
 		}
-		if tail.Whole && reading != source.Restored && n.eras.confirms(asked) {
-			n.know.Confirm(asked)
+		if tail.Whole && reading != source.Restored && n.eras.confirms(startedAt) {
+			n.know.Confirm(startedAt)
 		}
-		n.storeRead(asked)
+		n.storeRead(startedAt)
 	}
 }
 
 // relies reports whether the node leaves reading the store to the leader. A standby still reads
 // it at every StandbyRead, to know that it can.
 func (n *Node) relies() bool {
-	if placing, _ := n.peers.isPlacing(); placing || n.storeFailed.Load() {
+	if leading, _ := n.peers.isPlacing(); leading || n.storeFailed.Load() {
 		return false
 	}
 	return n.ownStoreAge() < n.policy.StandbyRead || !n.peers.standby()
@@ -64,13 +64,13 @@
 func (n *Node) configWait() time.Duration {
 	now := n.clock.Now()
 	wait := n.policy.ConfigWait
-	if placing, _ := n.peers.isPlacing(); placing {
+	if leading, _ := n.peers.isPlacing(); leading {
 		wait = n.policy.ConfigWaitLeading
 	} else if n.set.StrictKeys {
 		wait = min(n.policy.ConfigWait, n.set.KeysWithin/4)
 	}
-	if left := n.eras.unsettled(now); left > 0 {
-		return min(wait, left)
+	if unsettled := n.eras.unsettled(now); unsettled > 0 {
+		return min(wait, unsettled)
 	}
 	// Keys that could not be confirmed while the store was being restored are about to expire: do not wait.
 	if age, ok := n.know.Age(); n.set.StrictKeys && ok && age > n.set.KeysWithin/2 {
@@ -97,10 +97,10 @@
 	}
 }
 
-// storeRead records that the store answered a read begun at a time. A read that waited long for
+// storeRead records that the store answered a read that began at startedAt. A read that waited long for
 // its answer does not replace one that began later.
-func (n *Node) storeRead(asked time.Time) {
-	at := int64(asked.Sub(n.started)) + 1
+func (n *Node) storeRead(startedAt time.Time) {
+	at := int64(startedAt.Sub(n.started)) + 1
 	for {
 		old := n.storeAt.Load()
 		if at <= old || n.storeAt.CompareAndSwap(old, at) {
@@ -134,7 +134,7 @@
 	ctx, cancel := context.WithTimeout(ctx, n.policy.StoreTimeout+wait)
 	defer cancel()
 	n.Count("store." + string(topic))
-	began := n.clock.Now()
+	startedAt := n.clock.Now()
 	tail, err := n.readOnce(ctx, topic, from, wait)
 	if err == nil {
 		n.storeFailed.Store(false)
@@ -144,7 +144,7 @@
 	n.Count("store." + string(topic) + ".failed")
 	if !n.storeFailed.Swap(true) {
 		n.log.WithError(err).WithFields(log.Fields{
-			"topic": topic, "from": from, "ms": n.clock.Since(began).Milliseconds(),
+			"topic": topic, "from": from, "ms": n.clock.Since(startedAt).Milliseconds(),
 		}).Info("read of the store failed")
 	}
 	return tail, err
@@ -163,11 +163,11 @@
 // followInstances reads the platform's instance list from the store, unless the leader relays it in time.
 func (n *Node) followInstances(ctx context.Context) {
 	cursor := n.newCursor()
-	var last time.Time
+	var lastStartedAt time.Time
 	pause := n.policy.ListInterval
 	for {
-		asked := n.clock.Now()
-		if placing, _ := n.peers.isPlacing(); !placing && n.feed.listAge(asked) < n.policy.FeedAge {
+		startedAt := n.clock.Now()
+		if leading, _ := n.peers.isPlacing(); !leading && n.feed.listAge(startedAt) < n.policy.FeedAge {
 			cursor.Reset()
 			if !n.waitForList(ctx, n.policy.FeedPause) {
 				return
@@ -179,12 +179,12 @@
 			cursor.Reset()
 		}
 		if err == nil {
-			n.learnInstances(tail, reading, asked.Sub(last) < n.policy.RecentRead)
-			last = asked
+			n.learnInstances(tail, reading, startedAt.Sub(lastStartedAt) < n.policy.RecentRead)
+			lastStartedAt = startedAt
 			if tail.Whole {
-				n.roster.RecordListRead(asked)
+				n.roster.RecordListRead(startedAt)
 			}
-			n.storeRead(asked)
+			n.storeRead(startedAt)
 		}
 		pause = n.listPause(pause, tail, err)
 		if !n.waitForList(ctx, pause) {
@@ -195,36 +195,36 @@
 
 // listPause returns the pause before the next read of the list, given the pause before the last
 // read and its result.
-func (n *Node) listPause(before time.Duration, tail source.Tail, err error) time.Duration {
-	placing, _ := n.peers.isPlacing()
+func (n *Node) listPause(previous time.Duration, tail source.Tail, err error) time.Duration {
+	leading, _ := n.peers.isPlacing()
 	switch {
-	case err != nil && (placing || n.peers.standby()):
-		return min(2*before, n.policy.StoreRetryMax)
+	case err != nil && (leading || n.peers.standby()):
+		return min(2*previous, n.policy.StoreRetryMax)
 	case err != nil:
-		return min(2*before, n.policy.StoreRetryFed)
+		return min(2*previous, n.policy.StoreRetryFed)
 	case !tail.Whole:
 		return 0
-	case placing && n.listSoon.Load():
+	case leading && n.listSoon.Load():
 		return n.policy.ListIntervalBusy
 	}
 	return n.policy.ListInterval
 }
 
 // waitForList waits until the next read of the list is due and reports whether the node is still running.
-func (n *Node) waitForList(ctx context.Context, d time.Duration) bool {
+func (n *Node) waitForList(ctx context.Context, pause time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-n.clock.After(d):
+	case <-n.clock.After(pause):
 	case <-n.listNow:
-		return n.sleep(ctx, min(d, n.policy.ListIntervalBusy))
+		return n.sleep(ctx, min(pause, n.policy.ListIntervalBusy))
 	}
 	return true
 }
 
 // readListSoon turns frequent reads of the list on or off.
-func (n *Node) readListSoon(on bool) {
-	if n.listSoon.Swap(on) || !on {
+func (n *Node) readListSoon(enabled bool) {
+	if n.listSoon.Swap(enabled) || !enabled {
 		return
 	}
 	n.readListNow()
@@ -241,9 +241,9 @@
 // learnInstances applies records of the instance list to the roster. If recent is set, records that
 // follow the last read count as just written: that read was within RecentRead.
 func (n *Node) learnInstances(tail source.Tail, reading source.Reading, recent bool) {
-	whole := reading == source.All || reading == source.Restored
+	isSnapshot := reading == source.All || reading == source.Restored
 	now := n.clock.Now()
-	before := n.roster.Version()
+	oldVersion := n.roster.Version()
 	var entries []fleet.Instance
 	for _, item := range tail.Items {
 		id := state.InstanceID(item.Key)
@@ -264,7 +264,7 @@
 		in.Position = position
 		n.placer.observe(in.Membership.Epoch, false)
 		switch {
-		case whole:
+		case isSnapshot:
 			entries = append(entries, in)
 		case recent:
 			n.roster.ApplyFreshEntry(in, now)
@@ -273,13 +273,13 @@
 		}
 	}
 	switch {
-	case whole && (reading == source.Restored || !n.eras.confirms(now)):
+	case isSnapshot && (reading == source.Restored || !n.eras.confirms(now)):
 		n.roster.ApplyBackup(entries, now)
 		n.log.WithFields(log.Fields{"era": tail.Era, "entries": len(entries)}).Info("instance list read from a backup of the store")
-	case whole:
+	case isSnapshot:
 		n.roster.ApplySnapshot(entries, source.Position(tail.Era, tail.End), now)
 	}
-	if n.roster.Version() != before {
+	if n.roster.Version() != oldVersion {
 		n.touch()
 		n.placer.stir()
 	}
--- a/transport/entry/knowledge.go
+++ b/transport/entry/knowledge.go
@@ -33,18 +33,18 @@
 }
 
 // NewKnowledge returns a Knowledge without a configuration.
-func NewKnowledge(decoder Decoder, strict bool, within time.Duration, clock clockwork.Clock) *Knowledge {
+func NewKnowledge(decoder Decoder, strict bool, maxAge time.Duration, clock clockwork.Clock) *Knowledge {
 	k := &Knowledge{clock: clock, decoder: decoder}
-	k.SetBound(strict, within)
+	k.SetBound(strict, maxAge)
 	return k
 }
 
 // SetBound sets the time for which keys are trusted. If strict is false, they always are.
-func (k *Knowledge) SetBound(strict bool, within time.Duration) {
+func (k *Knowledge) SetBound(strict bool, maxAge time.Duration) {
 	if !strict {
-		within = 0
+		maxAge = 0
 	}
-	k.within.Store(int64(within))
+	k.within.Store(int64(maxAge))
 }
 
 // Catalog returns the configuration in force, or nil if there is none yet.
@@ -78,10 +78,10 @@
 }
 
 // Confirm records that there was no newer configuration at the start of a read.
-func (k *Knowledge) Confirm(asked time.Time) {
+func (k *Knowledge) Confirm(startedAt time.Time) {
 	for {
 		old := k.fresh.Load()
-		if steady.Nanos(asked) <= old || k.fresh.CompareAndSwap(old, steady.Nanos(asked)) {
+		if steady.Nanos(startedAt) <= old || k.fresh.CompareAndSwap(old, steady.Nanos(startedAt)) {
 			return
 		}
 	}
@@ -99,10 +99,10 @@
 
 // KeysFresh reports whether the configuration is recent enough for its keys to be trusted.
 func (k *Knowledge) KeysFresh() bool {
-	within := time.Duration(k.within.Load())
-	if within == 0 {
+	maxAge := time.Duration(k.within.Load())
+	if maxAge == 0 {
 		return true
 	}
 	age, ok := k.Age()
-	return ok && age < within-keysMargin
+	return ok && age < maxAge-keysMargin
 }
--- a/transport/entry/leaderload.go
+++ b/transport/entry/leaderload.go
@@ -33,20 +33,20 @@
 }
 
 // step records one planning step for all services.
-func (l *leaderLoad) step(took time.Duration) {
+func (l *leaderLoad) step(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.steps++
-	l.stepTime += took
-	l.longestStep = max(l.longestStep, took)
+	l.stepTime += duration
+	l.longestStep = max(l.longestStep, duration)
 }
 
 // statusReport records one answered status report.
-func (l *leaderLoad) statusReport(took time.Duration) {
+func (l *leaderLoad) statusReport(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reports++
-	l.reportTime += took
+	l.reportTime += duration
 }
 
 // probe records one probe. A late one is inconclusive because this node was overloaded.
@@ -79,13 +79,13 @@
 // fields returns the work since the last call as fields of a log line, and starts anew.
 func (l *leaderLoad) fields() log.Fields {
 	l.mu.Lock()
-	w := l.leaderWork
+	work := l.leaderWork
 	l.leaderWork = leaderWork{}
 	l.mu.Unlock()
 	return log.Fields{
-		"steps": w.steps, "step_ms": w.stepTime.Milliseconds(), "longest_step_ms": w.longestStep.Milliseconds(),
-		"status_reports": w.reports, "status_report_ms": w.reportTime.Milliseconds(),
-		"probes": w.probes, "failed_probes": w.failedProbes, "late_probes": w.lateProbes,
-		"timer_delay_ms": w.timerDelay.Milliseconds(),
+		"steps": work.steps, "step_ms": work.stepTime.Milliseconds(), "longest_step_ms": work.longestStep.Milliseconds(),
+		"status_reports": work.reports, "status_report_ms": work.reportTime.Milliseconds(),
+		"probes": work.probes, "failed_probes": work.failedProbes, "late_probes": work.lateProbes,
+		"timer_delay_ms": work.timerDelay.Milliseconds(),
 	}
 }
--- a/transport/entry/peers.go
+++ b/transport/entry/peers.go
@@ -184,10 +184,10 @@
 	own := p.self()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	placing := p.mayPlace(now)
+	canLead := p.mayPlace(now)
 	var list []NodeEntry
 	for a, e := range p.known {
-		if a == own.Address || (placing && precedes(own, e)) || now.Before(p.passed[a]) {
+		if a == own.Address || (canLead && precedes(own, e)) || now.Before(p.passed[a]) {
 			continue
 		}
 		list = append(list, e)
@@ -275,24 +275,24 @@
 func (p *peers) round(ctx context.Context) {
 	p.shareBudgets()
 	for _, address := range p.candidates(p.n.clock.Now()) {
-		asked := p.n.clock.Now()
+		sentAt := p.n.clock.Now()
 		ans, err := p.tell(ctx, address)
 		if err == nil && ans.Placing {
 			p.setPlacing(false)
-			p.take(ans, asked)
+			p.take(ans, sentAt)
 			return
 		}
 		if err == nil {
 			// A node that does not lead still relays a valid configuration.
-			p.takeConfig(ans, asked)
+			p.takeConfig(ans, sentAt)
 		}
 		p.pass(address, err == nil)
 	}
 	p.mu.Lock()
-	may := p.mayPlace(p.n.clock.Now()) && p.n.clock.Since(p.n.started) > p.n.policy.LeadAfter
+	canLead := p.mayPlace(p.n.clock.Now()) && p.n.clock.Since(p.n.started) > p.n.policy.LeadAfter
 	p.mu.Unlock()
-	p.setPlacing(may)
-	if may {
+	p.setPlacing(canLead)
+	if canLead {
 		p.greet(ctx)
 		p.n.setLoads(p.total())
 	}
@@ -305,12 +305,12 @@
 	own := p.n.set.Peer.String()
 	var silent []string
 	p.mu.Lock()
-	heard := map[string]bool{}
+	reporting := map[string]bool{}
 	for _, h := range p.words {
-		heard[h.word.From.Address] = now.Sub(h.at) < p.n.policy.NodeTimeout
+		reporting[h.word.From.Address] = now.Sub(h.at) < p.n.policy.NodeTimeout
 	}
 	for a := range p.known {
-		if a != own && !heard[a] && now.Sub(p.greeted[a]) > p.n.policy.GreetInterval && len(silent) < p.n.policy.GreetAtOnce {
+		if a != own && !reporting[a] && now.Sub(p.greeted[a]) > p.n.policy.GreetInterval && len(silent) < p.n.policy.GreetAtOnce {
 			p.greeted[a] = now
 			silent = append(silent, a)
 		}
@@ -334,19 +334,19 @@
 }
 
 // setPlacing records whether this node leads. A new leader reads the instance list at once.
-func (p *peers) setPlacing(on bool) {
+func (p *peers) setPlacing(leading bool) {
 	p.mu.Lock()
-	was := p.placing
-	p.placing = on
-	if on && !was {
+	wasLeading := p.placing
+	p.placing = leading
+	if leading && !wasLeading {
 		p.since = p.n.clock.Now()
 	}
 	p.mu.Unlock()
-	if on && !was {
+	if leading && !wasLeading {
 		p.n.readListNow()
 	}
-	if on != was {
-		p.n.log.WithField("placing", on).Info("leadership changed")
+	if leading != wasLeading {
+		p.n.log.WithField("placing", leading).Info("leadership changed")
 	}
 }
 
@@ -379,7 +379,7 @@
 	if p.held != nil && now.Sub(p.totalAt) < p.n.policy.SumInterval {
 		return p.held, p.asked
 	}
-	held := p.n.table.Held()
+	inProgress := p.n.table.Held()
 	flows := [][]demand.Flow{p.n.demand.Flows(now)}
 	for name, h := range p.words {
 		if now.Sub(h.at) > p.n.policy.NodeTimeout {
@@ -387,11 +387,11 @@
 			continue
 		}
 		for id, n := range h.word.Held {
-			held[id] += n
+			inProgress[id] += n
 		}
 		flows = append(flows, h.word.Demand)
 	}
-	p.held, p.asked, p.totalAt = held, demand.Sum(flows...), now
+	p.held, p.asked, p.totalAt = inProgress, demand.Sum(flows...), now
 	return p.held, p.asked
 }
 
--- a/transport/entry/reach.go
+++ b/transport/entry/reach.go
@@ -30,15 +30,15 @@
 // reach handles an indirect probe: it probes an instance on behalf of another node.
 func (p *peers) reach(ctx context.Context, req *connect.Request[ReachRequest]) (*connect.Response[ReachAnswer], error) {
 	n := p.n
-	asked := n.clock.Now()
-	v, known := n.roster.Get(req.Msg.Instance, asked)
+	startedAt := n.clock.Now()
+	v, known := n.roster.Get(req.Msg.Instance, startedAt)
 	if !known {
 		return connect.NewResponse(&ReachAnswer{}), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.policy.ProbeTimeout)
 	defer cancel()
 	n.Count("probes.indirect")
-	rep, err := n.question(ctx, v.Instance, asked)
+	rep, err := n.question(ctx, v.Instance, startedAt)
 	if err != nil {
 		return connect.NewResponse(&ReachAnswer{}), nil
 	}
@@ -51,27 +51,27 @@
 
 // askAbout has other nodes probe an instance and records the first report that one of them gets, or
 // the failure of all.
-func (p *peers) askAbout(ctx context.Context, m fleet.Instance, asked time.Time) {
+func (p *peers) askAbout(ctx context.Context, m fleet.Instance, startedAt time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, 2*p.n.policy.ProbeTimeout)
 	defer cancel()
-	nodes := p.witnesses(m, asked)
-	type witnessed struct {
-		by  string
-		rep *fleet.Report
+	nodes := p.witnesses(m, startedAt)
+	type indirectReport struct {
+		prober string
+		report *fleet.Report
 	}
-	reports := make(chan witnessed, len(nodes))
+	reports := make(chan indirectReport, len(nodes))
 	for _, node := range nodes {
-		go func() { reports <- witnessed{node.Name, p.reportBy(ctx, node, m.ID)} }()
+		go func() { reports <- indirectReport{node.Name, p.reportBy(ctx, node, m.ID)} }()
 	}
 	for range nodes {
-		if w := <-reports; w.rep != nil {
-			w.rep.Asked = asked
-			p.n.roster.RecordIndirectReport(m.ID, *w.rep, w.by)
+		if w := <-reports; w.report != nil {
+			w.report.Asked = startedAt
+			p.n.roster.RecordIndirectReport(m.ID, *w.report, w.prober)
 			p.n.Count("instances.far")
 			return
 		}
 	}
-	p.n.roster.RecordIndirectFailure(m.ID, asked)
+	p.n.roster.RecordIndirectFailure(m.ID, startedAt)
 }
 
 // reportBy has another node probe an instance and returns the report, or nil if there is none.
@@ -88,17 +88,17 @@
 // sent this node a status report. The one that last reached the instance comes first, then others
 // in random order.
 func (p *peers) witnesses(m fleet.Instance, now time.Time) []NodeEntry {
-	last := p.n.roster.LastIndirectProber(m.ID)
+	lastProber := p.n.roster.LastIndirectProber(m.ID)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []NodeEntry
-	for _, h := range p.words {
-		if now.Sub(h.at) < p.n.policy.NodeTimeout {
-			list = append(list, h.word.From)
+	for _, r := range p.words {
+		if now.Sub(r.at) < p.n.policy.NodeTimeout {
+			list = append(list, r.word.From)
 		}
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	if i := slices.IndexFunc(list, func(e NodeEntry) bool { return e.Name == last }); i > 0 {
+	if i := slices.IndexFunc(list, func(e NodeEntry) bool { return e.Name == lastProber }); i > 0 {
 		list[0], list[i] = list[i], list[0]
 	}
 	return list[:min(len(list), indirectNodes)]
--- a/transport/entry/shares.go
+++ b/transport/entry/shares.go
@@ -36,11 +36,11 @@
 	}
 	n := 1
 	for address, e := range p.known {
-		heard := p.contact[address]
-		if heard.Before(p.since) {
-			heard = p.since
+		lastContact := p.contact[address]
+		if lastContact.Before(p.since) {
+			lastContact = p.since
 		}
-		if e.Name != "" && (!p.placing || now.Sub(heard) < p.n.policy.ForgetNode) {
+		if e.Name != "" && (!p.placing || now.Sub(lastContact) < p.n.policy.ForgetNode) {
 			n++
 		}
 	}
--- a/transport/entry/tell.go
+++ b/transport/entry/tell.go
@@ -24,7 +24,7 @@
 	}
 	p.mu.Unlock()
 	w := p.word()
-	sent := p.addLedger(w, p.n.clock.Now())
+	ledgerVersion := p.addLedger(w, p.n.clock.Now())
 	resp, err := c.CallUnary(ctx, connect.NewRequest(w))
 	if err != nil {
 		if ctx.Err() != nil {
@@ -35,7 +35,7 @@
 	p.n.observeEra(resp.Msg.Era, address)
 	p.n.heedVersion(resp.Msg.Protocol, address)
 	if resp.Msg.Placing {
-		p.takeLedger(resp.Msg, sent)
+		p.takeLedger(resp.Msg, ledgerVersion)
 	}
 	return resp.Msg, nil
 }
@@ -61,7 +61,7 @@
 	w.Demand = n.demand.Flows(now)
 	raw, version := n.know.Raw()
 	w.Version = version
-	if heard := p.heardVersion(); heard > 0 && version > heard {
+	if leaderVersion := p.heardVersion(); leaderVersion > 0 && version > leaderVersion {
 		w.Config = raw
 	}
 	if a, ok := n.know.Age(); ok {
@@ -78,10 +78,10 @@
 	return p.version
 }
 
-// takeConfig applies the configuration in an answer to a status report sent at a time. The answer
+// takeConfig applies the configuration in an answer to a status report sent at sentAt. The answer
 // names the age of the configuration when it was written, which is after the status report was
 // sent: subtracting the age from the time of sending never makes the configuration look younger.
-func (p *peers) takeConfig(a *Answer, asked time.Time) {
+func (p *peers) takeConfig(a *Answer, sentAt time.Time) {
 	n := p.n
 	p.mu.Lock()
 	p.version = a.Version
@@ -90,7 +90,7 @@
 		n.learnConfig(a.Config, "peer")
 	}
 	if _, version := n.know.Raw(); version == a.Version && version > 0 {
-		n.know.Confirm(asked.Add(-time.Duration(a.AgeMS) * time.Millisecond))
+		n.know.Confirm(sentAt.Add(-time.Duration(a.AgeMS) * time.Millisecond))
 	}
 }
 
@@ -127,15 +127,15 @@
 	a.Changes, a.Now = n.roster.ChangesSince(after)
 }
 
-// take applies the leader's answer to a status report that was sent at the time asked.
-func (p *peers) take(a *Answer, asked time.Time) {
+// take applies the leader's answer to a status report that was sent at sentAt.
+func (p *peers) take(a *Answer, sentAt time.Time) {
 	n := p.n
-	p.takeConfig(a, asked)
+	p.takeConfig(a, sentAt)
 	p.takeChanges(a)
-	config := asked.Add(-time.Duration(a.AgeMS) * time.Millisecond)
-	list := asked.Add(-time.Duration(a.ListAgeMS) * time.Millisecond)
-	n.roster.RecordRelayedList(list)
-	n.feed.take(config, list)
+	configAsOf := sentAt.Add(-time.Duration(a.AgeMS) * time.Millisecond)
+	listAsOf := sentAt.Add(-time.Duration(a.ListAgeMS) * time.Millisecond)
+	n.roster.RecordRelayedList(listAsOf)
+	n.feed.take(configAsOf, listAsOf)
 	for _, e := range a.Nodes {
 		p.learn(e)
 	}
@@ -143,25 +143,25 @@
 	p.arrived = p.arrived || a.Arrived
 	p.mu.Unlock()
 	n.setAvoid(a.Avoid)
-	n.placer.handOver(a.Staging, asked)
+	n.placer.handOver(a.Staging, sentAt)
 	n.setLoads(a.Held, a.Demand)
-	p.takeLimits(a, asked)
+	p.takeLimits(a, sentAt)
 }
 
 // setLoads updates the dispatch table with the requests in progress at each instance and the
 // demand, both summed over all nodes.
-func (n *Node) setLoads(held map[state.InstanceID]int, asked []demand.Flow) {
-	n.table.SetOthers(minus(held, n.table.Held()), asked, n.demand.Flows(n.clock.Now()))
+func (n *Node) setLoads(inProgress map[state.InstanceID]int, flows []demand.Flow) {
+	n.table.SetOthers(minus(inProgress, n.table.Held()), flows, n.demand.Flows(n.clock.Now()))
 }
 
 // minus returns the number of requests in progress from other nodes at each instance, given
 // those from all nodes and those from this one.
 func minus(all, own map[state.InstanceID]int) map[state.InstanceID]int {
-	out := make(map[state.InstanceID]int, len(all))
+	others := make(map[state.InstanceID]int, len(all))
 	for id, n := range all {
-		out[id] = max(n-own[id], 0)
+		others[id] = max(n-own[id], 0)
 	}
-	return out
+	return others
 }
 
 // answer handles the status report of another node.
--- a/transport/entry/version.go
+++ b/transport/entry/version.go
@@ -36,7 +36,7 @@
 		return
 	}
 	n.Count("status.later-version")
-	if _, known := n.garbled.LoadOrStore(laterVersion{name, version}, true); !known {
+	if _, logged := n.garbled.LoadOrStore(laterVersion{name, version}, true); !logged {
 		n.log.WithFields(log.Fields{"node": name, "version": version, "own": protocolVersion}).Info("node of a later version")
 	}
 }
@@ -55,19 +55,19 @@
 	if len(limits) == 0 {
 		return
 	}
-	held := maps.Clone(a.Held)
-	if held == nil {
-		held = map[state.InstanceID]int{}
+	inProgress := maps.Clone(a.Held)
+	if inProgress == nil {
+		inProgress = map[state.InstanceID]int{}
 	}
 	avoid := a.Avoid
 	for i := range limits {
 		in := n.instance(limits[i].Instance.ID)
-		held[in.ID] += heldWhenFull * max(in.Slots, 1)
+		inProgress[in.ID] += heldWhenFull * max(in.Slots, 1)
 		if key := in.Membership.Key(); key.Group != "" && in.Membership.Rank == 0 {
 			avoid = append(avoid[:len(avoid):len(avoid)], Formation{Group: key.Group, Epoch: key.Epoch})
 		}
 	}
-	a.Held, a.Avoid = held, avoid
+	a.Held, a.Avoid = inProgress, avoid
 }
 
 // heldWhenFull is the number of requests in progress per slot that is reported for an instance to
