--- a/transport/entry/busyleader_test.go
+++ b/transport/entry/busyleader_test.go
@@ -18,18 +18,15 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Callers of the model in large groups waited for their first events or were refused,
-// on a day without a single fault. Before traffic, the leader had formed groups of
-// 16 and of 4 in equal parts. Each answer of an instance made it plan anew, 250 to
-// 420 times a second, which took all of its processor. Its probes then ran out
-// of time: 173 living members counted as lost, and their groups were taken apart and
-// formed again, which brought still more answers. A group of 16 met with a
-// false loss four times as often as one of 4, so that small groups remained.
-//
-// Evidence: the log of the leader showed up to 420 steps a second, and failed probes
-// that all ended 20 to 150 ms after their own timeout, while its timers were on time.
+// These tests guard against a leader that overloads itself and then takes its own delay for
+// the failure of instances. When each answer of an instance triggered a planning step, 250 to
+// 420 times a second, planning used the leader's whole CPU. Its probes then timed out, 20 to
+// 150 ms after their deadline although its timers were on time: 173 live members counted as
+// lost, and their groups were dissolved and formed again, which brought still more answers. A
+// group of 16 had a false loss four times as often as a group of 4, so mostly small groups
+// remained, and callers of the model in large groups waited or were refused.
 
-// slowProbes answers no probe, and lets the end of each be noticed late.
+// slowProbes answers no probe, and delays the detection of each timeout.
 type slowProbes struct {
 	clock *clockwork.FakeClock
 	late  time.Duration
@@ -71,7 +68,7 @@
 	}
 }
 
-// engineConfiguration reads every record as a configuration with one engine service.
+// engineConfiguration decodes every record as a configuration with one engine service.
 type engineConfiguration struct{ anyConfiguration }
 
 func (engineConfiguration) Catalog([]byte) (*catalog.Catalog, error) {
@@ -79,8 +76,8 @@
 	return catalog.New(1, nil, []catalog.Service{{Name: "lm", Engine: engine}}, nil, catalog.Limits{}), nil
 }
 
-// The candidates of requests are built anew for each change too: the loss of a domain
-// of 37 brings each node 74 failed probes within a third of a second.
+// Changes that come together must rebuild the candidates of requests only once: the loss of a
+// domain of 37 instances brings each node 74 failed probes within a third of a second.
 func TestChangesThatComeTogetherRebuildTheCandidatesOnce(t *testing.T) {
 	g := NewWithT(t)
 	n := ableNode(g)
--- a/transport/entry/era_test.go
+++ b/transport/entry/era_test.go
@@ -11,7 +11,7 @@
 	"github.com/troutmast/troutmast/coordination/source"
 )
 
-// eraStore answers each read in an era, with the records that it is given.
+// eraStore is a store without records that answers each read and write in its current era.
 type eraStore struct {
 	Store
 	era    int64
@@ -33,7 +33,8 @@
 	return source.Place{Era: s.era, Offset: s.next - 1}, nil
 }
 
-// The number of a node is the place of its entry: an offset alone was given to two lives.
+// The number of a node is the era and the offset of its entry: after a restoration the store
+// may assign one offset to two incarnations.
 func TestNodesThatRegisterBeforeAndAfterARestorationHaveDifferentNumbers(t *testing.T) {
 	g := NewWithT(t)
 	store := &eraStore{era: 1, next: 12}
@@ -46,7 +47,7 @@
 	g.Expect(before.placer.nextEpoch(0)).NotTo(Equal(after.placer.nextEpoch(0)))
 }
 
-// The answer of an older copy confirms nothing: a key that was taken away stands in it still.
+// A read from a backup does not confirm keys: the backup may still hold a revoked key.
 func TestAnOlderCopyConfirmsNoKeysUntilAllIsWrittenAgain(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
@@ -60,12 +61,12 @@
 	}
 	read()
 	g.Expect(read()).To(BeTrue())
-	for range 2 { // twice in a row, the second during the first
+	for range 2 { // a second restoration, before the first has settled
 		store.era++
 		go func() { _ = n.clock.BlockUntilContext(t.Context(), 1); n.clock.Advance(staleRetry) }()
-		g.Expect(read()).To(BeFalse(), "an answer of another era than the question was for")
-		g.Expect(read()).To(BeFalse(), "all of an older copy")
-		g.Expect(read()).To(BeFalse(), "what was written since")
+		g.Expect(read()).To(BeFalse(), "the read began in the previous era")
+		g.Expect(read()).To(BeFalse(), "the read returns only the backup")
+		g.Expect(read()).To(BeFalse(), "the records that the backup lacks may not be written again yet")
 		n.clock.Advance(n.policy.RestoreSettle / 2)
 		g.Expect(read()).To(BeFalse())
 	}
@@ -75,7 +76,7 @@
 	g.Expect(n.logged("store came back from an older copy")).To(Equal(2))
 }
 
-// A node that reads nothing of the store itself hears of a restoration from the others.
+// A node that does not read the store itself learns of a restoration from the other nodes.
 func TestNodesTellEachOtherOfARestoration(t *testing.T) {
 	g := NewWithT(t)
 	leader, other := numbered(g, "leader", 1), numbered(g, "other", 2)
@@ -90,7 +91,7 @@
 	g.Expect(other.eras.confirms(other.clock.Now())).To(BeFalse())
 	g.Expect(other.writeAgain).To(HaveLen(1))
 
-	// One that speaks of the era before changes nothing.
+	// A status report with an earlier era changes nothing.
 	third := numbered(g, "third", 3)
 	third.observeEra(1, "store")
 	_, err = leader.peers.answer(context.Background(), connect.NewRequest(third.peers.word()))
--- a/transport/entry/limited_test.go
+++ b/transport/entry/limited_test.go
@@ -24,37 +24,33 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// Two instances in need named in their answers how many requests a second they take from all
-// nodes together, 2.2 and 1.5. Each went on getting what it had got before, 5 to 9 and 2 to 6
-// a second, from all nine nodes, until the end of the day.
-//
-// The limit was never read, and nothing bounded what nodes send to an instance together: what
-// one instance takes was no quantity that nodes divide.
-//
-// Evidence: the rate at both instances did not change when they began to name a limit; all
-// requests were first sends, none failed, none was turned away. Calls counted beyond those of
-// callers were as many as the leader's questions.
+// These tests guard against nodes that exceed the rate limit of an instance together. An
+// overloaded instance states in its responses how many requests a second it accepts from all
+// nodes together. When nodes ignored the limit, and did not divide it among themselves, two
+// instances with limits of 2.2 and 1.5 a second still got 5 to 9 and 2 to 6 a second from nine
+// nodes. All of these were first attempts: none failed and none was rejected. The remaining
+// calls to the instances were the leader's probes.
 
-// Times of the test.
+// Durations of the test.
 const (
-	// limitWindow is the span in which requests to a limited instance are counted.
+	// limitWindow is the window in which requests to a limited instance are counted.
 	limitWindow = 4 * time.Second
-	// limitKnown is how long after an instance first named its limit nodes must keep to it.
+	// limitKnown is how long after an instance first states its limit all nodes must keep to it.
 	limitKnown = 3 * time.Second
-	// limitEnded is how long an instance may take to get its part again once it names no limit.
+	// limitEnded is how long an instance may take to get its full share again once it states no limit.
 	limitEnded = 20 * time.Second
-	// atOnce is how long the refusal of a request may take that no instance can be sent.
+	// atOnce is the longest time until a request that no instance can accept is refused.
 	atOnce = 500 * time.Millisecond
 )
 
 // mostInWindow returns how many requests a limited instance may get in a window from all
-// nodes together: half as much again as it named, and five.
+// nodes together: half as much again as its limit, and five.
 func mostInWindow(perSecond float64) float64 { return 1.5*perSecond*limitWindow.Seconds() + 5 }
 
-// headerLimit is the stand-in's name of the header by which instances name their limits.
+// headerLimit is the header in which the fake instances state their limits.
 const headerLimit = "Limit"
 
-// limitOf reads the limit that a stand-in's answer names.
+// limitOf reads the limit from the response of a fake instance.
 func limitOf(h http.Header) fleet.RateLimit {
 	if text := h.Get(headerLimit); text != "" {
 		perSecond, err := strconv.ParseFloat(text, 64)
@@ -63,7 +59,7 @@
 	return fleet.Unlimited()
 }
 
-// limitDialect is a dialect whose instances may name limits.
+// limitDialect is a dialect whose responses may carry limits.
 type limitDialect struct{ nodeDialect }
 
 func (limitDialect) Verdict(_ int, h http.Header) gateway.Verdict {
@@ -76,10 +72,11 @@
 	return c, err
 }
 
-// limitModel is the model of the stand-in's groups.
+// limitModel is the model of the fake groups.
 const limitModel = "m"
 
-// limitDecoder reads a configuration with a plain service or with one of groups of one instance.
+// limitDecoder returns a configuration with a plain service, or with a service whose groups
+// have one instance each.
 type limitDecoder struct {
 	decoder
 	groups bool
@@ -94,7 +91,7 @@
 	return catalog.New(1, []catalog.Route{route}, []catalog.Service{service}, map[string]*catalog.Team{"k": {Name: "t"}}, catalog.Limits{}), nil
 }
 
-// limitTargets asks instances for reports by HTTP; the answers may name limits.
+// limitTargets probes instances over HTTP; the responses may carry limits.
 type limitTargets struct{ targets }
 
 func (limitTargets) Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, _ entry.Connection) (fleet.Report, error) {
@@ -117,18 +114,19 @@
 	return fleet.Membership{Group: state.GroupName("g-" + id), Epoch: 1, State: fleet.Open}
 }
 
-// limiting is a set of instances of which some name a limit for a while.
+// limiting is a set of instances, some of which state a limit while it is enabled.
 type limiting struct {
 	mu        sync.Mutex
 	named     bool
 	perSecond float64
-	// began is when the limit was first named, arrivals are all calls by instance, questions among them.
+	// began is when the limit was first stated, arrivals are all calls by instance, probes
+	// included, questions counts the probes.
 	began     time.Time
 	arrivals  map[string][]time.Time
 	questions map[string]int
 }
 
-// newLimiting starts instances of which the first few may name a limit, and lists them.
+// newLimiting starts and lists instances, the first few of which may state a limit.
 func newLimiting(t *testing.T, s *store, instances, limited int, perSecond float64) *limiting {
 	set := &limiting{perSecond: perSecond, arrivals: map[string][]time.Time{}, questions: map[string]int{}}
 	for i := range instances {
@@ -143,7 +141,7 @@
 	return set
 }
 
-// serve answers a request or a question, and names the limit.
+// serve answers a request or a probe, and states the limit if it is enabled.
 func (l *limiting) serve(w http.ResponseWriter, r *http.Request, id string, limited bool) {
 	body, _ := io.ReadAll(r.Body)
 	l.mu.Lock()
@@ -162,15 +160,16 @@
 	_, _ = w.Write(body)
 }
 
-// name has the instances name the limit from now on, or no longer.
+// name turns the limit on or off.
 func (l *limiting) name(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.named = on
 }
 
-// worst returns the most calls that reached an instance in a window while it named a limit and
-// nodes had to know of it, and the fewest that a limited instance got in the last window.
+// worst returns the most calls that reached a limited instance in any window that ends at
+// least limitKnown after the limit was first stated, and the fewest that a limited instance got
+// in the last window.
 func (l *limiting) worst(limited int) (most, last int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,7 +198,7 @@
 	return n
 }
 
-// since returns how many calls an instance got after a time.
+// since returns the number of calls that an instance got after a time.
 func (l *limiting) since(id string, at time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,16 +209,16 @@
 	return len(l.arrivals[id]) - first
 }
 
-// outcomes are what callers got.
+// outcomes counts the status codes that callers got.
 type outcomes struct {
 	mu     sync.Mutex
 	status map[int]int
-	// slowest is the longest time that a refusal took.
+	// slowest is the longest time until a refusal.
 	slowest time.Duration
 }
 
-// callUnevenly has callers send so many requests a second for a time; the node that gets each
-// is chosen by a function.
+// callUnevenly sends perSecond requests a second for a time; choose picks the node that gets
+// each of them.
 func callUnevenly(nodes []*running, perSecond int, d time.Duration, choose func(n int) int) *outcomes {
 	client := &http.Client{Timeout: 2 * time.Second}
 	out := &outcomes{status: map[int]int{}}
@@ -243,7 +242,7 @@
 	return out
 }
 
-// The ways in which callers are spread over nodes.
+// Distributions of callers over nodes.
 func evenly(n int) int  { return rand.N(n) }
 func atOneNode(int) int { return 0 }
 func atFewNodes(n int) int {
@@ -259,19 +258,19 @@
 		nodes              int
 		instances, limited int
 		perSecond          float64
-		// asked is how many requests a second callers send for each instance.
+		// asked is the rate of requests from callers, per instance and second.
 		asked   int
 		groups  bool
 		callers func(n int) int
 	}{
 		{"one of three", 3, 3, 1, 2.2, 8, false, evenly},
 		{"one of three, many nodes", 9, 3, 1, 1.5, 8, false, evenly},
-		{"one of three, callers at one node", 9, 3, 1, 2.2, 8, false, atOneNode},
-		{"all of three, callers at few nodes", 9, 3, 3, 3, 8, false, atFewNodes},
-		{"the only one", 9, 1, 1, 4, 10, false, evenly},
+		{"one of three, all callers at one node", 9, 3, 1, 2.2, 8, false, atOneNode},
+		{"all of three, most callers at two nodes", 9, 3, 3, 3, 8, false, atFewNodes},
+		{"the only instance", 9, 1, 1, 4, 10, false, evenly},
 		{"two of twelve", 9, 12, 2, 1, 6, false, evenly},
 		{"two of six groups", 9, 6, 2, 2.2, 8, true, evenly},
-		{"none wanted at all", 3, 3, 1, 0, 2, true, evenly},
+		{"limits of zero", 3, 3, 1, 0, 2, true, evenly},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -285,18 +284,18 @@
 			instances.name(true)
 			out := callUnevenly(nodes, rate, limitKnown+limitWindow, c.callers)
 			most, last := instances.worst(c.limited)
-			t.Logf("at most %d calls in a window, %g allowed; %d at last; %v questions; answers %v, slowest refusal %v",
+			t.Logf("at most %d calls in a window, %g allowed; %d in the last one; probes %v; status codes %v; slowest refusal %v",
 				most, mostInWindow(c.perSecond), last, instances.questions, out.status, out.slowest)
-			g.Expect(instances.began).NotTo(BeZero(), "no instance named a limit")
+			g.Expect(instances.began).NotTo(BeZero(), "no instance stated a limit")
 			g.Expect(float64(most)).To(BeNumerically("<=", mostInWindow(c.perSecond)))
 			if c.limited < c.instances {
-				g.Expect(out.status).To(HaveLen(1), "the others take all that comes")
+				g.Expect(out.status).To(HaveLen(1), "the instances without a limit should absorb all requests")
 			} else {
-				g.Expect(float64(last)).To(BeNumerically(">=", c.perSecond*limitWindow.Seconds()/2), "what the instances take is not used")
+				g.Expect(float64(last)).To(BeNumerically(">=", c.perSecond*limitWindow.Seconds()/2), "the limits of the instances should be used at least half")
 			}
 			g.Expect(out.slowest).To(BeNumerically("<", atOnce))
 
-			// Once it names no limit, it gets its part again.
+			// Without a limit, the instance gets its full share again.
 			instances.name(false)
 			ended := time.Now()
 			g.Eventually(func() float64 {
@@ -307,7 +306,7 @@
 	}
 }
 
-// startLimitNodes starts nodes whose instances may name limits, and waits until all of them serve.
+// startLimitNodes starts nodes whose instances may state limits, and waits until all nodes serve.
 func startLimitNodes(t *testing.T, s *store, count int, groups bool) []*running {
 	return startServing(t, s, count, func(name string) entry.Ports {
 		return entry.Ports{Decoder: limitDecoder{groups: groups}, Targets: limitTargets{}, Dialect: limitDialect{nodeDialect{node: name}}}
--- a/transport/entry/limithistory_test.go
+++ b/transport/entry/limithistory_test.go
@@ -19,22 +19,22 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Times of the histories.
+// Durations of the simulated histories.
 const (
 	historyTick   = 10 * time.Millisecond
 	historyLength = 30 * time.Second
-	// noticeAfter is how long the other nodes take to notice that their leader is gone.
+	// noticeAfter is how long the other nodes take to detect the failure of their leader.
 	noticeAfter = 700 * time.Millisecond
-	// judgedAfter is how long after a limit began, or changed, the spans begin in which nodes
-	// must keep to it.
+	// judgedAfter is the grace period after a limit is first set or changes, before the nodes
+	// must keep to it. judgedSpan is the length of the window in which requests are counted.
 	judgedAfter = time.Second
 	judgedSpan  = 4 * time.Second
-	// toldFor is how long a node must have been told of a limit for its requests to count.
+	// toldFor is how long a node must have known of a limit for its requests to count.
 	toldFor = 500 * time.Millisecond
 )
 
-// limitHistory is a set of nodes before one instance, which names limits that change, under
-// killed leaders, cuts, frozen nodes and nodes that join. Nodes are real but for their
+// limitHistory simulates a set of nodes that send to one instance whose rate limit changes,
+// while nodes are killed, frozen, partitioned and added. The nodes are real except for their
 // connections; time is simulated.
 type limitHistory struct {
 	g     *WithT
@@ -42,9 +42,9 @@
 	clock *clockwork.FakeClock
 	nodes []*historyNode
 	in    fleet.Instance
-	// asked is how many requests a second callers send to each node, on average.
+	// asked is the mean rate of requests from callers to each node, per second.
 	asked float64
-	// said is what the instance names now, figures all that it named with when.
+	// said is the current limit of the instance, figures are all its limits with their times.
 	said    fleet.RateLimit
 	figures []figure
 	sent    []historySend
@@ -52,7 +52,7 @@
 	number  int64
 }
 
-// figure is what the instance named from a time on; below 0 is no limit.
+// figure is a limit that the instance set at a time; a negative rate is no limit.
 type figure struct {
 	at        time.Time
 	perSecond float64
@@ -64,22 +64,23 @@
 	by *historyNode
 }
 
-// historyNode is a node of a history.
+// historyNode is a simulated node.
 type historyNode struct {
 	*Node
-	// side tells the two sides of a cut apart, report is when the node reports next.
+	// side is the side of a network partition that the node is on, report is when it sends its
+	// next status report, frozen is until when it is frozen.
 	side   int
 	report time.Time
 	frozen time.Time
 	busy   float64
-	// stopped is when the node was last started, killed or frozen: what it knew is forgotten
-	// then, and what it sent does not count for a while.
+	// stopped is when the node was last started, killed or frozen: it loses its knowledge of
+	// limits then, and its requests do not count for a while.
 	stopped time.Time
-	// told is when the instance first named a limit to the node.
+	// told is when the node first received a limit from the instance.
 	told time.Time
 }
 
-// counts reports whether the requests of a node count in the span that ends at a time.
+// counts reports whether the requests of a node count in the window that ends at a time.
 func (n *historyNode) counts(end time.Time) bool {
 	last := n.frozen
 	if n.stopped.After(last) {
@@ -89,13 +90,13 @@
 	return told && (n.stopped.IsZero() || end.Sub(last) > judgedSpan+judgedAfter)
 }
 
-// historyEvent is something that happens at a time.
+// historyEvent is an event scheduled at a time.
 type historyEvent struct {
 	at time.Time
 	do func()
 }
 
-// newLimitHistory returns a history with a number of nodes of which the first leads.
+// newLimitHistory returns a history with the given number of nodes, the first of which leads.
 func newLimitHistory(g *WithT, rng *rand.Rand, nodes int, asked float64) *limitHistory {
 	h := &limitHistory{g: g, rng: rng, clock: clockwork.NewFakeClock(), asked: asked, said: fleet.Unlimited()}
 	h.in = fleet.Instance{ID: "i", Service: "plain", Address: testAddress(200)}
@@ -106,7 +107,7 @@
 	return h
 }
 
-// join adds a node that knows all others.
+// join adds a node and makes it and all others known to each other.
 func (h *limitHistory) join() *historyNode {
 	h.number++
 	name := fmt.Sprint("n", h.number)
@@ -127,12 +128,12 @@
 	return joined
 }
 
-// upTo draws a time.
+// upTo draws a random duration below d.
 func (h *limitHistory) upTo(d time.Duration) time.Duration {
 	return time.Duration(h.rng.Int64N(int64(d)))
 }
 
-// lead has a node lead its side of a cut, and no other one.
+// lead makes a node the only leader on its side of a partition.
 func (h *limitHistory) lead(leader *historyNode) {
 	for _, n := range h.nodes {
 		if n.side == leader.side && !h.clock.Now().Before(n.frozen) {
@@ -141,7 +142,7 @@
 	}
 }
 
-// leaderOf returns the node that leads a side, or nil.
+// leaderOf returns the leader of a side, or nil.
 func (h *limitHistory) leaderOf(side int) *historyNode {
 	for _, n := range h.nodes {
 		if placing, _ := n.peers.isPlacing(); placing && n.side == side && !h.clock.Now().Before(n.frozen) {
@@ -151,12 +152,12 @@
 	return nil
 }
 
-// after has something happen after a time.
+// after schedules an event.
 func (h *limitHistory) after(d time.Duration, do func()) {
 	h.events = append(h.events, historyEvent{h.clock.Now().Add(d), do})
 }
 
-// step plays one tick.
+// step simulates one tick.
 func (h *limitHistory) step() {
 	h.clock.Advance(historyTick)
 	now := h.clock.Now()
@@ -187,7 +188,7 @@
 	}
 }
 
-// tell has a node report to the leader of its side.
+// tell sends a node's status report to the leader of its side.
 func (h *limitHistory) tell(n *historyNode, now time.Time) {
 	leader := h.leaderOf(n.side)
 	if leader == nil || leader == n {
@@ -200,7 +201,7 @@
 	}
 }
 
-// send has a node send a request if it may; the answer names the limit.
+// send sends a request from a node if the limit admits it; the response carries the limit.
 func (h *limitHistory) send(n *historyNode, now time.Time) {
 	if !n.Open(&h.in) || !n.Send(&h.in) {
 		return
@@ -216,7 +217,7 @@
 	})
 }
 
-// name has the instance name another limit; below 0 none.
+// name sets the limit of the instance; a negative rate removes it.
 func (h *limitHistory) name(perSecond float64) {
 	h.said = fleet.LimitedTo(perSecond)
 	if perSecond < 0 {
@@ -225,8 +226,9 @@
 	h.figures = append(h.figures, figure{h.clock.Now(), perSecond})
 }
 
-// allowed returns how many requests may reach the instance in the span that ends at a time, or
-// that they are not bounded: by the highest limit that nodes may still have kept to.
+// allowed returns how many requests may reach the instance in the window that ends at a time,
+// and whether there is a bound. The bound follows from the highest limit that nodes may still
+// have applied: half as much again as this limit, and five requests.
 func (h *limitHistory) allowed(end time.Time) (most float64, bounded bool) {
 	from := end.Add(-judgedSpan - judgedAfter)
 	if len(h.figures) == 0 || h.figures[0].at.After(from) {
@@ -249,7 +251,7 @@
 	return 1.5*highest*judgedSpan.Seconds() + 5, true
 }
 
-// check checks the span that ends with each request.
+// check checks the window that ends with each request.
 func (h *limitHistory) check() {
 	first := 0
 	for last, s := range h.sent {
@@ -268,7 +270,8 @@
 	}
 }
 
-// kill ends a node; it is back, with nothing, under another number. If it led, another follows.
+// kill ends a node, which restarts without state under a new number. If it led, another node
+// takes over.
 func (h *limitHistory) kill(n *historyNode) {
 	led, _ := n.peers.isPlacing()
 	n.stopped = h.clock.Now()
@@ -285,7 +288,7 @@
 	}
 }
 
-// follow has another node lead a side once it is noticed that none does.
+// follow elects a leader for a side once the other nodes have detected that it has none.
 func (h *limitHistory) follow(side int) {
 	h.after(noticeAfter, func() {
 		if h.leaderOf(side) != nil {
@@ -300,8 +303,8 @@
 	})
 }
 
-// freeze has a node do nothing for a time. One that led goes on leading beside its follower
-// for a moment once it wakes.
+// freeze suspends a node for a time. A leader that is frozen still leads beside its successor
+// for 300 ms after it resumes.
 func (h *limitHistory) freeze(n *historyNode, d time.Duration) {
 	n.stopped = h.clock.Now()
 	n.frozen = n.stopped.Add(d)
@@ -317,7 +320,7 @@
 	}
 }
 
-// cut cuts some nodes off for a time; each side has a leader of its own.
+// cut partitions the nodes for a time; each side elects its own leader.
 func (h *limitHistory) cut(d time.Duration) {
 	some := h.rng.IntN(len(h.nodes))
 	for _, n := range h.nodes[:some] {
@@ -337,7 +340,7 @@
 	})
 }
 
-// trouble has something happen to the nodes.
+// trouble injects a fault of the given kind, or adds a node.
 func (h *limitHistory) trouble(kind int) {
 	if len(h.nodes) == 0 {
 		return
@@ -363,8 +366,8 @@
 	}
 }
 
-// However limits change and whatever happens to nodes, the instance gets from all of them
-// together no more than it allows.
+// All nodes together stay within the rate limit of an instance, however the limit changes and
+// whichever nodes fail.
 func TestDrawnHistoriesKeepToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
--- a/transport/entry/past_test.go
+++ b/transport/entry/past_test.go
@@ -15,15 +15,15 @@
 	"github.com/troutmast/troutmast/coordination/source"
 )
 
-// Messages and records of earlier builds, by their commits, as these builds encoded them. Nodes
-// of such a build may run beside this one, and find in the store what it writes.
+// pastMessages is the folder of the messages and records that earlier builds encoded, by commit.
+// Nodes of such a build may run next to nodes of this one, and read its records from the store.
 const pastMessages = "testdata/messages"
 
-// past returns the examples of a message, by commit.
+// past returns the stored examples of a message, by commit.
 func past(tb testing.TB, name string) map[string][]byte {
 	paths, err := filepath.Glob(filepath.Join(pastMessages, "*", name+".json"))
 	if err != nil || len(paths) < 2 {
-		tb.Fatalf("%d examples of %s: %v", len(paths), name, err)
+		tb.Fatalf("found %d examples of %s, want at least 2: %v", len(paths), name, err)
 	}
 	examples := map[string][]byte{}
 	for _, path := range paths {
@@ -36,8 +36,8 @@
 	return examples
 }
 
-// lacks returns the path of a part of an older JSON value that a newer one has not, or has
-// otherwise, or nothing.
+// lacks returns the path of the first part of an older JSON value that is missing from a newer
+// one or differs there, or "" if there is none.
 func lacks(older, newer any) string {
 	switch o := older.(type) {
 	case map[string]any:
@@ -69,8 +69,8 @@
 	return ""
 }
 
-// Each field that an earlier build knows is still there, under its name and with its type: what
-// that build says is understood, and what this one says is read by it as it was meant.
+// Each field that an earlier build knows must keep its name and type, so that builds can read
+// each other's messages in both directions.
 func TestMessagesOfEarlierBuildsKeepTheirMeaning(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -99,7 +99,7 @@
 	}
 }
 
-// Whatever another node says, this one goes on.
+// No message from another node may crash this one.
 func FuzzStatusReport(f *testing.F) {
 	for _, raw := range past(f, "report") {
 		f.Add(raw)
@@ -148,12 +148,12 @@
 		n.peers.learn(e)
 		n.peers.candidates(n.clock.Now())
 		if got := n.peers.possible(n.clock.Now()); got < 1 {
-			t.Fatalf("%d nodes may run", got)
+			t.Fatalf("possible() = %d nodes, want at least 1", got)
 		}
 	})
 }
 
-// keptStore is a store that holds one record of held requests.
+// keptStore is a store that holds one record of quarantined requests.
 type keptStore struct {
 	Store
 	item source.Item
--- a/transport/entry/peers_test.go
+++ b/transport/entry/peers_test.go
@@ -17,12 +17,12 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// testAddress returns the inner address of the nth node of a test.
+// testAddress returns the peer address of the nth node of a test.
 func testAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 7000)
 }
 
-// anyConfiguration reads every record as the same configuration.
+// anyConfiguration decodes every record as the same configuration.
 type anyConfiguration struct{}
 
 func (anyConfiguration) Catalog([]byte) (*catalog.Catalog, error) {
@@ -33,13 +33,13 @@
 	return fleet.Instance{}, nil
 }
 
-// newTestNode returns a node that does not run, of one core.
+// newTestNode returns a node with a capacity of one core that is not running.
 func newTestNode() *Node {
 	set := &Settings{Name: "own", Hall: "hall", Peer: testAddress(1), Capacity: 1, KeysWithin: time.Second, Policy: DefaultPolicy()}
 	return New(set, Ports{Decoder: anyConfiguration{}}, clockwork.NewFakeClock(), &log.Logger{Handler: discard.New()})
 }
 
-// ableNode returns a node that does not run, but has all it needs to place.
+// ableNode returns a node that is not running, but knows all that a leader needs.
 func ableNode(g *WithT) *Node {
 	n := newTestNode()
 	n.number.Store(1)
@@ -71,7 +71,7 @@
 		knows  int
 		listed bool
 	}{
-		{"as many", 3, false},
+		{"the same number", 3, false},
 		{"fewer", 1, true},
 		{"more", 5, true},
 	} {
@@ -95,15 +95,15 @@
 	for range 8 {
 		n.health.RecordDelay(100*time.Millisecond, n.clock.Now())
 	}
-	g.Expect(mayPlace()).To(BeTrue(), "no other node is known to do better")
+	g.Expect(mayPlace()).To(BeTrue(), "no other node is known to run on time")
 	n.peers.words["b"] = heardWord{word: Word{Late: true}, at: n.clock.Now()}
 	g.Expect(mayPlace()).To(BeTrue())
 	n.peers.words["c"] = heardWord{word: Word{}, at: n.clock.Now()}
 	g.Expect(mayPlace()).To(BeFalse())
 }
 
-// A node that does not place, because it runs late, hands the configuration on all
-// the same: the asker may have nobody else to hear from.
+// A node that does not lead, because it runs late, still sends its configuration in its answer:
+// the asking node may have no other source.
 func TestANodeThatDoesNotPlaceHandsTheConfigurationOn(t *testing.T) {
 	g := NewWithT(t)
 	n := ableNode(g)
--- a/transport/entry/querydeath_test.go
+++ b/transport/entry/querydeath_test.go
@@ -23,37 +23,35 @@
 	"github.com/troutmast/troutmast/transport/entry"
 )
 
-// For fifteen seconds most callers of one kind of request got errors or late answers.
-// One request ended each instance that began to run it. Its attempt went on
-// at a second instance, which ended too; then it came again, at another node, as
-// another attempt. Each attempt kept its bound of two runs and the service kept its
-// share of repeats, but nothing outlived the attempt and the node that saw it:
-// over forty instances ended, each with five to thirty sound requests on it.
-//
-// Evidence: two instances ended 0.1 to 0.4 s apart with one id in the list of those
-// tried, again and again, each time cutting requests on up to nine nodes within 3 ms.
+// These tests guard against a query of death: a request that crashes each instance that runs
+// it. Its attempt is retried at a second instance, which crashes too, 0.1 to 0.4 s later. Then
+// callers send the request again, through another node, as a new attempt. The limit of two
+// instances for an attempt and the retry budget of the service do not stop this, since they
+// hold no state beyond one attempt and one node. In an incident of fifteen seconds, over forty
+// instances crashed, each with five to thirty other requests in flight from up to nine nodes,
+// and most callers of that kind of request got errors or late responses.
 
-// deadly marks the body of a request that ends the process of each instance that runs it.
+// deadly is the body of a request that crashes each instance that runs it.
 const deadly = "deadly"
 
-// Times of the test.
+// Durations of the test.
 const (
-	// restartAfter is how long an instance takes to come back after it ended.
+	// restartAfter is how long an instance takes to restart after a crash.
 	restartAfter = 700 * time.Millisecond
-	// runTime is how long an instance works on a request.
+	// runTime is the service time of a request.
 	runTime = 40 * time.Millisecond
-	// deadlyEvery is the mean time between two attempts of the deadly request.
+	// deadlyEvery is the interval at which the deadly request is sent.
 	deadlyEvery = 60 * time.Millisecond
-	// learnTime is how long all nodes may take to know what any of them saw.
+	// learnTime is how long it may take until all nodes know what any of them observed.
 	learnTime = 3 * time.Second
 )
 
-// deadlyRepeats is how often the deadly request may reach an instance after learnTime.
+// deadlyRepeats is how often the deadly request may reach any instance after learnTime.
 const deadlyRepeats = 3
 
-// crashing is a set of instances that end under the deadly request and come back.
+// crashing is a set of instances that crash under the deadly request and restart.
 type crashing struct {
-	// comeBack is how instances come back.
+	// comeBack is how instances identify themselves after a restart.
 	comeBack comeBack
 
 	t      *testing.T
@@ -66,7 +64,7 @@
 	active sync.WaitGroup
 }
 
-// comeBack is under which id an instance comes back, and what it tells of its start.
+// comeBack is the ID of an instance after a restart, and whether its entry has a start time.
 type comeBack int
 
 const (
@@ -75,13 +73,13 @@
 	sameIDNoStart
 )
 
-// life is one process of an instance.
+// life is an incarnation of an instance.
 type life struct {
 	srv  *http.Server
 	once sync.Once
 }
 
-// newCrashing starts a number of instances, which end with the test.
+// newCrashing starts a number of instances, which stop at the end of the test.
 func newCrashing(t *testing.T, s *store, instances int, back comeBack) *crashing {
 	c := &crashing{t: t, s: s, comeBack: back}
 	t.Cleanup(c.stop)
@@ -91,7 +89,7 @@
 	return c
 }
 
-// begin starts a process of an instance and lists it.
+// begin starts an incarnation of an instance and lists it.
 func (c *crashing) begin(slot int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +117,7 @@
 	})
 }
 
-// serve answers a request, or ends the process under the deadly one.
+// serve answers a request, or crashes the incarnation if the request is the deadly one.
 func (c *crashing) serve(w http.ResponseWriter, r *http.Request, slot int, id string, l *life) {
 	body, _ := io.ReadAll(r.Body)
 	isDeadly := string(body) == deadly
@@ -135,14 +133,14 @@
 	_, _ = w.Write(body)
 }
 
-// note adds the time to a list.
+// note appends the current time to a list.
 func (c *crashing) note(list *[]time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*list = append(*list, time.Now())
 }
 
-// crash ends a process with all its connections; a new one follows later.
+// crash ends an incarnation and its connections, and starts a new one after restartAfter.
 func (c *crashing) crash(slot int, id string, l *life) {
 	c.note(&c.ended)
 	_ = l.srv.Close()
@@ -155,7 +153,7 @@
 	})
 }
 
-// stop ends all processes and has no further one begin.
+// stop ends all incarnations and prevents further restarts.
 func (c *crashing) stop() {
 	c.mu.Lock()
 	c.closed = true
@@ -166,8 +164,8 @@
 	c.active.Wait()
 }
 
-// lateSends returns how often the deadly request reached an instance later than
-// learnTime after the third ending, and how many instances ended in all.
+// lateSends returns how often the deadly request reached an instance later than learnTime
+// after the third crash, and the total number of crashes.
 func (c *crashing) lateSends() (late, ended int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +180,7 @@
 	return late, len(c.ended)
 }
 
-// crashDecoder reads a configuration with one route whose requests may be repeated once.
+// crashDecoder returns a configuration with one route whose requests may be retried once.
 type crashDecoder struct{ decoder }
 
 func (crashDecoder) Catalog([]byte) (*catalog.Catalog, error) {
@@ -190,7 +188,7 @@
 	return catalog.New(1, []catalog.Route{route}, []catalog.Service{{Name: "plain"}}, map[string]*catalog.Team{"k": {Name: "t"}}, catalog.Limits{}), nil
 }
 
-// dialTargets tells of an instance only whether its address takes connections.
+// dialTargets probes only whether the address of an instance accepts connections.
 type dialTargets struct{ targets }
 
 func (dialTargets) Report(ctx context.Context, at netip.AddrPort, _ state.InstanceID, _ entry.Connection) (fleet.Report, error) {
@@ -203,7 +201,7 @@
 	return fleet.Report{}, placement.ErrUnreadable
 }
 
-// post sends a request with a body to a node and returns the status and the text of the answer.
+// post sends a request with a body to a node and returns the status code and the response body.
 func post(client *http.Client, at netip.AddrPort, id, body string) (int, string) {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+at.String()+"/x", bytes.NewBufferString(body))
 	req.Host = "h"
@@ -226,13 +224,13 @@
 	endUnderDeadlyRequests(t, sameIDLaterStart)
 }
 
-// An instance that came back under its id, and told no start, counted as one that had never
-// ended, so that its ending under the request was forgotten.
+// An instance that restarts under the same ID and states no start time must not count as one
+// that never ended, or its crash under the request is forgotten.
 func TestARequestThatEndsInstancesWhichTellNoStartIsNotSentOnForEver(t *testing.T) {
 	endUnderDeadlyRequests(t, sameIDNoStart)
 }
 
-// endUnderDeadlyRequests sends the deadly request again and again, and sound ones at last.
+// endUnderDeadlyRequests sends the deadly request repeatedly, and harmless requests afterwards.
 func endUnderDeadlyRequests(t *testing.T, back comeBack) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
@@ -250,11 +248,11 @@
 	}
 	callers.Wait()
 	late, ended := instances.lateSends()
-	t.Logf("%d instances ended, %d late sends", ended, late)
-	g.Expect(ended).To(BeNumerically(">=", 3), "the request is not known as one that ends instances")
+	t.Logf("%d crashes, %d late sends", ended, late)
+	g.Expect(ended).To(BeNumerically(">=", 3), "too few crashes to identify the request as deadly")
 	g.Expect(late).To(BeNumerically("<=", deadlyRepeats))
 
-	// Sound requests are served as ever, by all nodes.
+	// All nodes still serve harmless requests.
 	time.Sleep(2 * restartAfter)
 	for i := range 30 {
 		code, text := post(client, nodes[i%len(nodes)].set.Callers, fmt.Sprintf("s%d", i), fmt.Sprintf("sound %d", i))
@@ -262,7 +260,7 @@
 	}
 }
 
-// startCrashNodes starts nodes that know each other and waits until all of them serve.
+// startCrashNodes starts nodes that know each other, and waits until all of them serve.
 func startCrashNodes(t *testing.T, s *store, count int) []*running {
 	return startServing(t, s, count, func(string) entry.Ports {
 		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: dialect{}}
--- a/transport/entry/reach_test.go
+++ b/transport/entry/reach_test.go
@@ -17,7 +17,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// nodeBefore returns a node that knows one instance, which answers as told.
+// nodeBefore returns a node that knows one instance and probes it through targets.
 func nodeBefore(name string, clock clockwork.Clock, targets Targets) *Node {
 	set := &Settings{Name: name, Hall: "hall", Peer: testAddress(1), Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: discard.New()})
@@ -25,14 +25,14 @@
 	return n
 }
 
-// The leader took groups apart whose members it did not reach itself, while most other nodes did.
+// A leader must not dissolve a group because it alone does not reach one of its members.
 func TestALeaderAsksOtherNodesAboutAnInstanceThatItDoesNotReach(t *testing.T) {
 	group := fleet.Membership{Group: "g", Epoch: 7, State: fleet.Open}
 	for _, c := range []struct {
 		name string
-		// answering are the instances that answer the other node.
+		// answering are the instances that answer the other node's probes.
 		answering []state.InstanceID
-		// asks is set if the other node takes such questions: those of earlier builds don't.
+		// asks is set if the other node supports indirect probes: earlier builds do not.
 		asks      bool
 		lost, far bool
 	}{
@@ -62,7 +62,7 @@
 			g.Expect(m.Lost).To(Equal(c.lost))
 			g.Expect(m.Far).To(Equal(c.far))
 			if c.far {
-				g.Expect(m.Membership).To(Equal(group), "what the other node was told")
+				g.Expect(m.Membership).To(Equal(group), "the membership should come from the report to the other node")
 			}
 		})
 	}
--- a/transport/entry/restore_test.go
+++ b/transport/entry/restore_test.go
@@ -22,15 +22,15 @@
 	"github.com/troutmast/troutmast/transport/entry"
 )
 
-// The platform's store comes back from a copy some seconds old. Offsets go back and are given
-// out again, records that nodes have acted on are gone, and records that were replaced show
-// again. Nodes that took an offset for an identity or for an order of time went back to what
-// the copy shows, or waited at an offset that was no longer there.
+// These tests restore the platform's store from a backup that is some seconds old. Offsets go
+// back and are assigned again, records that nodes have acted on are missing, and replaced
+// records reappear. A node that uses an offset as an identity, or to order records in time,
+// returns to the state of the backup, or waits at an offset that no longer exists.
 
-// restoreNodes is the number of nodes in these tests.
+// restoreNodes is the number of nodes in each test.
 const restoreNodes = 7
 
-// keyDecoder reads a configuration that is written as VERSION:KEY,KEY.
+// keyDecoder reads a configuration of the form VERSION:KEY,KEY.
 type keyDecoder struct{ decoder }
 
 func (keyDecoder) Catalog(raw []byte) (*catalog.Catalog, error) {
@@ -48,8 +48,8 @@
 	return catalog.New(version, []catalog.Route{route}, []catalog.Service{{Name: "plain"}}, teams, catalog.Limits{}), nil
 }
 
-// restorable is a deployment whose store can be restored: nodes before plain instances that
-// count what they get.
+// restorable is a deployment whose store can be restored: nodes, and plain instances that
+// count their requests.
 type restorable struct {
 	t       *testing.T
 	s       *store
@@ -59,7 +59,7 @@
 	got     map[string]int
 }
 
-// newRestorable starts a deployment with a configuration and some instances, all in the store.
+// newRestorable starts a deployment whose store holds a configuration and the given instances.
 func newRestorable(t *testing.T, config string, instances ...string) *restorable {
 	r := &restorable{t: t, s: &store{topics: map[source.Topic][]source.Item{}, era: 1}, servers: map[string]*httptest.Server{}, got: map[string]int{}}
 	r.configure(config)
@@ -76,7 +76,7 @@
 	return r
 }
 
-// startNode starts one more node.
+// startNode adds a node.
 func (r *restorable) startNode() *running {
 	var seeds []netip.AddrPort
 	for _, n := range r.nodes {
@@ -92,7 +92,7 @@
 // configure writes a configuration.
 func (r *restorable) configure(text string) { r.s.add(source.Configuration, "config", text) }
 
-// serve starts an instance that is not listed.
+// serve starts an instance without listing it.
 func (r *restorable) serve(id string) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
@@ -113,17 +113,17 @@
 	})
 }
 
-// code sends a request with a key to a node and returns the status.
+// code sends a request with a key to a node and returns the status code.
 func (r *restorable) code(n *running, key string) int { return status(n.set.Callers, key) }
 
-// serves waits until a node answers a key with a status.
+// serves waits until a node answers requests with a key with the given status code.
 func (r *restorable) serves(n *running, key string, code int) {
 	r.t.Helper()
 	NewWithT(r.t).Eventually(func() int { return r.code(n, key) }, 10*time.Second, 10*time.Millisecond).Should(Equal(code), n.set.Name)
 }
 
-// called sends requests to all nodes for a time and returns which instances got some, and
-// how many requests were answered with which status.
+// called sends requests to all nodes for a time. It returns the number of requests by
+// instance, and the number of responses by status code.
 func (r *restorable) called(d time.Duration) (got map[string]int, codes map[int]int) {
 	r.mu.Lock()
 	clear(r.got)
@@ -144,23 +144,24 @@
 	return got, codes
 }
 
-// settleTime is after what time all that a copy lacks has been written again, or is gone.
+// settleTime is the time after a restoration until the records that the backup lacks have been
+// written again, or are given up.
 var settleTime = entry.DefaultPolicy().Node.RestoreSettle + time.Second
 
-// A key was taken away, and a version came, after the copy was made.
+// A key is revoked, by a new version of the configuration, after the backup is made.
 func TestNoConfigurationGoesBackWhenTheStoreDoes(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// between is what the log holds after the restoration before any node reads it.
+		// between changes the log after the restoration.
 		between func(r *restorable)
 	}{
-		{"the old offset is not there", func(*restorable) {}},
+		{"the old offset is missing", func(*restorable) {}},
 		{"the log has grown past the old offset", func(r *restorable) {
 			r.configure("1:k,old")
 			r.configure("1:k,old")
 			r.configure("1:k,old")
 		}},
-		{"it comes back a second time", func(r *restorable) {
+		{"the store is restored a second time", func(r *restorable) {
 			older := r.s.copy()
 			r.configure("2:k,old")
 			time.Sleep(300 * time.Millisecond)
@@ -182,11 +183,12 @@
 			c.between(r)
 			for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 				for _, n := range r.nodes {
-					g.Expect(r.code(n, "old")).NotTo(Equal(http.StatusOK), "a key that was taken away is accepted at %s", n.set.Name)
+					g.Expect(r.code(n, "old")).NotTo(Equal(http.StatusOK), "node %s accepts a revoked key", n.set.Name)
 				}
 			}
 			away.view.setCut(false)
-			// What the operator writes again and anew comes into force on all nodes, also on a new one.
+			// A configuration that the operator writes after the restoration takes effect on all nodes,
+			// a new one included.
 			r.configure("5:k")
 			r.configure("6:k,new")
 			r.startNode()
@@ -198,7 +200,8 @@
 	}
 }
 
-// A node that starts just then knows only the copy, until a peer tells it.
+// A node that starts right after the restoration knows only the backup, until a peer sends it
+// the current configuration.
 func TestANodeThatStartsAfterARestorationKnowsWhatTheOthersKnow(t *testing.T) {
 	g := NewWithT(t)
 	r := newRestorable(t, "1:k,old", "i0")
@@ -216,8 +219,9 @@
 	}
 }
 
-// One instance came after the copy was made, and writes its entry again only later; another
-// one left, and the copy shows it as ready.
+// The instance list is restored from a backup. It lacks two instances that joined after it was
+// made, one of which writes its entry again only after the settle time, and it lists as ready an
+// instance that has left.
 func TestInstancesStandAsTheyAreKnownWhenTheListGoesBack(t *testing.T) {
 	g := NewWithT(t)
 	r := newRestorable(t, "1:k", "stays", "leaves")
@@ -232,7 +236,7 @@
 
 	r.s.restore(older)
 	got, codes := r.called(time.Second)
-	g.Expect(names(got)).To(ConsistOf("stays", "late", "lost"), "nothing has changed but the store")
+	g.Expect(names(got)).To(ConsistOf("stays", "late", "lost"), "only the store has changed, not the instances")
 	g.Expect(codes).To(HaveLen(1))
 	r.list("late")
 	r.list("stays")
@@ -240,7 +244,8 @@
 	g.Expect(got).NotTo(HaveKey("leaves"))
 	g.Expect(codes).To(HaveLen(1))
 
-	// What is not written again within the time is gone; it comes back when it writes.
+	// An instance that does not write its entry again within the settle time is dropped; it
+	// returns once it does.
 	g.Eventually(func() []string { got, _ := r.called(300 * time.Millisecond); return names(got) }, 10*time.Second).
 		Should(ConsistOf("stays", "late"))
 	r.list("lost")
@@ -257,7 +262,8 @@
 	return list
 }
 
-// Nodes write their entries again, so that one which starts later knows all of them.
+// Nodes write their entries again after a restoration, so that a node that starts later knows
+// all of them.
 func TestNodesWriteTheirEntriesAgain(t *testing.T) {
 	g := NewWithT(t)
 	empty := copied{}
@@ -281,5 +287,5 @@
 	}
 	r.s.mu.Lock()
 	defer r.s.mu.Unlock()
-	g.Expect(len(r.s.topics[source.Nodes])).To(BeNumerically("<=", 2*restoreNodes), "each writes its entry once or twice")
+	g.Expect(len(r.s.topics[source.Nodes])).To(BeNumerically("<=", 2*restoreNodes), "each node should write its entry at most twice")
 }
--- a/transport/entry/upgradesize_test.go
+++ b/transport/entry/upgradesize_test.go
@@ -14,8 +14,8 @@
 )
 
 // BenchmarkUpgradeAtSize replaces all nodes of a system one at a time. It reports how often the
-// leader changes, with and without the newest build first, and what a node that has just started
-// is told at first, in kilobytes.
+// leader changes, with and without preference for the newest build, and the size in kilobytes of
+// the leader's first answer to a node that has just started.
 func BenchmarkUpgradeAtSize(b *testing.B) {
 	for _, size := range []struct{ nodes, instances int }{{85, 296}, {300, 1050}, {570, 2000}} {
 		for _, newestFirst := range []bool{true, false} {
@@ -32,8 +32,8 @@
 	}
 }
 
-// leaderChanges returns how often the leader changes while nodes of four sizes are replaced,
-// each away for the time in which the next in the order leads.
+// leaderChanges returns how often the leader changes while nodes of four capacities are replaced
+// one at a time. Each is away long enough for the next node in the order to lead.
 func leaderChanges(nodes int, newestFirst bool, seed int) int {
 	var all []NodeEntry
 	for i := range nodes {
@@ -57,7 +57,7 @@
 	return changes
 }
 
-// firstOf returns the address of the node that leads, without the one that is away.
+// firstOf returns the address of the node that leads while the node at index away is absent.
 func firstOf(all []NodeEntry, away int) string {
 	best := -1
 	for i := range all {
@@ -68,7 +68,7 @@
 	return all[best].Address
 }
 
-// firstAnswer returns the size of a leader's answer to a node that knows nothing.
+// firstAnswer returns the size in bytes of a leader's answer to a node that knows nothing.
 func firstAnswer(g *WithT, nodes, instances int) int {
 	leader := numbered(g, "leader", 1)
 	leader.peers.setPlacing(true)
--- a/transport/entry/version_test.go
+++ b/transport/entry/version_test.go
@@ -12,7 +12,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// askAsVersion has a node report to a leader as one of a build of some version does.
+// askAsVersion sends a node's status report to a leader as a build of the given version would.
 func askAsVersion(g *WithT, from, leader *Node, version int) *Answer {
 	w := from.peers.word()
 	w.Protocol = version
@@ -24,7 +24,7 @@
 	return resp.Msg
 }
 
-// limitedHead makes an instance known to a node as the head of an open group.
+// limitedHead adds an instance to a node's roster as the head of an open group.
 func limitedHead(n *Node, id state.InstanceID) fleet.Instance {
 	in := fleet.Instance{
 		ID: id, Service: "lm", Address: testAddress(201), Slots: 4, Model: "m", Loaded: "m", Position: 9,
@@ -34,8 +34,9 @@
 	return in
 }
 
-// A node of an earlier build does not read limits, and sends what it always did. It heeds which
-// formations to avoid and how many requests instances hold.
+// A node of an earlier build does not read rate limits, and would not reduce what it sends. It
+// does apply the list of groups to avoid and the number of requests at each instance, so the
+// leader uses these to keep it away from limited instances.
 func TestNodesOfAnEarlierBuildAreKeptAwayFromLimitedInstances(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -44,7 +45,7 @@
 	}{
 		{"an earlier build", 0, true},
 		{"this build", protocolVersion, false},
-		{"a later one", protocolVersion + 1, false},
+		{"a later build", protocolVersion + 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -67,12 +68,13 @@
 			g.Expect(a.Held[r.in.ID]).To(BeNumerically(">", 0))
 			g.Expect(a.Dealing).To(BeFalse())
 			held, _ := r.leader.peers.total()
-			g.Expect(held).NotTo(HaveKey(head.ID), "the leader's own sums are left alone")
+			g.Expect(held).NotTo(HaveKey(head.ID), "the leader's own totals should not change")
 		})
 	}
 }
 
-// The nodes of earlier builds send nothing then, so that the others may use their part.
+// Nodes of earlier builds send nothing to a limited instance, so the other nodes may use their
+// share of the limit.
 func TestThePartOfNodesOfAnEarlierBuildIsUsedByTheOthers(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
@@ -86,7 +88,7 @@
 		r.leader.dealLimits(r.clock.Now())
 		sent += spend(r.leader, &r.in)
 	}
-	g.Expect(sent).To(BeNumerically("~", 30, 3), "3 a second, for 10 s")
+	g.Expect(sent).To(BeNumerically("~", 30, 3), "3 requests a second for 10 s")
 }
 
 func TestOfNodesOfOneSizeThoseOfTheNewestBuildLead(t *testing.T) {
@@ -97,7 +99,7 @@
 		earlier := NodeEntry{Name: "earlier", Address: testAddress(2 + i).String(), Capacity: n.set.Capacity}
 		larger := NodeEntry{Name: "larger", Address: testAddress(2 + i).String(), Capacity: n.set.Capacity + 0.1}
 		g.Expect(precedes(own, earlier)).To(BeTrue())
-		g.Expect(precedes(larger, own)).To(BeTrue(), "a larger node of an earlier build leads all the same")
+		g.Expect(precedes(larger, own)).To(BeTrue(), "a larger node should lead even if its build is earlier")
 	}
 }
 
@@ -111,7 +113,7 @@
 	g.Expect(n.logged("node of a later version")).To(Equal(1))
 }
 
-// What the list says of formations does not depend on the version: an instance is found by it.
+// A limited instance adds its group to the list of groups to avoid only if it is the head.
 func TestALimitedInstanceThatIsNoHeadIsInNoListOfFormations(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
