--- a/transport/entry/busyleader_test.go
+++ b/transport/entry/busyleader_test.go
@@ -26,27 +26,27 @@
 // group of 16 had a false loss four times as often as a group of 4, so mostly small groups
 // remained, and callers of the model in large groups waited or were refused.
 
-// slowProbes answers no probe, and delays the detection of each timeout.
-type slowProbes struct {
+// lateProbeTargets answers no probe, and delays the detection of each timeout.
+type lateProbeTargets struct {
 	clock *clockwork.FakeClock
-	late  time.Duration
+	delay time.Duration
 }
 
-func (p slowProbes) Report(ctx context.Context, _ netip.AddrPort, _ state.InstanceID, _ Connection) (fleet.Report, error) {
+func (p lateProbeTargets) Report(ctx context.Context, _ netip.AddrPort, _ state.InstanceID, _ Connection) (fleet.Report, error) {
 	<-ctx.Done()
-	p.clock.Advance(DefaultPolicy().Node.ProbeTimeout + p.late)
+	p.clock.Advance(DefaultPolicy().Node.ProbeTimeout + p.delay)
 	return fleet.Report{}, ctx.Err()
 }
 
-func (slowProbes) Order(context.Context, placement.Order, Connection) (OrderAnswer, error) {
+func (lateProbeTargets) Order(context.Context, placement.Order, Connection) (OrderAnswer, error) {
 	return OrderAnswer{Reply: placement.Unanswered}, context.DeadlineExceeded
 }
 
-func TestAProbeWhoseTimeoutIsNoticedLateProvesNothing(t *testing.T) {
+func TestProbeTimeoutDetectedLateIsIgnored(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		late time.Duration
-		lost bool
+		name  string
+		delay time.Duration
+		lost  bool
 	}{
 		{"on time", 2 * time.Millisecond, true},
 		{"late", 40 * time.Millisecond, false},
@@ -55,7 +55,7 @@
 			g := NewWithT(t)
 			clock := clockwork.NewFakeClock()
 			set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
-			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: slowProbes{clock, c.late}}, clock, &log.Logger{Handler: discard.New()})
+			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: lateProbeTargets{clock, c.delay}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9)}
 			n.roster.ApplyFreshEntry(in, clock.Now())
 			for range set.Policy.Roster.LostFailures {
@@ -78,13 +78,13 @@
 
 // Changes that come together must rebuild the candidates of requests only once: the loss of a
 // domain of 37 instances brings each node 74 failed probes within a third of a second.
-func TestChangesThatComeTogetherRebuildTheCandidatesOnce(t *testing.T) {
+func TestBurstOfChangesRebuildsCandidatesOnce(t *testing.T) {
 	g := NewWithT(t)
 	n := ableNode(g)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		n.rebuild(ctx)
 	}()
 	for i := range 100 {
@@ -93,21 +93,21 @@
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	<-ended
+	<-done
 	// The fake clock is never advanced, so that no pause ends.
 	g.Expect(metrics.GetOrRegisterCounter("candidates.rebuilt", n.metrics).Count()).To(Equal(int64(1)))
 }
 
-func TestAnswersThatComeTogetherMakeOneStepOfThePlanner(t *testing.T) {
+func TestBurstOfAnswersRunsOnePlanningStep(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestNode()
 	n.know = NewKnowledge(engineConfiguration{}, false, time.Second, n.clock)
 	g.Expect(n.know.Learn([]byte("x"))).Error().NotTo(HaveOccurred())
 	n.peers.setPlacing(true)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		n.placer.run(ctx)
 	}()
 	for range 200 {
@@ -115,7 +115,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	<-ended
+	<-done
 	// The fake clock is never advanced, so that no pause ends.
 	g.Expect(n.load.steps).To(BeNumerically("<=", 1))
 }
--- a/transport/entry/era_test.go
+++ b/transport/entry/era_test.go
@@ -35,7 +35,7 @@
 
 // The number of a node is the era and the offset of its entry: after a restoration the store
 // may assign one offset to two incarnations.
-func TestNodesThatRegisterBeforeAndAfterARestorationHaveDifferentNumbers(t *testing.T) {
+func TestNodeNumbersDifferAcrossRestorations(t *testing.T) {
 	g := NewWithT(t)
 	store := &eraStore{era: 1, next: 12}
 	before, after := newTestNode(), newTestNode()
@@ -48,36 +48,36 @@
 }
 
 // A read from a backup does not confirm keys: the backup may still hold a revoked key.
-func TestAnOlderCopyConfirmsNoKeysUntilAllIsWrittenAgain(t *testing.T) {
+func TestBackupDoesNotConfirmKeysUntilSettled(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	store := &eraStore{era: 1, next: 5}
 	n.ports.Store = store
 	cursor := n.newCursor()
-	read := func() bool {
+	confirmed := func() bool {
 		tail, reading, err := n.follow(t.Context(), source.Configuration, cursor, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		return tail.Whole && reading != source.Restored && n.eras.confirms(n.clock.Now())
 	}
-	read()
-	g.Expect(read()).To(BeTrue())
+	confirmed()
+	g.Expect(confirmed()).To(BeTrue())
 	for range 2 { // a second restoration, before the first has settled
 		store.era++
 		go func() { _ = n.clock.BlockUntilContext(t.Context(), 1); n.clock.Advance(staleRetry) }()
-		g.Expect(read()).To(BeFalse(), "the read began in the previous era")
-		g.Expect(read()).To(BeFalse(), "the read returns only the backup")
-		g.Expect(read()).To(BeFalse(), "the records that the backup lacks may not be written again yet")
+		g.Expect(confirmed()).To(BeFalse(), "the read began in the previous era")
+		g.Expect(confirmed()).To(BeFalse(), "the read returns only the backup")
+		g.Expect(confirmed()).To(BeFalse(), "the records that the backup lacks may not be written again yet")
 		n.clock.Advance(n.policy.RestoreSettle / 2)
-		g.Expect(read()).To(BeFalse())
+		g.Expect(confirmed()).To(BeFalse())
 	}
 	n.clock.Advance(n.policy.RestoreSettle)
-	read()
-	g.Expect(read()).To(BeTrue())
+	confirmed()
+	g.Expect(confirmed()).To(BeTrue())
 	g.Expect(n.logged("store came back from an older copy")).To(Equal(2))
 }
 
 // A node that does not read the store itself learns of a restoration from the other nodes.
-func TestNodesTellEachOtherOfARestoration(t *testing.T) {
+func TestNodesReportRestorationToEachOther(t *testing.T) {
 	g := NewWithT(t)
 	leader, other := numbered(g, "leader", 1), numbered(g, "other", 2)
 	for _, n := range []*Node{leader, other} {
--- a/transport/entry/limited_test.go
+++ b/transport/entry/limited_test.go
@@ -35,24 +35,24 @@
 const (
 	// limitWindow is the window in which requests to a limited instance are counted.
 	limitWindow = 4 * time.Second
-	// limitKnown is how long after an instance first states its limit all nodes must keep to it.
-	limitKnown = 3 * time.Second
-	// limitEnded is how long an instance may take to get its full share again once it states no limit.
-	limitEnded = 20 * time.Second
-	// atOnce is the longest time until a request that no instance can accept is refused.
-	atOnce = 500 * time.Millisecond
+	// limitPropagation is how long after an instance first states its limit all nodes must keep to it.
+	limitPropagation = 3 * time.Second
+	// recoveryTime is how long an instance may take to get its full share again after its limit ends.
+	recoveryTime = 20 * time.Second
+	// maxRefusalTime is the longest time until a request that no instance can accept is refused.
+	maxRefusalTime = 500 * time.Millisecond
 )
 
-// mostInWindow returns how many requests a limited instance may get in a window from all
+// maxInWindow returns how many requests a limited instance may get in a window from all
 // nodes together: half as much again as its limit, and five.
-func mostInWindow(perSecond float64) float64 { return 1.5*perSecond*limitWindow.Seconds() + 5 }
+func maxInWindow(perSecond float64) float64 { return 1.5*perSecond*limitWindow.Seconds() + 5 }
 
-// headerLimit is the header in which the fake instances state their limits.
-const headerLimit = "Limit"
+// limitHeader is the header in which the fake instances state their limits.
+const limitHeader = "Limit"
 
 // limitOf reads the limit from the response of a fake instance.
 func limitOf(h http.Header) fleet.RateLimit {
-	if text := h.Get(headerLimit); text != "" {
+	if text := h.Get(limitHeader); text != "" {
 		perSecond, err := strconv.ParseFloat(text, 64)
 		return fleet.RateLimit{Said: err == nil, Limited: true, PerSecond: perSecond, Fault: err}
 	}
@@ -105,72 +105,72 @@
 	}
 	_ = resp.Body.Close()
 	return fleet.Report{
-		Notice: fleet.Notice{RateLimit: limitOf(resp.Header)}, Membership: openGroup(id), Model: limitModel, Staged: []string{limitModel},
+		Notice: fleet.Notice{RateLimit: limitOf(resp.Header)}, Membership: singletonGroup(id), Model: limitModel, Staged: []string{limitModel},
 	}, nil
 }
 
-// openGroup returns the membership of an instance that is a group of its own.
-func openGroup(id state.InstanceID) fleet.Membership {
+// singletonGroup returns the membership of an instance that is a group of its own.
+func singletonGroup(id state.InstanceID) fleet.Membership {
 	return fleet.Membership{Group: state.GroupName("g-" + id), Epoch: 1, State: fleet.Open}
 }
 
-// limiting is a set of instances, some of which state a limit while it is enabled.
-type limiting struct {
+// limitedInstances is a set of instances, some of which state a limit while it is enabled.
+type limitedInstances struct {
 	mu        sync.Mutex
-	named     bool
+	enabled   bool
 	perSecond float64
-	// began is when the limit was first stated, arrivals are all calls by instance, probes
-	// included, questions counts the probes.
-	began     time.Time
-	arrivals  map[string][]time.Time
-	questions map[string]int
+	// statedAt is when the limit was first stated, arrivals are all calls by instance, including
+	// probes, and probes counts the probes alone.
+	statedAt time.Time
+	arrivals map[string][]time.Time
+	probes   map[string]int
 }
 
-// newLimiting starts and lists instances, the first few of which may state a limit.
-func newLimiting(t *testing.T, s *store, instances, limited int, perSecond float64) *limiting {
-	set := &limiting{perSecond: perSecond, arrivals: map[string][]time.Time{}, questions: map[string]int{}}
+// newLimitedInstances starts and lists instances, the first few of which may state a limit.
+func newLimitedInstances(t *testing.T, s *store, instances, limited int, perSecond float64) *limitedInstances {
+	set := &limitedInstances{perSecond: perSecond, arrivals: map[string][]time.Time{}, probes: map[string]int{}}
 	for i := range instances {
 		id := state.InstanceID(fmt.Sprintf("i%d", i))
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { set.serve(w, r, string(id), i < limited) }))
 		t.Cleanup(srv.Close)
 		s.add(source.Instances, string(id), fleet.Instance{
 			ID: id, Service: "lm", Slots: 64, Hall: "hall", Domain: "d", Address: netip.MustParseAddrPort(srv.Listener.Addr().String()),
-			Model: limitModel, Loaded: limitModel, Staged: []string{limitModel}, Membership: openGroup(id),
+			Model: limitModel, Loaded: limitModel, Staged: []string{limitModel}, Membership: singletonGroup(id),
 		})
 	}
 	return set
 }
 
 // serve answers a request or a probe, and states the limit if it is enabled.
-func (l *limiting) serve(w http.ResponseWriter, r *http.Request, id string, limited bool) {
+func (l *limitedInstances) serve(w http.ResponseWriter, r *http.Request, id string, limited bool) {
 	body, _ := io.ReadAll(r.Body)
 	l.mu.Lock()
 	l.arrivals[id] = append(l.arrivals[id], time.Now())
 	if r.URL.Path == "/report" {
-		l.questions[id]++
+		l.probes[id]++
 	}
-	if limited && l.named {
-		if l.began.IsZero() {
-			l.began = time.Now()
+	if limited && l.enabled {
+		if l.statedAt.IsZero() {
+			l.statedAt = time.Now()
 		}
-		w.Header().Set(headerLimit, strconv.FormatFloat(l.perSecond, 'f', -1, 64))
+		w.Header().Set(limitHeader, strconv.FormatFloat(l.perSecond, 'f', -1, 64))
 	}
 	l.mu.Unlock()
 	w.Header().Set("Id", r.Header.Get("Id"))
 	_, _ = w.Write(body)
 }
 
-// name turns the limit on or off.
-func (l *limiting) name(on bool) {
+// setLimited turns the limit on or off.
+func (l *limitedInstances) setLimited(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.named = on
+	l.enabled = on
 }
 
-// worst returns the most calls that reached a limited instance in any window that ends at
-// least limitKnown after the limit was first stated, and the fewest that a limited instance got
-// in the last window.
-func (l *limiting) worst(limited int) (most, last int) {
+// callsInWindows returns the most calls that reached a limited instance in any window that ends
+// at least limitPropagation after the limit was first stated, and the fewest that a limited
+// instance got in the last window.
+func (l *limitedInstances) callsInWindows(limited int) (most, last int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -178,17 +178,17 @@
 	for i := range limited {
 		list := l.arrivals[fmt.Sprintf("i%d", i)]
 		for _, end := range list {
-			if end.Sub(l.began) >= limitKnown {
-				most = max(most, inWindow(list, end))
+			if end.Sub(l.statedAt) >= limitPropagation {
+				most = max(most, countInWindow(list, end))
 			}
 		}
-		last = min(last, inWindow(list, now))
+		last = min(last, countInWindow(list, now))
 	}
 	return most, last
 }
 
-// inWindow counts the times in the window that ends at a time.
-func inWindow(list []time.Time, end time.Time) int {
+// countInWindow counts the times in the window that ends at a time.
+func countInWindow(list []time.Time, end time.Time) int {
 	n := 0
 	for _, at := range list {
 		if d := end.Sub(at); d >= 0 && d < limitWindow {
@@ -198,8 +198,8 @@
 	return n
 }
 
-// since returns the number of calls that an instance got after a time.
-func (l *limiting) since(id string, at time.Time) int {
+// callsSince returns the number of calls that an instance got after a time.
+func (l *limitedInstances) callsSince(id string, at time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := slices.IndexFunc(l.arrivals[id], func(a time.Time) bool { return a.After(at) })
@@ -209,19 +209,19 @@
 	return len(l.arrivals[id]) - first
 }
 
-// outcomes counts the status codes that callers got.
-type outcomes struct {
-	mu     sync.Mutex
-	status map[int]int
+// callerResults counts the status codes that callers got.
+type callerResults struct {
+	mu    sync.Mutex
+	codes map[int]int
 	// slowest is the longest time until a refusal.
 	slowest time.Duration
 }
 
-// callUnevenly sends perSecond requests a second for a time; choose picks the node that gets
+// sendRequests sends perSecond requests a second for a time; choose picks the node that gets
 // each of them.
-func callUnevenly(nodes []*running, perSecond int, d time.Duration, choose func(n int) int) *outcomes {
+func sendRequests(nodes []*running, perSecond int, d time.Duration, choose func(n int) int) *callerResults {
 	client := &http.Client{Timeout: 2 * time.Second}
-	out := &outcomes{status: map[int]int{}}
+	out := &callerResults{codes: map[int]int{}}
 	var callers sync.WaitGroup
 	end := time.Now().Add(d)
 	for n := 0; time.Now().Before(end); n++ {
@@ -231,7 +231,7 @@
 			code, _ := post(client, at, fmt.Sprintf("r%d", n), "x")
 			out.mu.Lock()
 			defer out.mu.Unlock()
-			out.status[code]++
+			out.codes[code]++
 			if code == http.StatusServiceUnavailable {
 				out.slowest = max(out.slowest, time.Since(began))
 			}
@@ -243,65 +243,65 @@
 }
 
 // Distributions of callers over nodes.
-func evenly(n int) int  { return rand.N(n) }
-func atOneNode(int) int { return 0 }
-func atFewNodes(n int) int {
+func anyNode(n int) int { return rand.N(n) }
+func firstNode(int) int { return 0 }
+func mostlyTwoNodes(n int) int {
 	if rand.N(10) == 0 {
 		return rand.N(n)
 	}
 	return rand.N(min(2, n))
 }
 
-func TestALimitedInstanceGetsNoMoreThanItTakesFromAllNodes(t *testing.T) {
+func TestNodesTogetherStayWithinRateLimit(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		nodes              int
 		instances, limited int
 		perSecond          float64
-		// asked is the rate of requests from callers, per instance and second.
-		asked   int
-		groups  bool
-		callers func(n int) int
+		// ratePerInstance is the rate of requests from callers, per instance and second.
+		ratePerInstance int
+		groups          bool
+		choose          func(n int) int
 	}{
-		{"one of three", 3, 3, 1, 2.2, 8, false, evenly},
-		{"one of three, many nodes", 9, 3, 1, 1.5, 8, false, evenly},
-		{"one of three, all callers at one node", 9, 3, 1, 2.2, 8, false, atOneNode},
-		{"all of three, most callers at two nodes", 9, 3, 3, 3, 8, false, atFewNodes},
-		{"the only instance", 9, 1, 1, 4, 10, false, evenly},
-		{"two of twelve", 9, 12, 2, 1, 6, false, evenly},
-		{"two of six groups", 9, 6, 2, 2.2, 8, true, evenly},
-		{"limits of zero", 3, 3, 1, 0, 2, true, evenly},
+		{"one of three", 3, 3, 1, 2.2, 8, false, anyNode},
+		{"one of three, many nodes", 9, 3, 1, 1.5, 8, false, anyNode},
+		{"one of three, all callers at one node", 9, 3, 1, 2.2, 8, false, firstNode},
+		{"all of three, most callers at two nodes", 9, 3, 3, 3, 8, false, mostlyTwoNodes},
+		{"the only instance", 9, 1, 1, 4, 10, false, anyNode},
+		{"two of twelve", 9, 12, 2, 1, 6, false, anyNode},
+		{"two of six groups", 9, 6, 2, 2.2, 8, true, anyNode},
+		{"limits of zero", 3, 3, 1, 0, 2, true, anyNode},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			s := &store{topics: map[source.Topic][]source.Item{}}
 			s.add(source.Configuration, "config", 1)
-			instances := newLimiting(t, s, c.instances, c.limited, c.perSecond)
+			instances := newLimitedInstances(t, s, c.instances, c.limited, c.perSecond)
 			nodes := startLimitNodes(t, s, c.nodes, c.groups)
-			rate := c.asked * c.instances
-			callUnevenly(nodes, rate, time.Second, c.callers)
-			instances.name(true)
-			out := callUnevenly(nodes, rate, limitKnown+limitWindow, c.callers)
-			most, last := instances.worst(c.limited)
+			rate := c.ratePerInstance * c.instances
+			sendRequests(nodes, rate, time.Second, c.choose)
+			instances.setLimited(true)
+			out := sendRequests(nodes, rate, limitPropagation+limitWindow, c.choose)
+			most, last := instances.callsInWindows(c.limited)
 			t.Logf("at most %d calls in a window, %g allowed; %d in the last one; probes %v; status codes %v; slowest refusal %v",
-				most, mostInWindow(c.perSecond), last, instances.questions, out.status, out.slowest)
-			g.Expect(instances.began).NotTo(BeZero(), "no instance stated a limit")
-			g.Expect(float64(most)).To(BeNumerically("<=", mostInWindow(c.perSecond)))
+				most, maxInWindow(c.perSecond), last, instances.probes, out.codes, out.slowest)
+			g.Expect(instances.statedAt).NotTo(BeZero(), "no instance stated a limit")
+			g.Expect(float64(most)).To(BeNumerically("<=", maxInWindow(c.perSecond)))
 			if c.limited < c.instances {
-				g.Expect(out.status).To(HaveLen(1), "the instances without a limit should absorb all requests")
+				g.Expect(out.codes).To(HaveLen(1), "the instances without a limit should absorb all requests")
 			} else {
 				g.Expect(float64(last)).To(BeNumerically(">=", c.perSecond*limitWindow.Seconds()/2), "the limits of the instances should be used at least half")
 			}
-			g.Expect(out.slowest).To(BeNumerically("<", atOnce))
+			g.Expect(out.slowest).To(BeNumerically("<", maxRefusalTime))
 
 			// Without a limit, the instance gets its full share again.
-			instances.name(false)
+			instances.setLimited(false)
 			ended := time.Now()
 			g.Eventually(func() float64 {
-				callUnevenly(nodes, rate, time.Second, c.callers)
-				return float64(instances.since("i0", ended)) - c.perSecond*time.Since(ended).Seconds()
-			}, limitEnded, time.Millisecond).Should(BeNumerically(">", mostInWindow(0)))
+				sendRequests(nodes, rate, time.Second, c.choose)
+				return float64(instances.callsSince("i0", ended)) - c.perSecond*time.Since(ended).Seconds()
+			}, recoveryTime, time.Millisecond).Should(BeNumerically(">", maxInWindow(0)))
 		})
 	}
 }
--- a/transport/entry/past_test.go
+++ b/transport/entry/past_test.go
@@ -15,13 +15,13 @@
 	"github.com/troutmast/troutmast/coordination/source"
 )
 
-// pastMessages is the folder of the messages and records that earlier builds encoded, by commit.
+// earlierMessages is the folder of messages and records as earlier builds encoded them, by commit.
 // Nodes of such a build may run next to nodes of this one, and read its records from the store.
-const pastMessages = "testdata/messages"
+const earlierMessages = "testdata/messages"
 
-// past returns the stored examples of a message, by commit.
-func past(tb testing.TB, name string) map[string][]byte {
-	paths, err := filepath.Glob(filepath.Join(pastMessages, "*", name+".json"))
+// loadExamples returns the stored examples of a message, by commit.
+func loadExamples(tb testing.TB, name string) map[string][]byte {
+	paths, err := filepath.Glob(filepath.Join(earlierMessages, "*", name+".json"))
 	if err != nil || len(paths) < 2 {
 		tb.Fatalf("found %d examples of %s, want at least 2: %v", len(paths), name, err)
 	}
@@ -36,9 +36,9 @@
 	return examples
 }
 
-// lacks returns the path of the first part of an older JSON value that is missing from a newer
-// one or differs there, or "" if there is none.
-func lacks(older, newer any) string {
+// missingPath returns the path of a part of an older JSON value that is missing from a newer one
+// or differs there, or "" if there is none.
+func missingPath(older, newer any) string {
 	switch o := older.(type) {
 	case map[string]any:
 		n, ok := newer.(map[string]any)
@@ -46,7 +46,7 @@
 			return "."
 		}
 		for key, value := range o {
-			if path := lacks(value, n[key]); path != "" {
+			if path := missingPath(value, n[key]); path != "" {
 				return "." + key + path
 			}
 		}
@@ -57,7 +57,7 @@
 			return "[]"
 		}
 		for i := range o {
-			if path := lacks(o[i], n[i]); path != "" {
+			if path := missingPath(o[i], n[i]); path != "" {
 				return "[]" + path
 			}
 		}
@@ -71,29 +71,29 @@
 
 // Each field that an earlier build knows must keep its name and type, so that builds can read
 // each other's messages in both directions.
-func TestMessagesOfEarlierBuildsKeepTheirMeaning(t *testing.T) {
+func TestMessagesOfEarlierBuildsAreCompatible(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		into func() any
+		name     string
+		newValue func() any
 	}{
 		{"report", func() any { return &Word{} }},
 		{"answer", func() any { return &Answer{} }},
 		{"node", func() any { return &NodeEntry{} }},
 		{"quarantine", func() any { return &[]keptEnding{} }},
 	} {
-		for commit, raw := range past(t, c.name) {
+		for commit, raw := range loadExamples(t, c.name) {
 			t.Run(c.name+" of "+commit, func(t *testing.T) {
 				g := NewWithT(t)
-				v := c.into()
+				v := c.newValue()
 				strict := json.NewDecoder(bytes.NewReader(raw))
 				strict.DisallowUnknownFields()
 				g.Expect(strict.Decode(v)).To(Succeed())
-				again, err := json.Marshal(v)
+				encoded, err := json.Marshal(v)
 				g.Expect(err).NotTo(HaveOccurred())
 				var older, newer any
 				g.Expect(json.Unmarshal(raw, &older)).To(Succeed())
-				g.Expect(json.Unmarshal(again, &newer)).To(Succeed())
-				g.Expect(lacks(older, newer)).To(BeEmpty())
+				g.Expect(json.Unmarshal(encoded, &newer)).To(Succeed())
+				g.Expect(missingPath(older, newer)).To(BeEmpty())
 			})
 		}
 	}
@@ -101,7 +101,7 @@
 
 // No message from another node may crash this one.
 func FuzzStatusReport(f *testing.F) {
-	for _, raw := range past(f, "report") {
+	for _, raw := range loadExamples(f, "report") {
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -119,7 +119,7 @@
 }
 
 func FuzzStatusAnswer(f *testing.F) {
-	for _, raw := range past(f, "answer") {
+	for _, raw := range loadExamples(f, "answer") {
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -136,7 +136,7 @@
 }
 
 func FuzzNodeEntry(f *testing.F) {
-	for _, raw := range past(f, "node") {
+	for _, raw := range loadExamples(f, "node") {
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -153,23 +153,23 @@
 	})
 }
 
-// keptStore is a store that holds one record of quarantined requests.
-type keptStore struct {
+// singleRecordStore is a store that holds one record of quarantined requests.
+type singleRecordStore struct {
 	Store
 	item source.Item
 }
 
-func (s keptStore) Newest(context.Context, source.Topic) (source.Tail, error) {
+func (s singleRecordStore) Newest(context.Context, source.Topic) (source.Tail, error) {
 	return source.Tail{Items: []source.Item{s.item}, End: 1}, nil
 }
 
 func FuzzKeptQuarantine(f *testing.F) {
-	for _, raw := range past(f, "quarantine") {
+	for _, raw := range loadExamples(f, "quarantine") {
 		f.Add("0102030405060708090a0b0c0d0e0f10", raw)
 	}
 	f.Fuzz(func(t *testing.T, key string, raw []byte) {
 		n := ableNode(NewWithT(t))
-		n.ports.Store = keptStore{item: source.Item{Key: key, Value: raw}}
+		n.ports.Store = singleRecordStore{item: source.Item{Key: key, Value: raw}}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		n.restoreQuarantine(ctx)
--- a/transport/entry/peers_test.go
+++ b/transport/entry/peers_test.go
@@ -48,7 +48,7 @@
 	return n
 }
 
-func TestLargerNodesAreAskedToPlaceFirst(t *testing.T) {
+func TestLargerNodesAreFirstLeaderCandidates(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestNode()
 	var all []NodeEntry
@@ -65,11 +65,11 @@
 	g.Expect(order).To(Equal([]float64{0.8, 0.8, 0.2, 0.2, 0}))
 }
 
-func TestNodesAreListedOnlyForANodeThatKnowsAnotherNumber(t *testing.T) {
+func TestAnswerListsNodesOnlyIfCountsDiffer(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		knows  int
-		listed bool
+		name       string
+		knownNodes int
+		listed     bool
 	}{
 		{"the same number", 3, false},
 		{"fewer", 1, true},
@@ -79,8 +79,8 @@
 			g := NewWithT(t)
 			n := ableNode(g)
 			n.peers.learn(NodeEntry{Name: "a", Address: testAddress(2).String()})
-			word := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}, Nodes: c.knows}
-			resp, err := n.peers.answer(context.Background(), connect.NewRequest(word))
+			report := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}, Nodes: c.knownNodes}
+			resp, err := n.peers.answer(context.Background(), connect.NewRequest(report))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(resp.Msg.Placing).To(BeTrue())
 			g.Expect(len(resp.Msg.Nodes) > 0).To(Equal(c.listed))
@@ -88,29 +88,29 @@
 	}
 }
 
-func TestANodeThatRunsLateDoesNotPlaceBesideOneThatDoesNot(t *testing.T) {
+func TestLateNodeDoesNotLeadIfAnotherIsOnTime(t *testing.T) {
 	g := NewWithT(t)
 	n := ableNode(g)
-	mayPlace := func() bool { return n.peers.mayPlace(n.clock.Now()) }
+	canLead := func() bool { return n.peers.mayPlace(n.clock.Now()) }
 	for range 8 {
 		n.health.RecordDelay(100*time.Millisecond, n.clock.Now())
 	}
-	g.Expect(mayPlace()).To(BeTrue(), "no other node is known to run on time")
+	g.Expect(canLead()).To(BeTrue(), "no other node is known to run on time")
 	n.peers.words["b"] = heardWord{word: Word{Late: true}, at: n.clock.Now()}
-	g.Expect(mayPlace()).To(BeTrue())
+	g.Expect(canLead()).To(BeTrue())
 	n.peers.words["c"] = heardWord{word: Word{}, at: n.clock.Now()}
-	g.Expect(mayPlace()).To(BeFalse())
+	g.Expect(canLead()).To(BeFalse())
 }
 
 // A node that does not lead, because it runs late, still sends its configuration in its answer:
 // the asking node may have no other source.
-func TestANodeThatDoesNotPlaceHandsTheConfigurationOn(t *testing.T) {
+func TestNonLeaderAnswersWithConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	n := ableNode(g)
 	n.know.Confirm(n.clock.Now())
 	n.peers.resting = n.clock.Now().Add(time.Second)
-	word := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}}
-	resp, err := n.peers.answer(context.Background(), connect.NewRequest(word))
+	report := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}}
+	resp, err := n.peers.answer(context.Background(), connect.NewRequest(report))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(resp.Msg.Placing).To(BeFalse())
 	g.Expect(resp.Msg.Config).NotTo(BeEmpty())
--- a/transport/entry/querydeath_test.go
+++ b/transport/entry/querydeath_test.go
@@ -38,69 +38,69 @@
 const (
 	// restartAfter is how long an instance takes to restart after a crash.
 	restartAfter = 700 * time.Millisecond
-	// runTime is the service time of a request.
-	runTime = 40 * time.Millisecond
-	// deadlyEvery is the interval at which the deadly request is sent.
-	deadlyEvery = 60 * time.Millisecond
-	// learnTime is how long it may take until all nodes know what any of them observed.
-	learnTime = 3 * time.Second
+	// serviceTime is how long an instance works on a request.
+	serviceTime = 40 * time.Millisecond
+	// deadlyInterval is the interval at which the deadly request is sent.
+	deadlyInterval = 60 * time.Millisecond
+	// propagationTime is how long it may take until all nodes know what any of them observed.
+	propagationTime = 3 * time.Second
 )
 
-// deadlyRepeats is how often the deadly request may reach any instance after learnTime.
-const deadlyRepeats = 3
+// maxLateSends is how often the deadly request may reach any instance after propagationTime.
+const maxLateSends = 3
 
-// crashing is a set of instances that crash under the deadly request and restart.
-type crashing struct {
-	// comeBack is how instances identify themselves after a restart.
-	comeBack comeBack
+// crashingInstances is a set of instances that crash under the deadly request and restart.
+type crashingInstances struct {
+	// mode is how instances identify themselves after a restart.
+	mode restartMode
 
-	t      *testing.T
-	s      *store
-	mu     sync.Mutex
-	lives  []*life
-	ended  []time.Time
-	sends  []time.Time
-	closed bool
-	active sync.WaitGroup
+	t            *testing.T
+	s            *store
+	mu           sync.Mutex
+	incarnations []*incarnation
+	crashes      []time.Time
+	sends        []time.Time
+	closed       bool
+	active       sync.WaitGroup
 }
 
-// comeBack is the ID of an instance after a restart, and whether its entry has a start time.
-type comeBack int
+// restartMode is the ID of an instance after a restart, and whether its entry has a start time.
+type restartMode int
 
 const (
-	newID comeBack = iota
+	newID restartMode = iota
 	sameIDLaterStart
 	sameIDNoStart
 )
 
-// life is an incarnation of an instance.
-type life struct {
+// incarnation is one process of an instance.
+type incarnation struct {
 	srv  *http.Server
 	once sync.Once
 }
 
-// newCrashing starts a number of instances, which stop at the end of the test.
-func newCrashing(t *testing.T, s *store, instances int, back comeBack) *crashing {
-	c := &crashing{t: t, s: s, comeBack: back}
+// newCrashingInstances starts a number of instances, which stop at the end of the test.
+func newCrashingInstances(t *testing.T, s *store, instances int, mode restartMode) *crashingInstances {
+	c := &crashingInstances{t: t, s: s, mode: mode}
 	t.Cleanup(c.stop)
 	for slot := range instances {
-		c.begin(slot)
+		c.startIncarnation(slot)
 	}
 	return c
 }
 
-// begin starts an incarnation of an instance and lists it.
-func (c *crashing) begin(slot int) {
+// startIncarnation starts an incarnation of an instance and lists it.
+func (c *crashingInstances) startIncarnation(slot int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	id, born := fmt.Sprintf("i%d-%d", slot, len(c.lives)), time.Time{}
-	if c.comeBack != newID {
+	id, born := fmt.Sprintf("i%d-%d", slot, len(c.incarnations)), time.Time{}
+	if c.mode != newID {
 		id = fmt.Sprintf("i%d", slot)
 	}
-	if c.comeBack == sameIDLaterStart {
+	if c.mode == sameIDLaterStart {
 		born = time.Now().Truncate(time.Millisecond).UTC()
 	}
 	ln, err := net.Listen("tcp4", freeAddress(c.t).String())
@@ -108,76 +108,76 @@
 		c.t.Error(err)
 		return
 	}
-	l := &life{}
-	c.lives = append(c.lives, l)
-	l.srv = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { c.serve(w, r, slot, id, l) })}
-	c.active.Go(func() { _ = l.srv.Serve(ln) })
+	inc := &incarnation{}
+	c.incarnations = append(c.incarnations, inc)
+	inc.srv = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { c.serve(w, r, slot, id, inc) })}
+	c.active.Go(func() { _ = inc.srv.Serve(ln) })
 	c.s.add(source.Instances, id, fleet.Instance{
 		ID: state.InstanceID(id), Born: born, Service: "plain", Slots: 4, Hall: "hall", Address: netip.MustParseAddrPort(ln.Addr().String()),
 	})
 }
 
 // serve answers a request, or crashes the incarnation if the request is the deadly one.
-func (c *crashing) serve(w http.ResponseWriter, r *http.Request, slot int, id string, l *life) {
+func (c *crashingInstances) serve(w http.ResponseWriter, r *http.Request, slot int, id string, inc *incarnation) {
 	body, _ := io.ReadAll(r.Body)
 	isDeadly := string(body) == deadly
 	if isDeadly {
-		c.note(&c.sends)
+		c.recordTime(&c.sends)
 	}
-	time.Sleep(runTime)
+	time.Sleep(serviceTime)
 	if isDeadly {
-		l.once.Do(func() { c.crash(slot, id, l) })
+		inc.once.Do(func() { c.crash(slot, id, inc) })
 		return
 	}
 	w.Header().Set("Id", r.Header.Get("Id"))
 	_, _ = w.Write(body)
 }
 
-// note appends the current time to a list.
-func (c *crashing) note(list *[]time.Time) {
+// recordTime appends the current time to a list.
+func (c *crashingInstances) recordTime(list *[]time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*list = append(*list, time.Now())
 }
 
 // crash ends an incarnation and its connections, and starts a new one after restartAfter.
-func (c *crashing) crash(slot int, id string, l *life) {
-	c.note(&c.ended)
-	_ = l.srv.Close()
+func (c *crashingInstances) crash(slot int, id string, inc *incarnation) {
+	c.recordTime(&c.crashes)
+	_ = inc.srv.Close()
 	c.active.Go(func() {
 		time.Sleep(restartAfter)
-		if c.comeBack == newID {
+		if c.mode == newID {
 			c.s.drop(source.Instances, id)
 		}
-		c.begin(slot)
+		c.startIncarnation(slot)
 	})
 }
 
 // stop ends all incarnations and prevents further restarts.
-func (c *crashing) stop() {
+func (c *crashingInstances) stop() {
 	c.mu.Lock()
 	c.closed = true
-	for _, l := range c.lives {
-		_ = l.srv.Close()
+	for _, inc := range c.incarnations {
+		_ = inc.srv.Close()
 	}
 	c.mu.Unlock()
 	c.active.Wait()
 }
 
-// lateSends returns how often the deadly request reached an instance later than learnTime
+// lateSends returns how often the deadly request reached an instance later than propagationTime
 // after the third crash, and the total number of crashes.
-func (c *crashing) lateSends() (late, ended int) {
+func (c *crashingInstances) lateSends() (late, crashes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.ended) < 3 {
-		return 0, len(c.ended)
+	if len(c.crashes) < 3 {
+		return 0, len(c.crashes)
 	}
 	for _, at := range c.sends {
-		if at.Sub(c.ended[2]) > learnTime {
+		if at.Sub(c.crashes[2]) > propagationTime {
 			late++
 		}
 	}
-	return late, len(c.ended)
+	return late, len(c.crashes)
 }
 
 // crashDecoder returns a configuration with one route whose requests may be retried once.
@@ -216,41 +216,41 @@
 	return resp.StatusCode, string(text)
 }
 
-func TestARequestThatEndsInstancesIsNotSentOnForEver(t *testing.T) {
-	endUnderDeadlyRequests(t, newID)
+func TestQueryOfDeathIsStopped(t *testing.T) {
+	testDeadlyRequests(t, newID)
 }
 
-func TestARequestThatEndsInstancesWhichStartAgainUnderTheirIDsIsNotSentOnForEver(t *testing.T) {
-	endUnderDeadlyRequests(t, sameIDLaterStart)
+func TestQueryOfDeathIsStoppedIfInstancesKeepIDs(t *testing.T) {
+	testDeadlyRequests(t, sameIDLaterStart)
 }
 
 // An instance that restarts under the same ID and states no start time must not count as one
 // that never ended, or its crash under the request is forgotten.
-func TestARequestThatEndsInstancesWhichTellNoStartIsNotSentOnForEver(t *testing.T) {
-	endUnderDeadlyRequests(t, sameIDNoStart)
+func TestQueryOfDeathIsStoppedIfInstancesStateNoStart(t *testing.T) {
+	testDeadlyRequests(t, sameIDNoStart)
 }
 
-// endUnderDeadlyRequests sends the deadly request repeatedly, and harmless requests afterwards.
-func endUnderDeadlyRequests(t *testing.T, back comeBack) {
+// testDeadlyRequests sends the deadly request repeatedly, and harmless requests afterwards.
+func testDeadlyRequests(t *testing.T, mode restartMode) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
-	instances := newCrashing(t, s, 8, back)
+	instances := newCrashingInstances(t, s, 8, mode)
 	nodes := startCrashNodes(t, s, 3)
 	client := &http.Client{Timeout: 2 * time.Second}
 
 	var callers sync.WaitGroup
-	end := time.Now().Add(learnTime + 3*time.Second)
+	end := time.Now().Add(propagationTime + 3*time.Second)
 	for n := 0; time.Now().Before(end); n++ {
 		at := nodes[rand.N(len(nodes))].set.Callers
 		callers.Go(func() { post(client, at, fmt.Sprintf("d%d", n), deadly) })
-		time.Sleep(deadlyEvery)
+		time.Sleep(deadlyInterval)
 	}
 	callers.Wait()
-	late, ended := instances.lateSends()
-	t.Logf("%d crashes, %d late sends", ended, late)
-	g.Expect(ended).To(BeNumerically(">=", 3), "too few crashes to identify the request as deadly")
-	g.Expect(late).To(BeNumerically("<=", deadlyRepeats))
+	late, crashes := instances.lateSends()
+	t.Logf("%d crashes, %d late sends", crashes, late)
+	g.Expect(crashes).To(BeNumerically(">=", 3), "too few crashes to identify the request as deadly")
+	g.Expect(late).To(BeNumerically("<=", maxLateSends))
 
 	// All nodes still serve harmless requests.
 	time.Sleep(2 * restartAfter)
--- a/transport/entry/reach_test.go
+++ b/transport/entry/reach_test.go
@@ -17,8 +17,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// nodeBefore returns a node that knows one instance and probes it through targets.
-func nodeBefore(name string, clock clockwork.Clock, targets Targets) *Node {
+// newProbingNode returns a node that knows one instance and probes it through targets.
+func newProbingNode(name string, clock clockwork.Clock, targets Targets) *Node {
 	set := &Settings{Name: name, Hall: "hall", Peer: testAddress(1), Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: discard.New()})
 	n.roster.ApplyFreshEntry(fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9), Hall: "far"}, clock.Now())
@@ -26,15 +26,15 @@
 }
 
 // A leader must not dissolve a group because it alone does not reach one of its members.
-func TestALeaderAsksOtherNodesAboutAnInstanceThatItDoesNotReach(t *testing.T) {
+func TestLeaderUsesIndirectProbes(t *testing.T) {
 	group := fleet.Membership{Group: "g", Epoch: 7, State: fleet.Open}
 	for _, c := range []struct {
 		name string
 		// answering are the instances that answer the other node's probes.
 		answering []state.InstanceID
-		// asks is set if the other node supports indirect probes: earlier builds do not.
-		asks      bool
-		lost, far bool
+		// supportsIndirect is set if the other node supports indirect probes: earlier builds do not.
+		supportsIndirect bool
+		lost, far        bool
 	}{
 		{"another node reaches it", []state.InstanceID{"i"}, true, false, true},
 		{"no other node reaches it", nil, true, true, false},
@@ -43,10 +43,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			clock := clockwork.NewFakeClock()
-			leader := nodeBefore("leader", clock, halls{})
-			other := nodeBefore("other", clock, halls{answering: c.answering, proofs: proofs{rep: fleet.Report{Membership: group}}})
+			leader := newProbingNode("leader", clock, halls{})
+			other := newProbingNode("other", clock, halls{answering: c.answering, proofs: proofs{rep: fleet.Report{Membership: group}}})
 			mux := http.NewServeMux()
-			if c.asks {
+			if c.supportsIndirect {
 				mux.Handle(reachProcedure, connect.NewUnaryHandler(reachProcedure, other.peers.reach, connect.WithCodec(peer.JSONCodec{})))
 			}
 			srv := httptest.NewServer(mux)
--- a/transport/entry/restore_test.go
+++ b/transport/entry/restore_test.go
@@ -48,36 +48,36 @@
 	return catalog.New(version, []catalog.Route{route}, []catalog.Service{{Name: "plain"}}, teams, catalog.Limits{}), nil
 }
 
-// restorable is a deployment whose store can be restored: nodes, and plain instances that
+// deployment is a set of nodes and plain instances whose store can be restored. The instances
 // count their requests.
-type restorable struct {
-	t       *testing.T
-	s       *store
-	nodes   []*running
-	servers map[string]*httptest.Server
-	mu      sync.Mutex
-	got     map[string]int
+type deployment struct {
+	t        *testing.T
+	s        *store
+	nodes    []*running
+	servers  map[string]*httptest.Server
+	mu       sync.Mutex
+	requests map[string]int
 }
 
-// newRestorable starts a deployment whose store holds a configuration and the given instances.
-func newRestorable(t *testing.T, config string, instances ...string) *restorable {
-	r := &restorable{t: t, s: &store{topics: map[source.Topic][]source.Item{}, era: 1}, servers: map[string]*httptest.Server{}, got: map[string]int{}}
-	r.configure(config)
+// newDeployment starts a deployment whose store holds a configuration and the given instances.
+func newDeployment(t *testing.T, config string, instances ...string) *deployment {
+	r := &deployment{t: t, s: &store{topics: map[source.Topic][]source.Item{}, era: 1}, servers: map[string]*httptest.Server{}, requests: map[string]int{}}
+	r.writeConfig(config)
 	for _, id := range instances {
-		r.serve(id)
-		r.list(id)
+		r.startInstance(id)
+		r.listInstance(id)
 	}
 	for range restoreNodes {
 		r.startNode()
 	}
 	for _, n := range r.nodes {
-		r.serves(n, "k", http.StatusOK)
+		r.waitForStatus(n, "k", http.StatusOK)
 	}
 	return r
 }
 
 // startNode adds a node.
-func (r *restorable) startNode() *running {
+func (r *deployment) startNode() *running {
 	var seeds []netip.AddrPort
 	for _, n := range r.nodes {
 		seeds = append(seeds, n.set.Peer)
@@ -89,15 +89,15 @@
 	return n
 }
 
-// configure writes a configuration.
-func (r *restorable) configure(text string) { r.s.add(source.Configuration, "config", text) }
+// writeConfig writes a configuration.
+func (r *deployment) writeConfig(text string) { r.s.add(source.Configuration, "config", text) }
 
-// serve starts an instance without listing it.
-func (r *restorable) serve(id string) {
+// startInstance starts an instance without listing it.
+func (r *deployment) startInstance(id string) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		r.mu.Lock()
-		r.got[id]++
+		r.requests[id]++
 		r.mu.Unlock()
 		w.Header().Set("Id", req.Header.Get("Id"))
 		_, _ = w.Write(body)
@@ -106,39 +106,39 @@
 	r.servers[id] = srv
 }
 
-// list writes the entry of an instance.
-func (r *restorable) list(id string) {
+// listInstance writes the entry of an instance.
+func (r *deployment) listInstance(id string) {
 	r.s.add(source.Instances, id, fleet.Instance{
 		ID: state.InstanceID(id), Service: "plain", Slots: 4, Hall: "hall", Address: netip.MustParseAddrPort(r.servers[id].Listener.Addr().String()),
 	})
 }
 
-// code sends a request with a key to a node and returns the status code.
-func (r *restorable) code(n *running, key string) int { return status(n.set.Callers, key) }
+// statusCode sends a request with a key to a node and returns the status code.
+func (r *deployment) statusCode(n *running, key string) int { return status(n.set.Callers, key) }
 
-// serves waits until a node answers requests with a key with the given status code.
-func (r *restorable) serves(n *running, key string, code int) {
+// waitForStatus waits until a node answers requests with a key with the given status code.
+func (r *deployment) waitForStatus(n *running, key string, code int) {
 	r.t.Helper()
-	NewWithT(r.t).Eventually(func() int { return r.code(n, key) }, 10*time.Second, 10*time.Millisecond).Should(Equal(code), n.set.Name)
+	NewWithT(r.t).Eventually(func() int { return r.statusCode(n, key) }, 10*time.Second, 10*time.Millisecond).Should(Equal(code), n.set.Name)
 }
 
-// called sends requests to all nodes for a time. It returns the number of requests by
+// sendRequests sends requests to all nodes for a time. It returns the number of requests by
 // instance, and the number of responses by status code.
-func (r *restorable) called(d time.Duration) (got map[string]int, codes map[int]int) {
+func (r *deployment) sendRequests(d time.Duration) (got map[string]int, codes map[int]int) {
 	r.mu.Lock()
-	clear(r.got)
+	clear(r.requests)
 	r.mu.Unlock()
 	codes = map[int]int{}
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		for _, n := range r.nodes {
-			codes[r.code(n, "k")]++
+			codes[r.statusCode(n, "k")]++
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	got = map[string]int{}
-	for id, n := range r.got {
+	for id, n := range r.requests {
 		got[id] = n
 	}
 	return got, codes
@@ -149,52 +149,52 @@
 var settleTime = entry.DefaultPolicy().Node.RestoreSettle + time.Second
 
 // A key is revoked, by a new version of the configuration, after the backup is made.
-func TestNoConfigurationGoesBackWhenTheStoreDoes(t *testing.T) {
+func TestRestorationDoesNotRevertConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// between changes the log after the restoration.
-		between func(r *restorable)
+		// afterRestore changes the log after the restoration.
+		afterRestore func(r *deployment)
 	}{
-		{"the old offset is missing", func(*restorable) {}},
-		{"the log has grown past the old offset", func(r *restorable) {
-			r.configure("1:k,old")
-			r.configure("1:k,old")
-			r.configure("1:k,old")
+		{"the old offset is missing", func(*deployment) {}},
+		{"the log has grown past the old offset", func(r *deployment) {
+			r.writeConfig("1:k,old")
+			r.writeConfig("1:k,old")
+			r.writeConfig("1:k,old")
 		}},
-		{"the store is restored a second time", func(r *restorable) {
-			older := r.s.copy()
-			r.configure("2:k,old")
+		{"the store is restored a second time", func(r *deployment) {
+			backup := r.s.copy()
+			r.writeConfig("2:k,old")
 			time.Sleep(300 * time.Millisecond)
-			r.s.restore(older)
+			r.s.restore(backup)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			r := newRestorable(t, "1:k,old", "i0")
-			older := r.s.copy()
-			r.configure("5:k")
+			r := newDeployment(t, "1:k,old", "i0")
+			backup := r.s.copy()
+			r.writeConfig("5:k")
 			for _, n := range r.nodes {
-				r.serves(n, "old", http.StatusUnauthorized)
+				r.waitForStatus(n, "old", http.StatusUnauthorized)
 			}
-			away := r.nodes[restoreNodes-1]
-			away.view.setCut(true)
-			r.s.restore(older)
-			c.between(r)
+			isolated := r.nodes[restoreNodes-1]
+			isolated.view.setCut(true)
+			r.s.restore(backup)
+			c.afterRestore(r)
 			for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 				for _, n := range r.nodes {
-					g.Expect(r.code(n, "old")).NotTo(Equal(http.StatusOK), "node %s accepts a revoked key", n.set.Name)
+					g.Expect(r.statusCode(n, "old")).NotTo(Equal(http.StatusOK), "node %s accepts a revoked key", n.set.Name)
 				}
 			}
-			away.view.setCut(false)
+			isolated.view.setCut(false)
 			// A configuration that the operator writes after the restoration takes effect on all nodes,
 			// a new one included.
-			r.configure("5:k")
-			r.configure("6:k,new")
+			r.writeConfig("5:k")
+			r.writeConfig("6:k,new")
 			r.startNode()
 			for _, n := range r.nodes {
-				r.serves(n, "new", http.StatusOK)
-				r.serves(n, "old", http.StatusUnauthorized)
+				r.waitForStatus(n, "new", http.StatusOK)
+				r.waitForStatus(n, "old", http.StatusUnauthorized)
 			}
 		})
 	}
@@ -202,19 +202,19 @@
 
 // A node that starts right after the restoration knows only the backup, until a peer sends it
 // the current configuration.
-func TestANodeThatStartsAfterARestorationKnowsWhatTheOthersKnow(t *testing.T) {
+func TestNodeStartedAfterRestorationGetsConfigurationFromPeers(t *testing.T) {
 	g := NewWithT(t)
-	r := newRestorable(t, "1:k,old", "i0")
-	older := r.s.copy()
-	r.configure("5:k")
+	r := newDeployment(t, "1:k,old", "i0")
+	backup := r.s.copy()
+	r.writeConfig("5:k")
 	for _, n := range r.nodes {
-		r.serves(n, "old", http.StatusUnauthorized)
+		r.waitForStatus(n, "old", http.StatusUnauthorized)
 	}
-	r.s.restore(older)
+	r.s.restore(backup)
 	n := r.startNode()
-	r.serves(n, "old", http.StatusUnauthorized)
+	r.waitForStatus(n, "old", http.StatusUnauthorized)
 	for range 50 {
-		g.Expect(r.code(n, "old")).NotTo(Equal(http.StatusOK))
+		g.Expect(r.statusCode(n, "old")).NotTo(Equal(http.StatusOK))
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -222,39 +222,39 @@
 // The instance list is restored from a backup. It lacks two instances that joined after it was
 // made, one of which writes its entry again only after the settle time, and it lists as ready an
 // instance that has left.
-func TestInstancesStandAsTheyAreKnownWhenTheListGoesBack(t *testing.T) {
+func TestRestorationDoesNotRevertInstances(t *testing.T) {
 	g := NewWithT(t)
-	r := newRestorable(t, "1:k", "stays", "leaves")
-	older := r.s.copy()
-	r.serve("late")
-	r.list("late")
-	r.serve("lost")
-	r.list("lost")
+	r := newDeployment(t, "1:k", "stays", "leaves")
+	backup := r.s.copy()
+	r.startInstance("late")
+	r.listInstance("late")
+	r.startInstance("lost")
+	r.listInstance("lost")
 	r.s.drop(source.Instances, "leaves")
-	g.Eventually(func() []string { got, _ := r.called(300 * time.Millisecond); return names(got) }, 10*time.Second).
+	g.Eventually(func() []string { got, _ := r.sendRequests(300 * time.Millisecond); return instanceNames(got) }, 10*time.Second).
 		Should(ConsistOf("stays", "late", "lost"))
 
-	r.s.restore(older)
-	got, codes := r.called(time.Second)
-	g.Expect(names(got)).To(ConsistOf("stays", "late", "lost"), "only the store has changed, not the instances")
+	r.s.restore(backup)
+	got, codes := r.sendRequests(time.Second)
+	g.Expect(instanceNames(got)).To(ConsistOf("stays", "late", "lost"), "only the store has changed, not the instances")
 	g.Expect(codes).To(HaveLen(1))
-	r.list("late")
-	r.list("stays")
-	got, codes = r.called(settleTime)
+	r.listInstance("late")
+	r.listInstance("stays")
+	got, codes = r.sendRequests(settleTime)
 	g.Expect(got).NotTo(HaveKey("leaves"))
 	g.Expect(codes).To(HaveLen(1))
 
 	// An instance that does not write its entry again within the settle time is dropped; it
 	// returns once it does.
-	g.Eventually(func() []string { got, _ := r.called(300 * time.Millisecond); return names(got) }, 10*time.Second).
+	g.Eventually(func() []string { got, _ := r.sendRequests(300 * time.Millisecond); return instanceNames(got) }, 10*time.Second).
 		Should(ConsistOf("stays", "late"))
-	r.list("lost")
-	g.Eventually(func() []string { got, _ := r.called(300 * time.Millisecond); return names(got) }, 10*time.Second).
+	r.listInstance("lost")
+	g.Eventually(func() []string { got, _ := r.sendRequests(300 * time.Millisecond); return instanceNames(got) }, 10*time.Second).
 		Should(ConsistOf("stays", "late", "lost"))
 }
 
-// names returns the keys of a map.
-func names(m map[string]int) []string {
+// instanceNames returns the keys of a map.
+func instanceNames(m map[string]int) []string {
 	var list []string
 	for name := range m {
 		list = append(list, name)
@@ -264,10 +264,10 @@
 
 // Nodes write their entries again after a restoration, so that a node that starts later knows
 // all of them.
-func TestNodesWriteTheirEntriesAgain(t *testing.T) {
+func TestNodesRewriteEntriesAfterRestoration(t *testing.T) {
 	g := NewWithT(t)
 	empty := copied{}
-	r := newRestorable(t, "1:k", "i0")
+	r := newDeployment(t, "1:k", "i0")
 	entries := func() int {
 		r.s.mu.Lock()
 		defer r.s.mu.Unlock()
@@ -281,8 +281,8 @@
 	for range 2 {
 		r.s.restore(empty)
 		g.Expect(entries()).To(BeZero())
-		r.configure("1:k")
-		r.list("i0")
+		r.writeConfig("1:k")
+		r.listInstance("i0")
 		g.Eventually(entries, 10*time.Second).Should(Equal(restoreNodes))
 	}
 	r.s.mu.Lock()
--- a/transport/entry/upgradesize_test.go
+++ b/transport/entry/upgradesize_test.go
@@ -25,7 +25,7 @@
 					changes += leaderChanges(size.nodes, newestFirst, i)
 				}
 				b.ReportMetric(float64(changes)/float64(b.N), "leader-changes")
-				b.ReportMetric(float64(firstAnswer(NewWithT(b), size.nodes, size.instances))/1000, "first-kB")
+				b.ReportMetric(float64(firstAnswerSize(NewWithT(b), size.nodes, size.instances))/1000, "first-kB")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
@@ -40,36 +40,37 @@
 		all = append(all, NodeEntry{Name: fmt.Sprint("n", i), Address: fmt.Sprintf("10.%d.%d.%d:8229", seed%250, i/250, i%250), Capacity: []float64{0.192, 0.4, 0.6, 0.8}[i%4]})
 	}
 	changes := 0
-	leader := firstOf(all, -1)
-	follow := func(away int) {
-		if next := firstOf(all, away); next != leader {
+	leader := leaderWithout(all, -1)
+	updateLeader := func(absent int) {
+		if next := leaderWithout(all, absent); next != leader {
 			leader = next
 			changes++
 		}
 	}
 	for i := range all {
-		follow(i)
+		updateLeader(i)
 		if newestFirst {
 			all[i].Capacity += leadingBonus
 		}
-		follow(-1)
+		updateLeader(-1)
 	}
 	return changes
 }
 
-// firstOf returns the address of the node that leads while the node at index away is absent.
-func firstOf(all []NodeEntry, away int) string {
+// leaderWithout returns the address of the node that leads if the node at index absent is left
+// out; -1 leaves out none.
+func leaderWithout(all []NodeEntry, absent int) string {
 	best := -1
 	for i := range all {
-		if i != away && (best < 0 || precedes(all[i], all[best])) {
+		if i != absent && (best < 0 || precedes(all[i], all[best])) {
 			best = i
 		}
 	}
 	return all[best].Address
 }
 
-// firstAnswer returns the size in bytes of a leader's answer to a node that knows nothing.
-func firstAnswer(g *WithT, nodes, instances int) int {
+// firstAnswerSize returns the size in bytes of a leader's answer to a node that knows nothing.
+func firstAnswerSize(g *WithT, nodes, instances int) int {
 	leader := numbered(g, "leader", 1)
 	leader.peers.setPlacing(true)
 	for i := range nodes - 1 {
--- a/transport/entry/version_test.go
+++ b/transport/entry/version_test.go
@@ -12,8 +12,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// askAsVersion sends a node's status report to a leader as a build of the given version would.
-func askAsVersion(g *WithT, from, leader *Node, version int) *Answer {
+// reportAsVersion sends a node's status report to a leader as a build of the given version would.
+func reportAsVersion(g *WithT, from, leader *Node, version int) *Answer {
 	w := from.peers.word()
 	w.Protocol = version
 	if version < protocolLimits {
@@ -24,8 +24,8 @@
 	return resp.Msg
 }
 
-// limitedHead adds an instance to a node's roster as the head of an open group.
-func limitedHead(n *Node, id state.InstanceID) fleet.Instance {
+// addGroupHead adds an instance to a node's roster as the head of an open group.
+func addGroupHead(n *Node, id state.InstanceID) fleet.Instance {
 	in := fleet.Instance{
 		ID: id, Service: "lm", Address: testAddress(201), Slots: 4, Model: "m", Loaded: "m", Position: 9,
 		Membership: fleet.Membership{Group: "g", Epoch: 7, State: fleet.Open},
@@ -37,11 +37,11 @@
 // A node of an earlier build does not read rate limits, and would not reduce what it sends. It
 // does apply the list of groups to avoid and the number of requests at each instance, so the
 // leader uses these to keep it away from limited instances.
-func TestNodesOfAnEarlierBuildAreKeptAwayFromLimitedInstances(t *testing.T) {
+func TestEarlierBuildsAreKeptFromLimitedInstances(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		version int
-		shield  bool
+		name       string
+		version    int
+		isShielded bool
 	}{
 		{"an earlier build", 0, true},
 		{"this build", protocolVersion, false},
@@ -50,14 +50,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := newReporting(g)
-			head := limitedHead(r.leader, "head")
-			before := askAsVersion(g, r.a, r.leader, c.version)
+			head := addGroupHead(r.leader, "head")
+			before := reportAsVersion(g, r.a, r.leader, c.version)
 			g.Expect(before.Avoid).To(BeEmpty())
 			for _, in := range []fleet.Instance{r.in, head} {
 				r.leader.Told(&in, limitedTo(2), "r", r.clock.Now())
 			}
-			a := askAsVersion(g, r.a, r.leader, c.version)
-			if !c.shield {
+			a := reportAsVersion(g, r.a, r.leader, c.version)
+			if !c.isShielded {
 				g.Expect(a.Avoid).To(BeEmpty())
 				g.Expect(a.Held).NotTo(HaveKey(head.ID))
 				g.Expect(a.Limits).To(HaveLen(2))
@@ -75,7 +75,7 @@
 
 // Nodes of earlier builds send nothing to a limited instance, so the other nodes may use their
 // share of the limit.
-func TestThePartOfNodesOfAnEarlierBuildIsUsedByTheOthers(t *testing.T) {
+func TestShareOfEarlierBuildsIsUsedByOtherNodes(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
 	r.leader.Told(&r.in, limitedTo(3), "r", r.clock.Now())
@@ -83,15 +83,15 @@
 	for range 100 {
 		r.clock.Advance(100 * time.Millisecond)
 		r.leader.storeRead(r.clock.Now())
-		askAsVersion(g, r.a, r.leader, 0)
-		askAsVersion(g, r.b, r.leader, 0)
+		reportAsVersion(g, r.a, r.leader, 0)
+		reportAsVersion(g, r.b, r.leader, 0)
 		r.leader.dealLimits(r.clock.Now())
 		sent += spend(r.leader, &r.in)
 	}
 	g.Expect(sent).To(BeNumerically("~", 30, 3), "3 requests a second for 10 s")
 }
 
-func TestOfNodesOfOneSizeThoseOfTheNewestBuildLead(t *testing.T) {
+func TestNewestBuildLeadsAmongNodesOfEqualCapacity(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestNode()
 	own := n.peers.self()
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestANodeOfALaterVersionIsLoggedOnce(t *testing.T) {
+func TestLaterVersionIsLoggedOnce(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	for range 3 {
@@ -114,12 +114,12 @@
 }
 
 // A limited instance adds its group to the list of groups to avoid only if it is the head.
-func TestALimitedInstanceThatIsNoHeadIsInNoListOfFormations(t *testing.T) {
+func TestLimitedInstanceThatIsNotHeadAddsNoGroupToAvoid(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
-	member := limitedHead(r.leader, "member")
+	member := addGroupHead(r.leader, "member")
 	member.Membership.Rank, member.Position = 1, 10
 	r.leader.roster.ApplyFreshEntry(member, r.clock.Now())
 	r.leader.Told(&member, limitedTo(2), "r", r.clock.Now())
-	g.Expect(askAsVersion(g, r.a, r.leader, 0).Avoid).To(BeEmpty())
+	g.Expect(reportAsVersion(g, r.a, r.leader, 0).Avoid).To(BeEmpty())
 }
