--- a/transport/entry/peers_test.go
+++ b/transport/entry/peers_test.go
@@ -17,12 +17,12 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// testAddress returns the inner address of the nth node of a test.
+// testAddress returns the peer address of the nth node of a test.
 func testAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 7000)
 }
 
-// anyConfiguration reads every record as the same configuration.
+// anyConfiguration decodes every record as the same configuration.
 type anyConfiguration struct{}
 
 func (anyConfiguration) Catalog([]byte) (*catalog.Catalog, error) {
@@ -33,13 +33,13 @@
 	return fleet.Instance{}, nil
 }
 
-// newTestNode returns a node that does not run, of one core.
+// newTestNode returns a node with a capacity of one core that is not running.
 func newTestNode() *Node {
 	set := &Settings{Name: "own", Hall: "hall", Peer: testAddress(1), Capacity: 1, KeysWithin: time.Second, Policy: DefaultPolicy()}
 	return New(set, Ports{Decoder: anyConfiguration{}}, clockwork.NewFakeClock(), &log.Logger{Handler: discard.New()})
 }
 
-// ableNode returns a node that does not run, but has all it needs to place.
+// ableNode returns a node that is not running, but knows all that a leader needs.
 func ableNode(g *WithT) *Node {
 	n := newTestNode()
 	n.number.Store(1)
@@ -48,7 +48,7 @@
 	return n
 }
 
-func TestLargerNodesAreAskedToPlaceFirst(t *testing.T) {
+func TestLargerNodesAreFirstLeaderCandidates(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestNode()
 	var all []NodeEntry
@@ -65,13 +65,13 @@
 	g.Expect(order).To(Equal([]float64{0.8, 0.8, 0.2, 0.2, 0}))
 }
 
-func TestNodesAreListedOnlyForANodeThatKnowsAnotherNumber(t *testing.T) {
+func TestAnswerListsNodesOnlyIfCountsDiffer(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		knows  int
-		listed bool
+		name       string
+		knownNodes int
+		listed     bool
 	}{
-		{"as many", 3, false},
+		{"the same number", 3, false},
 		{"fewer", 1, true},
 		{"more", 5, true},
 	} {
@@ -79,8 +79,8 @@
 			g := NewWithT(t)
 			n := ableNode(g)
 			n.peers.learn(NodeEntry{Name: "a", Address: testAddress(2).String()})
-			word := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}, Nodes: c.knows}
-			resp, err := n.peers.answer(context.Background(), connect.NewRequest(word))
+			report := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}, Nodes: c.knownNodes}
+			resp, err := n.peers.answer(context.Background(), connect.NewRequest(report))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(resp.Msg.Placing).To(BeTrue())
 			g.Expect(len(resp.Msg.Nodes) > 0).To(Equal(c.listed))
@@ -88,29 +88,29 @@
 	}
 }
 
-func TestANodeThatRunsLateDoesNotPlaceBesideOneThatDoesNot(t *testing.T) {
+func TestLateNodeDoesNotLeadIfAnotherIsOnTime(t *testing.T) {
 	g := NewWithT(t)
 	n := ableNode(g)
-	mayPlace := func() bool { return n.peers.mayPlace(n.clock.Now()) }
+	canLead := func() bool { return n.peers.mayPlace(n.clock.Now()) }
 	for range 8 {
 		n.health.RecordDelay(100*time.Millisecond, n.clock.Now())
 	}
-	g.Expect(mayPlace()).To(BeTrue(), "no other node is known to do better")
+	g.Expect(canLead()).To(BeTrue(), "no other node is known to run on time")
 	n.peers.words["b"] = heardWord{word: Word{Late: true}, at: n.clock.Now()}
-	g.Expect(mayPlace()).To(BeTrue())
+	g.Expect(canLead()).To(BeTrue())
 	n.peers.words["c"] = heardWord{word: Word{}, at: n.clock.Now()}
-	g.Expect(mayPlace()).To(BeFalse())
+	g.Expect(canLead()).To(BeFalse())
 }
 
-// A node that does not place, because it runs late, hands the configuration on all
-// the same: the asker may have nobody else to hear from.
-func TestANodeThatDoesNotPlaceHandsTheConfigurationOn(t *testing.T) {
+// A node that does not lead, because it runs late, still sends its configuration in its answer:
+// the asking node may have no other source.
+func TestNonLeaderAnswersWithConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	n := ableNode(g)
 	n.know.Confirm(n.clock.Now())
 	n.peers.resting = n.clock.Now().Add(time.Second)
-	word := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}}
-	resp, err := n.peers.answer(context.Background(), connect.NewRequest(word))
+	report := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}}
+	resp, err := n.peers.answer(context.Background(), connect.NewRequest(report))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(resp.Msg.Placing).To(BeFalse())
 	g.Expect(resp.Msg.Config).NotTo(BeEmpty())
--- a/transport/entry/restore_test.go
+++ b/transport/entry/restore_test.go
@@ -22,15 +22,15 @@
 	"github.com/troutmast/troutmast/transport/entry"
 )
 
-// The platform's store comes back from a copy some seconds old. Offsets go back and are given
-// out again, records that nodes have acted on are gone, and records that were replaced show
-// again. Nodes that took an offset for an identity or for an order of time went back to what
-// the copy shows, or waited at an offset that was no longer there.
+// These tests restore the platform's store from a backup that is some seconds old. Offsets go
+// back and are assigned again, records that nodes have acted on are missing, and replaced
+// records reappear. A node that uses an offset as an identity, or to order records in time,
+// returns to the state of the backup, or waits at an offset that no longer exists.
 
-// restoreNodes is the number of nodes in these tests.
+// restoreNodes is the number of nodes in each test.
 const restoreNodes = 7
 
-// keyDecoder reads a configuration that is written as VERSION:KEY,KEY.
+// keyDecoder reads a configuration of the form VERSION:KEY,KEY.
 type keyDecoder struct{ decoder }
 
 func (keyDecoder) Catalog(raw []byte) (*catalog.Catalog, error) {
@@ -48,36 +48,36 @@
 	return catalog.New(version, []catalog.Route{route}, []catalog.Service{{Name: "plain"}}, teams, catalog.Limits{}), nil
 }
 
-// restorable is a deployment whose store can be restored: nodes before plain instances that
-// count what they get.
-type restorable struct {
-	t       *testing.T
-	s       *store
-	nodes   []*running
-	servers map[string]*httptest.Server
-	mu      sync.Mutex
-	got     map[string]int
+// deployment is a set of nodes and plain instances whose store can be restored. The instances
+// count their requests.
+type deployment struct {
+	t        *testing.T
+	s        *store
+	nodes    []*running
+	servers  map[string]*httptest.Server
+	mu       sync.Mutex
+	requests map[string]int
 }
 
-// newRestorable starts a deployment with a configuration and some instances, all in the store.
-func newRestorable(t *testing.T, config string, instances ...string) *restorable {
-	r := &restorable{t: t, s: &store{topics: map[source.Topic][]source.Item{}, era: 1}, servers: map[string]*httptest.Server{}, got: map[string]int{}}
-	r.configure(config)
+// newDeployment starts a deployment whose store holds a configuration and the given instances.
+func newDeployment(t *testing.T, config string, instances ...string) *deployment {
+	r := &deployment{t: t, s: &store{topics: map[source.Topic][]source.Item{}, era: 1}, servers: map[string]*httptest.Server{}, requests: map[string]int{}}
+	r.writeConfig(config)
 	for _, id := range instances {
-		r.serve(id)
-		r.list(id)
+		r.startInstance(id)
+		r.listInstance(id)
 	}
 	for range restoreNodes {
 		r.startNode()
 	}
 	for _, n := range r.nodes {
-		r.serves(n, "k", http.StatusOK)
+		r.waitForStatus(n, "k", http.StatusOK)
 	}
 	return r
 }
 
-// startNode starts one more node.
-func (r *restorable) startNode() *running {
+// startNode adds a node.
+func (r *deployment) startNode() *running {
 	var seeds []netip.AddrPort
 	for _, n := range r.nodes {
 		seeds = append(seeds, n.set.Peer)
@@ -89,15 +89,15 @@
 	return n
 }
 
-// configure writes a configuration.
-func (r *restorable) configure(text string) { r.s.add(source.Configuration, "config", text) }
+// writeConfig writes a configuration.
+func (r *deployment) writeConfig(text string) { r.s.add(source.Configuration, "config", text) }
 
-// serve starts an instance that is not listed.
-func (r *restorable) serve(id string) {
+// startInstance starts an instance without listing it.
+func (r *deployment) startInstance(id string) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		r.mu.Lock()
-		r.got[id]++
+		r.requests[id]++
 		r.mu.Unlock()
 		w.Header().Set("Id", req.Header.Get("Id"))
 		_, _ = w.Write(body)
@@ -106,150 +106,155 @@
 	r.servers[id] = srv
 }
 
-// list writes the entry of an instance.
-func (r *restorable) list(id string) {
+// listInstance writes the entry of an instance.
+func (r *deployment) listInstance(id string) {
 	r.s.add(source.Instances, id, fleet.Instance{
 		ID: state.InstanceID(id), Service: "plain", Slots: 4, Hall: "hall", Address: netip.MustParseAddrPort(r.servers[id].Listener.Addr().String()),
 	})
 }
 
-// code sends a request with a key to a node and returns the status.
-func (r *restorable) code(n *running, key string) int { return status(n.set.Callers, key) }
+// statusCode sends a request with a key to a node and returns the status code.
+func (r *deployment) statusCode(n *running, key string) int { return status(n.set.Callers, key) }
 
-// serves waits until a node answers a key with a status.
-func (r *restorable) serves(n *running, key string, code int) {
+// waitForStatus waits until a node answers requests with a key with the given status code.
+func (r *deployment) waitForStatus(n *running, key string, code int) {
 	r.t.Helper()
-	NewWithT(r.t).Eventually(func() int { return r.code(n, key) }, 10*time.Second, 10*time.Millisecond).Should(Equal(code), n.set.Name)
+	NewWithT(r.t).Eventually(func() int { return r.statusCode(n, key) }, 10*time.Second, 10*time.Millisecond).Should(Equal(code), n.set.Name)
 }
 
-// called sends requests to all nodes for a time and returns which instances got some, and
-// how many requests were answered with which status.
-func (r *restorable) called(d time.Duration) (got map[string]int, codes map[int]int) {
+// sendRequests sends requests to all nodes for a time. It returns the number of requests by
+// instance, and the number of responses by status code.
+func (r *deployment) sendRequests(d time.Duration) (got map[string]int, codes map[int]int) {
 	r.mu.Lock()
-	clear(r.got)
+	clear(r.requests)
 	r.mu.Unlock()
 	codes = map[int]int{}
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		for _, n := range r.nodes {
-			codes[r.code(n, "k")]++
+			codes[r.statusCode(n, "k")]++
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	got = map[string]int{}
-	for id, n := range r.got {
+	for id, n := range r.requests {
 		got[id] = n
 	}
 	return got, codes
 }
 
-// settleTime is after what time all that a copy lacks has been written again, or is gone.
+// settleTime is the time after a restoration until the records that the backup lacks have been
+// written again, or are given up.
 var settleTime = entry.DefaultPolicy().Node.RestoreSettle + time.Second
 
-// A key was taken away, and a version came, after the copy was made.
-func TestNoConfigurationGoesBackWhenTheStoreDoes(t *testing.T) {
+// A key is revoked, by a new version of the configuration, after the backup is made.
+func TestRestorationDoesNotRevertConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// between is what the log holds after the restoration before any node reads it.
-		between func(r *restorable)
+		// afterRestore changes the log after the restoration.
+		afterRestore func(r *deployment)
 	}{
-		{"the old offset is not there", func(*restorable) {}},
-		{"the log has grown past the old offset", func(r *restorable) {
-			r.configure("1:k,old")
-			r.configure("1:k,old")
-			r.configure("1:k,old")
+		{"the old offset is missing", func(*deployment) {}},
+		{"the log has grown past the old offset", func(r *deployment) {
+			r.writeConfig("1:k,old")
+			r.writeConfig("1:k,old")
+			r.writeConfig("1:k,old")
 		}},
-		{"it comes back a second time", func(r *restorable) {
-			older := r.s.copy()
-			r.configure("2:k,old")
+		{"the store is restored a second time", func(r *deployment) {
+			backup := r.s.copy()
+			r.writeConfig("2:k,old")
 			time.Sleep(300 * time.Millisecond)
-			r.s.restore(older)
+			r.s.restore(backup)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			r := newRestorable(t, "1:k,old", "i0")
-			older := r.s.copy()
-			r.configure("5:k")
+			r := newDeployment(t, "1:k,old", "i0")
+			backup := r.s.copy()
+			r.writeConfig("5:k")
 			for _, n := range r.nodes {
-				r.serves(n, "old", http.StatusUnauthorized)
+				r.waitForStatus(n, "old", http.StatusUnauthorized)
 			}
-			away := r.nodes[restoreNodes-1]
-			away.view.setCut(true)
-			r.s.restore(older)
-			c.between(r)
+			isolated := r.nodes[restoreNodes-1]
+			isolated.view.setCut(true)
+			r.s.restore(backup)
+			c.afterRestore(r)
 			for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 				for _, n := range r.nodes {
-					g.Expect(r.code(n, "old")).NotTo(Equal(http.StatusOK), "a key that was taken away is accepted at %s", n.set.Name)
+					g.Expect(r.statusCode(n, "old")).NotTo(Equal(http.StatusOK), "node %s accepts a revoked key", n.set.Name)
 				}
 			}
-			away.view.setCut(false)
-			// What the operator writes again and anew comes into force on all nodes, also on a new one.
-			r.configure("5:k")
-			r.configure("6:k,new")
+			isolated.view.setCut(false)
+			// A configuration that the operator writes after the restoration takes effect on all nodes,
+			// a new one included.
+			r.writeConfig("5:k")
+			r.writeConfig("6:k,new")
 			r.startNode()
 			for _, n := range r.nodes {
-				r.serves(n, "new", http.StatusOK)
-				r.serves(n, "old", http.StatusUnauthorized)
+				r.waitForStatus(n, "new", http.StatusOK)
+				r.waitForStatus(n, "old", http.StatusUnauthorized)
 			}
 		})
 	}
 }
 
-// A node that starts just then knows only the copy, until a peer tells it.
-func TestANodeThatStartsAfterARestorationKnowsWhatTheOthersKnow(t *testing.T) {
+// A node that starts right after the restoration knows only the backup, until a peer sends it
+// the current configuration.
+func TestNodeStartedAfterRestorationGetsConfigurationFromPeers(t *testing.T) {
 	g := NewWithT(t)
-	r := newRestorable(t, "1:k,old", "i0")
-	older := r.s.copy()
-	r.configure("5:k")
+	r := newDeployment(t, "1:k,old", "i0")
+	backup := r.s.copy()
+	r.writeConfig("5:k")
 	for _, n := range r.nodes {
-		r.serves(n, "old", http.StatusUnauthorized)
+		r.waitForStatus(n, "old", http.StatusUnauthorized)
 	}
-	r.s.restore(older)
+	r.s.restore(backup)
 	n := r.startNode()
-	r.serves(n, "old", http.StatusUnauthorized)
+	r.waitForStatus(n, "old", http.StatusUnauthorized)
 	for range 50 {
-		g.Expect(r.code(n, "old")).NotTo(Equal(http.StatusOK))
+		g.Expect(r.statusCode(n, "old")).NotTo(Equal(http.StatusOK))
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// One instance came after the copy was made, and writes its entry again only later; another
-// one left, and the copy shows it as ready.
-func TestInstancesStandAsTheyAreKnownWhenTheListGoesBack(t *testing.T) {
+// The instance list is restored from a backup. It lacks two instances that joined after it was
+// made, one of which writes its entry again only after the settle time, and it lists as ready an
+// instance that has left.
+func TestRestorationDoesNotRevertInstances(t *testing.T) {
 	g := NewWithT(t)
-	r := newRestorable(t, "1:k", "stays", "leaves")
-	older := r.s.copy()
-	r.serve("late")
-	r.list("late")
-	r.serve("lost")
-	r.list("lost")
+	r := newDeployment(t, "1:k", "stays", "leaves")
+	backup := r.s.copy()
+	r.startInstance("late")
+	r.listInstance("late")
+	r.startInstance("lost")
+	r.listInstance("lost")
 	r.s.drop(source.Instances, "leaves")
-	g.Eventually(func() []string { got, _ := r.called(300 * time.Millisecond); return names(got) }, 10*time.Second).
+	g.Eventually(func() []string { got, _ := r.sendRequests(300 * time.Millisecond); return instanceNames(got) }, 10*time.Second).
 		Should(ConsistOf("stays", "late", "lost"))
 
-	r.s.restore(older)
-	got, codes := r.called(time.Second)
-	g.Expect(names(got)).To(ConsistOf("stays", "late", "lost"), "nothing has changed but the store")
+	r.s.restore(backup)
+	got, codes := r.sendRequests(time.Second)
+	g.Expect(instanceNames(got)).To(ConsistOf("stays", "late", "lost"), "only the store has changed, not the instances")
 	g.Expect(codes).To(HaveLen(1))
-	r.list("late")
-	r.list("stays")
-	got, codes = r.called(settleTime)
+	r.listInstance("late")
+	r.listInstance("stays")
+	got, codes = r.sendRequests(settleTime)
 	g.Expect(got).NotTo(HaveKey("leaves"))
 	g.Expect(codes).To(HaveLen(1))
 
-	// What is not written again within the time is gone; it comes back when it writes.
-	g.Eventually(func() []string { got, _ := r.called(300 * time.Millisecond); return names(got) }, 10*time.Second).
+	// An instance that does not write its entry again within the settle time is dropped; it
+	// returns once it does.
+	g.Eventually(func() []string { got, _ := r.sendRequests(300 * time.Millisecond); return instanceNames(got) }, 10*time.Second).
 		Should(ConsistOf("stays", "late"))
-	r.list("lost")
-	g.Eventually(func() []string { got, _ := r.called(300 * time.Millisecond); return names(got) }, 10*time.Second).
+	r.listInstance("lost")
+	g.Eventually(func() []string { got, _ := r.sendRequests(300 * time.Millisecond); return instanceNames(got) }, 10*time.Second).
 		Should(ConsistOf("stays", "late", "lost"))
 }
 
-// names returns the keys of a map.
-func names(m map[string]int) []string {
+// instanceNames returns the keys of a map.
+func instanceNames(m map[string]int) []string {
 	var list []string
 	for name := range m {
 		list = append(list, name)
@@ -257,11 +262,12 @@
 	return list
 }
 
-// Nodes write their entries again, so that one which starts later knows all of them.
-func TestNodesWriteTheirEntriesAgain(t *testing.T) {
+// Nodes write their entries again after a restoration, so that a node that starts later knows
+// all of them.
+func TestNodesRewriteEntriesAfterRestoration(t *testing.T) {
 	g := NewWithT(t)
 	empty := copied{}
-	r := newRestorable(t, "1:k", "i0")
+	r := newDeployment(t, "1:k", "i0")
 	entries := func() int {
 		r.s.mu.Lock()
 		defer r.s.mu.Unlock()
@@ -275,11 +281,11 @@
 	for range 2 {
 		r.s.restore(empty)
 		g.Expect(entries()).To(BeZero())
-		r.configure("1:k")
-		r.list("i0")
+		r.writeConfig("1:k")
+		r.listInstance("i0")
 		g.Eventually(entries, 10*time.Second).Should(Equal(restoreNodes))
 	}
 	r.s.mu.Lock()
 	defer r.s.mu.Unlock()
-	g.Expect(len(r.s.topics[source.Nodes])).To(BeNumerically("<=", 2*restoreNodes), "each writes its entry once or twice")
+	g.Expect(len(r.s.topics[source.Nodes])).To(BeNumerically("<=", 2*restoreNodes), "each node should write its entry at most twice")
 }
--- a/transport/entry/upgradesize_test.go
+++ b/transport/entry/upgradesize_test.go
@@ -14,8 +14,8 @@
 )
 
 // BenchmarkUpgradeAtSize replaces all nodes of a system one at a time. It reports how often the
-// leader changes, with and without the newest build first, and what a node that has just started
-// is told at first, in kilobytes.
+// leader changes, with and without preference for the newest build, and the size in kilobytes of
+// the leader's first answer to a node that has just started.
 func BenchmarkUpgradeAtSize(b *testing.B) {
 	for _, size := range []struct{ nodes, instances int }{{85, 296}, {300, 1050}, {570, 2000}} {
 		for _, newestFirst := range []bool{true, false} {
@@ -25,51 +25,52 @@
 					changes += leaderChanges(size.nodes, newestFirst, i)
 				}
 				b.ReportMetric(float64(changes)/float64(b.N), "leader-changes")
-				b.ReportMetric(float64(firstAnswer(NewWithT(b), size.nodes, size.instances))/1000, "first-kB")
+				b.ReportMetric(float64(firstAnswerSize(NewWithT(b), size.nodes, size.instances))/1000, "first-kB")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
 	}
 }
 
-// leaderChanges returns how often the leader changes while nodes of four sizes are replaced,
-// each away for the time in which the next in the order leads.
+// leaderChanges returns how often the leader changes while nodes of four capacities are replaced
+// one at a time. Each is away long enough for the next node in the order to lead.
 func leaderChanges(nodes int, newestFirst bool, seed int) int {
 	var all []NodeEntry
 	for i := range nodes {
 		all = append(all, NodeEntry{Name: fmt.Sprint("n", i), Address: fmt.Sprintf("10.%d.%d.%d:8229", seed%250, i/250, i%250), Capacity: []float64{0.192, 0.4, 0.6, 0.8}[i%4]})
 	}
 	changes := 0
-	leader := firstOf(all, -1)
-	follow := func(away int) {
-		if next := firstOf(all, away); next != leader {
+	leader := leaderWithout(all, -1)
+	updateLeader := func(absent int) {
+		if next := leaderWithout(all, absent); next != leader {
 			leader = next
 			changes++
 		}
 	}
 	for i := range all {
-		follow(i)
+		updateLeader(i)
 		if newestFirst {
 			all[i].Capacity += leadingBonus
 		}
-		follow(-1)
+		updateLeader(-1)
 	}
 	return changes
 }
 
-// firstOf returns the address of the node that leads, without the one that is away.
-func firstOf(all []NodeEntry, away int) string {
+// leaderWithout returns the address of the node that leads if the node at index absent is left
+// out; -1 leaves out none.
+func leaderWithout(all []NodeEntry, absent int) string {
 	best := -1
 	for i := range all {
-		if i != away && (best < 0 || precedes(all[i], all[best])) {
+		if i != absent && (best < 0 || precedes(all[i], all[best])) {
 			best = i
 		}
 	}
 	return all[best].Address
 }
 
-// firstAnswer returns the size of a leader's answer to a node that knows nothing.
-func firstAnswer(g *WithT, nodes, instances int) int {
+// firstAnswerSize returns the size in bytes of a leader's answer to a node that knows nothing.
+func firstAnswerSize(g *WithT, nodes, instances int) int {
 	leader := numbered(g, "leader", 1)
 	leader.peers.setPlacing(true)
 	for i := range nodes - 1 {
