--- a/transport/entry/backpressure_test.go
+++ b/transport/entry/backpressure_test.go
@@ -20,7 +20,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// noticing answers each question and order with a notice, and counts them.
+// noticing answers every probe and every order with the same notice and error, and counts the probes.
 type noticing struct {
 	notice fleet.Notice
 	err    error
@@ -36,7 +36,7 @@
 	return OrderAnswer{Notice: n.notice, Reply: placement.Refused}, n.err
 }
 
-// observed is a node that knows one instance, with its clock and its log.
+// observed is a node that knows one instance, with its clock and its log entries.
 type observed struct {
 	*Node
 	in    fleet.Instance
@@ -44,7 +44,7 @@
 	lines *memory.Handler
 }
 
-// observe returns a node that knows one instance, which answers by the targets given.
+// observe returns a node that knows one instance, whose probes and orders targets answers.
 func observe(targets Targets) *observed {
 	clock, lines := clockwork.NewFakeClock(), memory.New()
 	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
@@ -54,7 +54,7 @@
 	return &observed{n, in, clock, lines}
 }
 
-// logged returns how often a line was logged.
+// logged returns how many log entries have a message.
 func (o *observed) logged(message string) int {
 	n := 0
 	for _, e := range o.lines.Entries {
@@ -71,12 +71,12 @@
 		call func(n *observed)
 		err  error
 	}{
-		{"to a request", func(n *observed) {
+		{"answer to a request", func(n *observed) {
 			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
 		}, nil},
-		{"to a question", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
-		{"to a question, with a failure", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrUnreadable},
-		{"to an order", func(n *observed) {
+		{"answer to a probe", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
+		{"answer to a probe that failed", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrUnreadable},
+		{"answer to an order", func(n *observed) {
 			n.placer.order(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.BeginOrder("i"))
 		}, nil},
 	} {
@@ -101,15 +101,16 @@
 	}
 }
 
-// Two questions show that an instance no longer answers; more would only keep it from recovering.
+// Two probes are enough to find that an instance no longer answers. More of them would only keep
+// it from recovering.
 func TestAnInstanceThatIsCoolingDownIsAskedTwiceAtMost(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
 		lost bool
 	}{
-		{"it answers", nil, false},
-		{"it does not answer", context.DeadlineExceeded, true},
+		{"instance answers", nil, false},
+		{"instance does not answer", context.DeadlineExceeded, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -151,7 +152,7 @@
 	_, cooling := n.CooldownUntil(&next)
 	g.Expect(cooling).To(BeFalse())
 	g.Expect(n.IsLeaving(&next)).To(BeFalse())
-	n.RecordNotice(&n.in, fleet.Notice{Leaving: true}, "r2", time.Time{}) // a late answer of the earlier life
+	n.RecordNotice(&n.in, fleet.Notice{Leaving: true}, "r2", time.Time{}) // a late answer of the earlier incarnation
 	g.Expect(n.IsLeaving(&next)).To(BeFalse())
 }
 
@@ -169,8 +170,8 @@
 	g.Expect(list).To(Equal([]cooling{{Instance: "i", SinceMS: 1000, LeftMS: 2000}}))
 }
 
-// One node was told by an instance that it leaves; the leader hands its group over, and
-// no node sends it further requests, whatever entries of the list they have read.
+// One node receives the notice of an instance that it leaves. The leader hands its group over, and no
+// node sends it further requests, whatever entry of the list the node has read.
 func TestAllNodesKnowThatAnInstanceLeaves(t *testing.T) {
 	g := NewWithT(t)
 	leader, a, b := numbered(g, "leader", 1), numbered(g, "a", 2), numbered(g, "b", 3)
--- a/transport/entry/cooldown_test.go
+++ b/transport/entry/cooldown_test.go
@@ -21,33 +21,36 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// An overloaded instance turned nodes away with 503 and asked each of them for 3 s without
-// requests. Within that time it got a third one from two of the nodes, and could not recover.
-// A refusal only raised the instance's cost for a while, and since it held nothing it looked
-// like the emptiest: it was drawn again and again, by first sends as by repeats.
+// These tests guard against requests to an instance within the cooldown that it asked for. An
+// overloaded instance refuses requests with 503 and asks each node for, say, 3 s without requests.
+// If a refusal only raises the cost of the instance for a while, the instance still looks like the
+// least loaded one, since it has no requests in progress. Nodes then select it again and again, for
+// first attempts as well as for retries, and it cannot recover: two nodes sent it a third request
+// within the 3 s.
 //
-// Evidence: 37 refusals of one instance in 8 s, from all nodes, spaced by chance alone;
-// 130 of 144 refused attempts of the day were the first of their request.
+// Such an instance refused 37 requests within 8 s, from all nodes and at random intervals. Of 144
+// refused attempts, 130 were the first of their request, so retries alone are not the cause.
 
 // Times of the test.
 const (
-	// askedCooldown is how long an instance that sheds asks to be left alone.
+	// askedCooldown is the cooldown that a shedding instance asks for.
 	askedCooldown = 2 * time.Second
-	// underWay is how long after a refusal requests that had left before may still arrive.
+	// underWay is how long after a refusal requests that were sent before it may still arrive.
 	underWay = 500 * time.Millisecond
-	// shedTime is how long instances shed.
+	// shedTime is how long instances shed load.
 	shedTime = 5 * time.Second
-	// requestEvery is the time between two requests of callers.
+	// requestEvery is the interval between two requests of callers.
 	requestEvery = 4 * time.Millisecond
 )
 
-// leavingID is the instance that leaves.
+// leavingID is the ID of the instance that announces that it leaves.
 const leavingID = "i0"
 
-// mostInCooldown is how many requests of one node may reach an instance in its cooldown.
+// mostInCooldown is the maximum number of requests of one node that may reach an instance during
+// its cooldown.
 const mostInCooldown = 2
 
-// Headers of the stand-in's codec.
+// Headers of nodeCodec.
 const (
 	headerNode     = "Node"
 	headerNotRun   = "Not-Run"
@@ -55,7 +58,7 @@
 	headerLeaving  = "Leaving"
 )
 
-// nodeCodec is the header codec of a named node.
+// nodeCodec is a codec that sends the name of its node to instances.
 type nodeCodec struct {
 	codec
 	id string
@@ -70,23 +73,24 @@
 	}}
 }
 
-// shedding is a set of plain instances of which some turn all requests away for a while.
+// shedding is a set of instances of the plain service, some of which refuse all requests for a while.
 type shedding struct {
 	mu       sync.Mutex
 	until    time.Time
 	leaves   bool
 	arrivals map[sender][]time.Time
 	refusals map[sender][]time.Time
-	// farewells are the answers in which an instance said that it leaves.
+	// farewells holds the times of the answers in which an instance announced that it leaves.
 	farewells map[sender][]time.Time
 }
 
-// sender is a node that sends to an instance.
+// sender is a pair of an instance and a node that sends to it.
 type sender struct {
 	instance, node string
 }
 
-// newShedding starts instances of which the first few shed until a time, and lists them.
+// newShedding starts instances and adds them to the instance list. The first ones, as many as shed
+// says, refuse requests after begin.
 func newShedding(t *testing.T, s *store, instances, shed int) *shedding {
 	set := &shedding{arrivals: map[sender][]time.Time{}, refusals: map[sender][]time.Time{}, farewells: map[sender][]time.Time{}}
 	for i := range instances {
@@ -100,14 +104,14 @@
 	return set
 }
 
-// begin has the instances shed from now on for a time.
+// begin makes the shedding instances refuse requests for d from now on.
 func (s *shedding) begin(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.until = time.Now().Add(d)
 }
 
-// serve answers a request, or turns it away and asks for a cooldown.
+// serve answers a request, or refuses it and asks for a cooldown.
 func (s *shedding) serve(w http.ResponseWriter, r *http.Request, id string, sheds bool) {
 	body, _ := io.ReadAll(r.Body)
 	from := sender{id, r.Header.Get(headerNode)}
@@ -132,8 +136,9 @@
 	_, _ = w.Write(body)
 }
 
-// worst returns the most arrivals of one node within the cooldown after one of its refusals,
-// without those that may have been under way, and the number of refusals.
+// worst returns the maximum number of requests that one node sent to an instance within the
+// cooldown after one of its refusals, and the total number of refusals. Requests that may have been
+// in flight at the refusal do not count.
 func (s *shedding) worst() (most, refusals int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,15 +157,15 @@
 	return most, refusals
 }
 
-// leave has one instance say from now on that it leaves.
+// leave makes the instance leavingID announce in its answers from now on that it leaves.
 func (s *shedding) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaves = true
 }
 
-// afterFarewell returns how many nodes were told that the instance leaves, and how many
-// requests it got from one of them later than what was under way.
+// afterFarewell returns how many nodes received the announcement that the instance leaves, and how
+// many requests they sent to it afterwards, without those that may have been in flight.
 func (s *shedding) afterFarewell() (told, late int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +180,7 @@
 	return told, late
 }
 
-// arrivedSince returns which instances got requests after a time.
+// arrivedSince returns the number of requests after a time for each instance that got any.
 func (s *shedding) arrivedSince(at time.Time) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,14 +195,14 @@
 	return counts
 }
 
-// startNamedNodes starts nodes that tell instances their names, and waits until all of them serve.
+// startNamedNodes starts nodes that send their names to instances, and waits until all of them serve.
 func startNamedNodes(t *testing.T, s *store, count int) []*running {
 	return startServing(t, s, count, func(name string) entry.Ports {
 		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: nodeCodec{id: name}}
 	})
 }
 
-// startServing starts nodes whose ports a function returns, and waits until all of them serve.
+// startServing starts nodes with the ports that a function returns, and waits until all of them serve.
 func startServing(t *testing.T, s *store, count int, ports func(name string) entry.Ports) []*running {
 	var nodes []*running
 	var seeds []netip.AddrPort
@@ -217,7 +222,7 @@
 	return nodes
 }
 
-// callNodes has callers send requests to all nodes for a time and returns how many of each status came back.
+// callNodes sends requests to randomly selected nodes for d and returns the number of responses by status.
 func callNodes(nodes []*running, d time.Duration) map[int]int {
 	client := &http.Client{Timeout: 2 * time.Second}
 	var mu sync.Mutex
@@ -243,11 +248,11 @@
 		name            string
 		instances, shed int
 	}{
-		{"one of three", 3, 1},
-		{"two of three", 3, 2},
-		{"all of three", 3, 3},
-		{"the only one", 1, 1},
-		{"one of twelve", 12, 1},
+		{"one of three instances", 3, 1},
+		{"two of three instances", 3, 2},
+		{"all of three instances", 3, 3},
+		{"the only instance", 1, 1},
+		{"one of twelve instances", 12, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -259,12 +264,12 @@
 			instances.begin(shedTime)
 			counts := callNodes(nodes, shedTime)
 			most, refusals := instances.worst()
-			t.Logf("%d refusals, at most %d arrivals in a cooldown, answers %v", refusals, most, counts)
+			t.Logf("%d refusals, at most %d requests of one node in a cooldown, responses by status: %v", refusals, most, counts)
 			g.Expect(refusals).To(BeNumerically(">", 0), "no instance asked for a cooldown")
 			g.Expect(most).To(BeNumerically("<=", mostInCooldown))
 			if c.shed < c.instances {
 				g.Expect(counts[http.StatusOK]).To(BeNumerically(">", 0))
-				g.Expect(counts).To(HaveLen(1), "the others take all that comes")
+				g.Expect(counts).To(HaveLen(1), "the other instances serve all requests")
 			}
 
 			// Afterwards all instances serve again.
@@ -276,9 +281,9 @@
 	}
 }
 
-// An instance says in its answers that it leaves, while its entry in the list goes on saying
-// that it is ready. Nodes read the list alone, and one that could not read it sent on until
-// the process ended.
+// An instance may announce in its answers that it leaves while its entry in the list still says
+// that it is ready. A node that relies on the list alone, and cannot read it, sends requests until
+// the process of the instance ends.
 func TestAnInstanceThatSaysItIsLeavingGetsNoFurtherRequests(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
@@ -290,7 +295,7 @@
 	instances.leave()
 	counts := callNodes(nodes, 3*time.Second)
 	told, late := instances.afterFarewell()
-	t.Logf("%d nodes were told, %d late requests, answers %v", told, late, counts)
+	t.Logf("%d nodes got the announcement, %d late requests, responses by status: %v", told, late, counts)
 	g.Expect(told).To(BeNumerically(">", 0))
 	g.Expect(late).To(BeZero())
 	g.Expect(counts).To(HaveLen(1))
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -31,17 +31,18 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// store is a stand-in for a platform's store; each node has a view of it that can be cut.
+// store is an in-memory stand-in for the platform's store. Each node reads it through a view,
+// which can be disconnected.
 type store struct {
 	mu     sync.Mutex
 	topics map[source.Topic][]source.Item
 	era    int64
 }
 
-// copied is how many records of each topic a copy of the store holds.
+// copied is a backup of a store: the number of records of each topic.
 type copied map[source.Topic]int
 
-// copy makes a copy of the store.
+// copy takes a backup of the store.
 func (s *store) copy() copied {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,8 +53,8 @@
 	return c
 }
 
-// restore puts a copy in the place of what the store holds: a new era begins, and offsets are
-// given out again.
+// restore replaces the contents of the store by a backup. It begins a new era, in which the
+// offsets after the backup are assigned again.
 func (s *store) restore(c copied) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,14 +73,14 @@
 	return offset
 }
 
-// drop drops a key of a topic.
+// drop appends a tombstone for a key of a topic.
 func (s *store) drop(topic source.Topic, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics[topic] = append(s.topics[topic], source.Item{Key: key, Offset: int64(len(s.topics[topic]))})
 }
 
-// view is one node's way to the store.
+// view is the connection of one node to the store.
 type view struct {
 	*store
 	mu    sync.Mutex
@@ -131,7 +132,7 @@
 	}
 }
 
-// count counts a read of a topic.
+// count records a read of a topic.
 func (v *view) count(topic source.Topic) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -141,7 +142,7 @@
 	v.reads[topic]++
 }
 
-// readsOf returns the number of reads of a topic so far.
+// readsOf returns how often a topic has been read.
 func (v *view) readsOf(topic source.Topic) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -158,7 +159,7 @@
 	return source.Place{Era: v.era, Offset: offset}, nil
 }
 
-// decoder reads the stand-in's records: a configuration is its version.
+// decoder decodes the records of store. A configuration record consists of its version only.
 type decoder struct{}
 
 func (decoder) Catalog(raw []byte) (*catalog.Catalog, error) {
@@ -175,7 +176,7 @@
 	return in, json.Unmarshal(raw, &in)
 }
 
-// targets answers no question: the stand-in has no engines.
+// targets fails every probe and every order: the tests run no engines.
 type targets struct{}
 
 func (targets) Report(context.Context, netip.AddrPort, state.InstanceID, entry.Connection) (fleet.Report, error) {
@@ -186,7 +187,7 @@
 	return entry.OrderAnswer{Reply: placement.Unanswered}, errors.New("no engine")
 }
 
-// codec is the stand-in's way of writing requests.
+// codec is the header codec of the tests.
 type codec struct{}
 
 func (codec) ParseRequest(h http.Header) (gateway.RequestInfo, error) {
@@ -213,17 +214,18 @@
 	done chan error
 }
 
-// start runs a node on loopback.
+// start runs a node on loopback addresses.
 func start(t *testing.T, s *store, name string, seeds ...netip.AddrPort) *running {
 	return startWith(t, s, entry.Ports{Decoder: decoder{}, Targets: targets{}, Dialect: codec{}}, name, seeds...)
 }
 
-// startWith runs a node on loopback whose ports are given, but for the store.
+// startWith runs a node on loopback addresses with the given ports. It sets the Store port to a
+// view of s.
 func startWith(t *testing.T, s *store, ports entry.Ports, name string, seeds ...netip.AddrPort) *running {
 	return startTuned(t, s, ports, name, func(*entry.Settings) {}, seeds...)
 }
 
-// startTuned runs such a node with settings that a function has changed.
+// startTuned runs a node as startWith does, after tune has changed its settings.
 func startTuned(t *testing.T, s *store, ports entry.Ports, name string, tune func(*entry.Settings), seeds ...netip.AddrPort) *running {
 	set := &entry.Settings{
 		Policy: entry.DefaultPolicy(),
@@ -241,17 +243,17 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-r.done; err != nil {
-			t.Errorf("node %s ended: %v", name, err)
+			t.Errorf("node %s: Run returned an error: %v", name, err)
 		}
 	})
 	return r
 }
 
-// addresses numbers the loopback addresses that were given out.
+// addresses counts the loopback addresses that freeAddress has returned.
 var addresses atomic.Int32
 
-// freeAddress returns a loopback address of its own, so that no outgoing
-// connection, whose ports are those of 127.0.0.1, can take its port meanwhile.
+// freeAddress returns a free port on a loopback IP address that no other caller gets. Outgoing
+// connections use ports of 127.0.0.1, so they cannot take the port before the node listens on it.
 func freeAddress(t *testing.T) netip.AddrPort {
 	n := addresses.Add(1)
 	ip := netip.AddrFrom4([4]byte{127, 1 + byte(os.Getpid()%250), byte(n >> 8), 1 + byte(n%250)})
@@ -263,7 +265,7 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// status returns the status of a request to an address, 0 if there is no answer.
+// status sends a request to an address and returns the response status, 0 if there is no response.
 func status(at netip.AddrPort, key string) int {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+at.String()+"/x", nil)
 	req.Host = "h"
@@ -301,7 +303,7 @@
 	}
 	for _, cut := range []*running{a, b} {
 		cut.view.setCut(true)
-		// Well past the bound on keys, the node still knows that they hold.
+		// Well beyond KeysWithin the node still accepts the keys: its peer confirms them.
 		g.Consistently(func() int { return status(cut.set.Callers, "other") }, 4*time.Second, 50*time.Millisecond).
 			Should(Equal(http.StatusUnauthorized))
 		cut.view.setCut(false)
@@ -358,20 +360,21 @@
 	k := entry.NewKnowledge(decoder{}, true, 5*time.Second, clock)
 	g.Expect(k.KeysFresh()).To(BeFalse())
 	asked := clock.Now()
-	clock.Advance(3 * time.Second) // the answer took its time
+	clock.Advance(3 * time.Second) // the response is delayed
 	k.Confirm(asked)
 	g.Expect(k.KeysFresh()).To(BeTrue())
 	clock.Advance(1500 * time.Millisecond)
 	g.Expect(k.KeysFresh()).To(BeTrue())
 	clock.Advance(200 * time.Millisecond)
 	g.Expect(k.KeysFresh()).To(BeFalse())
-	k.Confirm(asked.Add(-time.Second)) // an older word changes nothing
+	k.Confirm(asked.Add(-time.Second)) // an older confirmation has no effect
 	g.Expect(k.KeysFresh()).To(BeFalse())
 	k.SetBound(false, 0)
 	g.Expect(k.KeysFresh()).To(BeTrue())
 }
 
-// plainInstance lists an instance of the plain service that a function answers, and returns how many requests it had.
+// plainInstance starts an instance of the plain service whose requests are served by answer.
+// list writes its entry to the store, had returns how many requests it has received.
 func plainInstance(t *testing.T, s *store, id string, answer http.HandlerFunc) (list func(change func(*fleet.Instance)), had func() int) {
 	var mu sync.Mutex
 	n := 0
@@ -397,10 +400,10 @@
 	return list, had
 }
 
-// unchanged leaves an entry as it is.
+// unchanged leaves the entry of an instance as it is.
 func unchanged(*fleet.Instance) {}
 
-// answerOK answers with nothing.
+// answerOK answers 200 with an empty body.
 func answerOK(http.ResponseWriter, *http.Request) {}
 
 func TestALeavingInstanceGetsNoNewRequests(t *testing.T) {
@@ -408,10 +411,10 @@
 		name  string
 		leave func(s *store, list func(func(*fleet.Instance)))
 	}{
-		{"it says so", func(_ *store, list func(func(*fleet.Instance))) {
+		{"its entry says that it drains", func(_ *store, list func(func(*fleet.Instance))) {
 			list(func(in *fleet.Instance) { in.Draining = true })
 		}},
-		{"its entry is dropped", func(s *store, _ func(func(*fleet.Instance))) { s.drop(source.Instances, "i1") }},
+		{"its entry is deleted", func(s *store, _ func(func(*fleet.Instance))) { s.drop(source.Instances, "i1") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -428,14 +431,14 @@
 				g.Expect(status(n.set.Callers, "k")).To(Equal(http.StatusServiceUnavailable))
 			}
 			g.Expect(had()).To(Equal(before))
-			list(unchanged) // it is back
+			list(unchanged) // the instance returns
 			g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
 		})
 	}
 }
 
-// An entry that another writer has put in the place of an instance's own names no
-// instance to use, until the instance writes again; the others hold.
+// Another writer may overwrite the entry of an instance with a value that cannot be decoded. The
+// instance gets no requests until it writes its entry again. Other instances are not affected.
 func TestAnEntryThatCannotBeReadNamesNoInstance(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
@@ -462,7 +465,7 @@
 	}
 	g.Eventually(serves(had1), 10*time.Second).Should(BeTrue())
 	s.add(source.Instances, "i1", "no entry")
-	// Eight requests may all go to the other instance by chance: once in 256 draws.
+	// Eight requests of a node may all go to the other instance by chance: once in 256 draws.
 	servesWithin := func(draws int) func() bool {
 		return func() bool {
 			for range draws {
@@ -525,7 +528,8 @@
 	}
 }
 
-// Nodes that start together do not each read once for every other one.
+// When many nodes start together, none of them may read the list of nodes once for every node that
+// joins: reads would grow with the square of the number of nodes.
 func TestReadsOfTheNodesDoNotGrowWithEveryEntry(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
@@ -540,8 +544,8 @@
 	g.Expect(n.view.readsOf(source.Nodes) - before).To(BeNumerically("<", others/4))
 }
 
-// A node that is told by the placing one leaves the store alone, and goes on by
-// itself once that one has ended.
+// A node that receives the instance list from the leader does not read it from the store. It
+// reads the store itself once the leader has stopped.
 func TestOnlyThePlacingNodeReadsTheList(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -25,10 +25,10 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// deadlyRequest is a request under which instances end in the tests.
+// deadlyRequest is the fingerprint of a request that ends the instances that run it.
 var deadlyRequest = quarantine.NewFingerprint(quarantine.Content{Method: "POST", Target: "/deadly"})
 
-// endUnder has a node see three instances end under a request.
+// endUnder has a node record that three instances ended while they ran a request.
 func endUnder(n *Node, f quarantine.Fingerprint) {
 	for i := range 3 {
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprintf("%s-i%d", n.set.Name, i)), Life: "1"}
@@ -38,13 +38,13 @@
 	}
 }
 
-// holds reports whether a node holds a request back.
+// holds reports whether a request is quarantined on a node.
 func holds(n *Node, f quarantine.Fingerprint) bool {
 	_, held := n.QuarantinedUntil(f)
 	return held
 }
 
-// exchange has a node report to a leader and take its answer.
+// exchange sends a status report of a node to the leader and applies the answer.
 func exchange(g *WithT, from, leader *Node) {
 	w := from.peers.word()
 	sent := from.peers.addLedger(w, from.clock.Now())
@@ -55,7 +55,7 @@
 	from.peers.take(resp.Msg, from.clock.Now())
 }
 
-// numbered returns a node that can lead, under a name and a number of its own.
+// numbered returns a node that can lead, with the given name and node number.
 func numbered(g *WithT, name string, number int64) *Node {
 	n := ableNode(g)
 	n.set.Name = name
@@ -72,7 +72,7 @@
 	for _, n := range []*Node{leader, a, b} {
 		g.Expect(holds(n, deadlyRequest)).To(BeTrue(), n.set.Name)
 	}
-	// What has been told is not told again.
+	// Ledger changes that were exchanged are not sent again.
 	exchange(g, a, leader)
 	exchange(g, b, leader)
 	for _, n := range []*Node{a, b} {
@@ -83,7 +83,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(resp.Msg.Ledger).To(BeNil(), n.set.Name)
 	}
-	// A new leader that knows nothing is told all by any node.
+	// A new leader with an empty ledger receives all of it from any node.
 	next := numbered(g, "next", 4)
 	exchange(g, b, next)
 	exchange(g, b, next)
@@ -109,7 +109,7 @@
 	}
 }
 
-// All nodes that lose power at once know nothing more than what the store keeps.
+// After all nodes lose power at once, only the store still holds the quarantine.
 func TestTheQuarantineOutlivesAllNodes(t *testing.T) {
 	g := NewWithT(t)
 	before := numbered(g, "a", 1)
@@ -141,7 +141,7 @@
 	g.Expect(holds(n, deadlyRequest)).To(BeTrue())
 }
 
-// keptRecords is a store that keeps what is appended.
+// keptRecords is a store that returns all records appended to it.
 type keptRecords struct {
 	Store
 	items []source.Item
@@ -156,7 +156,7 @@
 	return source.Tail{Items: s.items}, nil
 }
 
-// proofs answers each question for a report in one way.
+// proofs answers every probe with the same report and error.
 type proofs struct {
 	rep fleet.Report
 	err error
@@ -178,14 +178,14 @@
 		err   error
 		ended bool
 	}{
-		{"its address refuses connections", fleet.Report{}, os.NewSyscallError("connect", syscall.ECONNREFUSED), true},
+		{"address refuses connections", fleet.Report{}, os.NewSyscallError("connect", syscall.ECONNREFUSED), true},
 		{"another process answers", fleet.Report{}, placement.ErrReplaced, true},
-		{"it has started again", fleet.Report{Born: born.Add(time.Second)}, nil, true},
-		{"it answers", fleet.Report{Born: born}, nil, false},
-		{"it answers, but tells no start", fleet.Report{}, nil, false},
-		{"it answers no report", fleet.Report{}, placement.ErrUnreadable, false},
-		{"it is silent", fleet.Report{}, context.DeadlineExceeded, false},
-		{"its connection is reset", fleet.Report{}, os.NewSyscallError("read", syscall.ECONNRESET), false},
+		{"instance has restarted", fleet.Report{Born: born.Add(time.Second)}, nil, true},
+		{"instance answers", fleet.Report{Born: born}, nil, false},
+		{"report has no start time", fleet.Report{}, nil, false},
+		{"report cannot be read", fleet.Report{}, placement.ErrUnreadable, false},
+		{"no answer within the timeout", fleet.Report{}, context.DeadlineExceeded, false},
+		{"connection is reset", fleet.Report{}, os.NewSyscallError("read", syscall.ECONNRESET), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -203,7 +203,7 @@
 	}
 }
 
-// halls answers the questions to some instances and refuses all others.
+// halls answers the probes of some instances and refuses the connections to all others.
 type halls struct {
 	proofs
 	answering []state.InstanceID
@@ -216,8 +216,9 @@
 	return fleet.Report{}, os.NewSyscallError("connect", syscall.ECONNREFUSED)
 }
 
-// A hall that was cut off by resets refused connections on behalf of all its instances. Requests that had
-// broken off there counted as run on instances that ended; some that did no harm were held back.
+// A network partition that cuts off a hall by resets makes the connections to all of its instances
+// be refused. If that proved that the instances ended, the requests interrupted there would count
+// as run on instances that ended, and harmless ones would be quarantined.
 func TestARefusedConnectionProvesAnEndingOnlyWhileItsHallAnswers(t *testing.T) {
 	near := []string{"a1", "a2", "b1"}
 	for _, c := range []struct {
@@ -225,9 +226,9 @@
 		answering []state.InstanceID
 		ended     bool
 	}{
-		{"the others of the hall answer", []state.InstanceID{"a1", "a2", "b1"}, true},
-		{"its domain is lost", []state.InstanceID{"b1"}, true},
-		{"the hall is cut off, another one answers", []state.InstanceID{"far"}, false},
+		{"other instances of the hall answer", []state.InstanceID{"a1", "a2", "b1"}, true},
+		{"only its domain of the hall is lost", []state.InstanceID{"b1"}, true},
+		{"hall is cut off, another hall answers", []state.InstanceID{"far"}, false},
 		{"no instance answers", nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -250,7 +251,8 @@
 	}
 }
 
-// silentConnections answers no question over a kept connection, as if it had gone silent for good.
+// silentConnections fails every probe over a kept-alive connection with a timeout, as if the
+// connection had gone silent for good.
 type silentConnections struct{ proofs }
 
 func (s silentConnections) Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, by Connection) (fleet.Report, error) {
@@ -260,8 +262,8 @@
 	return s.proofs.Report(ctx, at, id, by)
 }
 
-// All kept connections to instances may go silent at once, while new ones work: no instance
-// counts as lost before a new one has failed as well.
+// All kept-alive connections to instances may go silent at once, while new ones work. No instance
+// counts as unreachable before a probe over a new connection has failed as well.
 func TestAnInstanceIsNotLostForItsKeptConnectionAlone(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
@@ -298,7 +300,7 @@
 	g.Expect(ask(http.MethodGet, "/quarantine").Body.String()).To(Equal("[]\n"))
 }
 
-// One ending is chance; a second one makes a request a suspect, a third holds it back.
+// One ending may be chance. A second one makes a request suspected, a third one quarantines it.
 func TestARequestIsSuspectedOneEndingBeforeItIsHeldBack(t *testing.T) {
 	g := NewWithT(t)
 	n := numbered(g, "a", 1)
--- a/transport/entry/ratelimit_test.go
+++ b/transport/entry/ratelimit_test.go
@@ -17,7 +17,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// limitedTo is a notice that names a rate limit.
+// limitedTo returns a notice with a rate limit in requests per second.
 func limitedTo(perSecond float64) fleet.Notice {
 	return fleet.Notice{RateLimit: fleet.LimitedTo(perSecond)}
 }
@@ -37,7 +37,7 @@
 	g.Expect(n.logged("rate limit began")).To(Equal(1))
 	g.Expect(n.logged("rate limit changed")).To(Equal(2))
 	say(fleet.Notice{})
-	g.Expect(n.logged("rate limit ended")).To(BeZero(), "no answer says nothing")
+	g.Expect(n.logged("rate limit ended")).To(BeZero(), "a notice without a rate limit changes nothing")
 	for range 2 {
 		say(fleet.Notice{RateLimit: fleet.Unlimited()})
 	}
@@ -49,14 +49,14 @@
 func TestARateLimitThatCannotBeReadIsLoggedOnceALife(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
-	bad := fleet.Notice{RateLimit: fleet.RateLimit{Fault: errors.New("no number")}}
+	bad := fleet.Notice{RateLimit: fleet.RateLimit{Fault: errors.New("rate limit is not a number")}}
 	n.RecordNotice(&n.in, limitedTo(2), "r", n.clock.Now())
 	for range 3 {
 		n.clock.Advance(time.Second)
 		n.RecordNotice(&n.in, bad, "r", n.clock.Now())
 	}
 	g.Expect(n.logged("rate limit not read")).To(Equal(1))
-	g.Expect(n.logged("rate limit ended")).To(BeZero(), "what was read before holds")
+	g.Expect(n.logged("rate limit ended")).To(BeZero(), "the last rate limit read stays in force")
 	next := n.in
 	next.Born = next.Born.Add(time.Second)
 	n.RecordNotice(&next, bad, "r", n.clock.Now())
@@ -77,7 +77,7 @@
 	g.Expect(list).To(Equal([]limitState{{Instance: "i", PerSecond: 2.5, SinceMS: 1000, SaidMS: 1000}}))
 }
 
-// spend returns how many requests a node may send to an instance at once.
+// spend takes all tokens of a node for an instance and returns how many there were.
 func spend(n *Node, in *fleet.Instance) int {
 	sent := 0
 	for n.TrySend(in) {
@@ -86,20 +86,21 @@
 	return sent
 }
 
-// reporting is a leader and two nodes that report to it, which know one instance. They share a clock.
+// reporting is a leader and two nodes that report to it. All three know one instance and share a clock.
 type reporting struct {
 	leader, a, b *Node
 	in           fleet.Instance
 	clock        *clockwork.FakeClock
 }
 
-// newReporting returns nodes that know each other.
+// newReporting returns three nodes that know each other.
 func newReporting(g *WithT) *reporting {
 	h := newLimitHistory(g, rand.New(rand.NewPCG(1, 1)), 3, 0)
 	return &reporting{h.nodes[0].Node, h.nodes[1].Node, h.nodes[2].Node, h.in, h.clock}
 }
 
-// pass lets some time pass, in which the nodes report and the leader deals.
+// pass advances the clock by d in steps. In each one the nodes divide the rate limits and send
+// status reports to the leader.
 func (r *reporting) pass(g *WithT, d time.Duration) {
 	for range d / (100 * time.Millisecond) {
 		r.clock.Advance(100 * time.Millisecond)
@@ -112,8 +113,8 @@
 	}
 }
 
-// One node was told by an instance how much it takes, that it takes less, and that it takes all
-// again; all nodes keep to it.
+// One node receives a rate limit from an instance, then a lower one, and another node the end of the
+// limit. All nodes apply each of them.
 func TestAllNodesKeepToALimitThatOneWasTold(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
@@ -132,30 +133,31 @@
 	for _, n := range all {
 		open += spend(n, &r.in)
 	}
-	g.Expect(open).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)), "a second of the rate and two more, for all nodes together")
+	g.Expect(open).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)), "one second of the rate and two requests more, over all nodes")
 	r.b.RecordNotice(&r.in, fleet.Notice{RateLimit: fleet.Unlimited()}, "r", r.clock.Now())
 	r.pass(g, 200*time.Millisecond)
 	for _, n := range all {
 		g.Expect(n.CanSend(&r.in)).To(BeTrue(), n.set.Name)
-		g.Expect(n.peers.word().ByGrants).To(BeFalse(), "at rest nothing is told")
+		g.Expect(n.peers.word().ByGrants).To(BeFalse(), "no node reports use of grants without a rate limit")
 	}
 }
 
-// Where no leader deals, as one of an earlier version or behind a cut, a node keeps to its part.
+// A node that gets no grants from a leader, as with a leader of an earlier version or behind a
+// network partition, uses no more than its equal share of the rate limit.
 func TestWithoutALeaderThatDealsANodeKeepsToItsPart(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		tell func(g *WithT, r *reporting)
 	}{
 		{"no leader", func(*WithT, *reporting) {}},
-		{"a leader of an earlier version", func(g *WithT, r *reporting) {
+		{"leader of an earlier version", func(g *WithT, r *reporting) {
 			resp, err := r.leader.peers.answer(context.Background(), connect.NewRequest(r.a.peers.word()))
 			g.Expect(err).NotTo(HaveOccurred())
 			a := resp.Msg
 			a.Limits, a.LimitsNow, a.Grants, a.Dealing, a.Possible = nil, 0, nil, false, 0
 			r.a.peers.take(a, r.clock.Now())
 		}},
-		{"it leads by itself", func(_ *WithT, r *reporting) { r.a.peers.setPlacing(true) }},
+		{"node leads alone", func(_ *WithT, r *reporting) { r.a.peers.setPlacing(true) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -171,13 +173,14 @@
 				r.a.dealLimits(r.clock.Now())
 				sent += spend(r.a, &r.in)
 			}
-			g.Expect(sent).To(BeNumerically("~", 20, 3), "a third of 3 a second, for 20 s")
+			g.Expect(sent).To(BeNumerically("~", 20, 3), "a third of 3 requests per second, for 20 s")
 		})
 	}
 }
 
-// What all nodes share is divided by those there may be. A node that was replaced by one at
-// another address is left out after a while, a node behind a cut is not.
+// Rate limits are divided by the number of nodes that may be running. A node that was replaced by
+// one at another address is no longer counted after ForgetNode. A node behind a network partition
+// is counted until then, and again once it reports.
 func TestNodesSilentForLongLoseTheirPart(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
@@ -188,10 +191,10 @@
 	r.clock.Advance(2 * time.Second)
 	exchange(g, r.a, r.leader)
 	g.Expect(r.leader.peers.possible(r.clock.Now())).To(Equal(2))
-	g.Expect(r.a.peers.possible(r.clock.Now())).To(Equal(2), "by the leader's word")
+	g.Expect(r.a.peers.possible(r.clock.Now())).To(Equal(2), "as the leader answered")
 	exchange(g, r.b, r.leader)
 	g.Expect(r.leader.peers.possible(r.clock.Now())).To(Equal(3))
-	// A new leader has heard of none of them, and waits as long.
+	// A new leader has no report of any node yet, and counts all of them until ForgetNode has passed.
 	r.leader.peers.setPlacing(false)
 	r.a.peers.setPlacing(true)
 	g.Expect(r.a.peers.possible(r.clock.Now())).To(Equal(3))
@@ -205,9 +208,9 @@
 		most    int
 		lost    bool
 	}{
-		{"by the leader", true, nil, 3, false},
-		{"by another node", false, nil, 0, false},
-		{"it does not answer", true, context.DeadlineExceeded, 10, true},
+		{"probed by the leader", true, nil, 3, false},
+		{"not probed by another node", false, nil, 0, false},
+		{"instance does not answer", true, context.DeadlineExceeded, 10, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
