--- a/transport/entry/backpressure_test.go
+++ b/transport/entry/backpressure_test.go
@@ -36,28 +36,28 @@
 	return OrderAnswer{Notice: n.notice, Reply: placement.Refused}, n.err
 }
 
-// observed is a node that knows one instance, with its clock and its log entries.
-type observed struct {
+// observedNode is a node that knows one instance, with its clock and its log entries.
+type observedNode struct {
 	*Node
 	in    fleet.Instance
 	clock *clockwork.FakeClock
-	lines *memory.Handler
+	logs  *memory.Handler
 }
 
 // observe returns a node that knows one instance, whose probes and orders targets answers.
-func observe(targets Targets) *observed {
-	clock, lines := clockwork.NewFakeClock(), memory.New()
+func observe(targets Targets) *observedNode {
+	clock, logs := clockwork.NewFakeClock(), memory.New()
 	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
-	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: lines, Level: log.InfoLevel})
+	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: logs, Level: log.InfoLevel})
 	in := fleet.Instance{ID: "i", Born: time.UnixMilli(5000).UTC(), Service: "lm", Address: testAddress(9)}
 	n.roster.ApplyFreshEntry(in, clock.Now())
-	return &observed{n, in, clock, lines}
+	return &observedNode{n, in, clock, logs}
 }
 
 // logged returns how many log entries have a message.
-func (o *observed) logged(message string) int {
+func (o *observedNode) logged(message string) int {
 	n := 0
-	for _, e := range o.lines.Entries {
+	for _, e := range o.logs.Entries {
 		if e.Message == message {
 			n++
 		}
@@ -65,18 +65,18 @@
 	return n
 }
 
-func TestAnyAnswerOfAnInstanceMaySayWhenItWantsToBeCalled(t *testing.T) {
+func TestAnyAnswerMayCarryCooldownAndLeaving(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		call func(n *observed)
+		call func(n *observedNode)
 		err  error
 	}{
-		{"answer to a request", func(n *observed) {
+		{"answer to a request", func(n *observedNode) {
 			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
 		}, nil},
-		{"answer to a probe", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
-		{"answer to a probe that failed", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrUnreadable},
-		{"answer to an order", func(n *observed) {
+		{"answer to a probe", func(n *observedNode) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
+		{"answer to a probe that failed", func(n *observedNode) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrUnreadable},
+		{"answer to an order", func(n *observedNode) {
 			n.placer.order(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.BeginOrder("i"))
 		}, nil},
 	} {
@@ -84,8 +84,8 @@
 			g := NewWithT(t)
 			n := observe(&noticing{notice: fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, err: c.err})
 			c.call(n)
-			until, cooling := n.CooldownUntil(&n.in)
-			g.Expect(cooling).To(BeTrue())
+			until, inCooldown := n.CooldownUntil(&n.in)
+			g.Expect(inCooldown).To(BeTrue())
 			g.Expect(until).To(Equal(n.clock.Now().Add(3 * time.Second)))
 			g.Expect(n.IsLeaving(&n.in)).To(BeTrue())
 			c.call(n)
@@ -93,8 +93,8 @@
 			g.Expect(n.logged("instance leaving")).To(Equal(1))
 			n.clock.Advance(3 * time.Second)
 			n.logCooldowns()
-			_, cooling = n.CooldownUntil(&n.in)
-			g.Expect(cooling).To(BeFalse())
+			_, inCooldown = n.CooldownUntil(&n.in)
+			g.Expect(inCooldown).To(BeFalse())
 			g.Expect(n.logged("cooldown ended")).To(Equal(1))
 			g.Expect(n.IsLeaving(&n.in)).To(BeTrue())
 		})
@@ -103,11 +103,11 @@
 
 // Two probes are enough to find that an instance no longer answers. More of them would only keep
 // it from recovering.
-func TestAnInstanceThatIsCoolingDownIsAskedTwiceAtMost(t *testing.T) {
+func TestInstanceInCooldownIsProbedAtMostTwice(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		err  error
-		lost bool
+		name        string
+		err         error
+		unreachable bool
 	}{
 		{"instance answers", nil, false},
 		{"instance does not answer", context.DeadlineExceeded, true},
@@ -123,7 +123,7 @@
 			}
 			g.Expect(targets.asked).To(Equal(2))
 			v, _ := n.roster.Get("i", n.clock.Now())
-			g.Expect(v.Unreachable).To(Equal(c.lost))
+			g.Expect(v.Unreachable).To(Equal(c.unreachable))
 			n.clock.Advance(time.Second)
 			n.report(context.Background(), n.in, n.clock.Now())
 			g.Expect(targets.asked).To(Equal(3))
@@ -131,32 +131,32 @@
 	}
 }
 
-func TestACooldownThatCannotBeReadIsLoggedOnce(t *testing.T) {
+func TestUnreadableCooldownIsLoggedOnce(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	for range 3 {
 		n.RecordNotice(&n.in, fleet.Notice{CooldownFault: retryafter.ErrValue}, "r1", time.Time{})
 	}
-	_, cooling := n.CooldownUntil(&n.in)
-	g.Expect(cooling).To(BeFalse())
+	_, inCooldown := n.CooldownUntil(&n.in)
+	g.Expect(inCooldown).To(BeFalse())
 	g.Expect(n.logged("cooldown not read")).To(Equal(1))
 }
 
-func TestALaterLifeIsNeitherCoolingDownNorLeaving(t *testing.T) {
+func TestLaterIncarnationIsNeitherInCooldownNorLeaving(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	n.RecordNotice(&n.in, fleet.Notice{Cooldown: time.Minute, Leaving: true}, "r1", time.Time{})
 	next := n.in
 	next.Born, next.Position = next.Born.Add(time.Second), next.Position+1
 	n.roster.ApplyFreshEntry(next, n.clock.Now())
-	_, cooling := n.CooldownUntil(&next)
-	g.Expect(cooling).To(BeFalse())
+	_, inCooldown := n.CooldownUntil(&next)
+	g.Expect(inCooldown).To(BeFalse())
 	g.Expect(n.IsLeaving(&next)).To(BeFalse())
 	n.RecordNotice(&n.in, fleet.Notice{Leaving: true}, "r2", time.Time{}) // a late answer of the earlier incarnation
 	g.Expect(n.IsLeaving(&next)).To(BeFalse())
 }
 
-func TestOperatorsSeeWhichInstancesAreCoolingDown(t *testing.T) {
+func TestOperatorListsInstancesInCooldown(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
@@ -172,20 +172,20 @@
 
 // One node receives the notice of an instance that it leaves. The leader hands its group over, and no
 // node sends it further requests, whatever entry of the list the node has read.
-func TestAllNodesKnowThatAnInstanceLeaves(t *testing.T) {
+func TestLeaveNoticeOfOneNodeReachesAllNodes(t *testing.T) {
 	g := NewWithT(t)
 	leader, a, b := numbered(g, "leader", 1), numbered(g, "a", 2), numbered(g, "b", 3)
 	in := fleet.Instance{ID: "i", Born: time.UnixMilli(5000).UTC(), Service: "lm", Position: 5, Address: testAddress(9)}
 	for _, n := range []*Node{leader, a, b} {
 		n.roster.ApplyFreshEntry(in, n.clock.Now())
 	}
-	exchange(g, b, leader)
+	exchangeReport(g, b, leader)
 	a.RecordNotice(&in, fleet.Notice{Leaving: true}, "r1", time.Time{})
-	exchange(g, a, leader)
+	exchangeReport(g, a, leader)
 	newer := in
 	newer.Position = 7
 	b.roster.ApplyFreshEntry(newer, b.clock.Now())
-	exchange(g, b, leader)
+	exchangeReport(g, b, leader)
 	for _, n := range []*Node{leader, a, b} {
 		g.Expect(n.IsLeaving(&in)).To(BeTrue(), n.set.Name)
 		v, _ := n.roster.Get("i", n.clock.Now())
--- a/transport/entry/cooldown_test.go
+++ b/transport/entry/cooldown_test.go
@@ -33,22 +33,22 @@
 
 // Times of the test.
 const (
-	// askedCooldown is the cooldown that a shedding instance asks for.
-	askedCooldown = 2 * time.Second
-	// underWay is how long after a refusal requests that were sent before it may still arrive.
-	underWay = 500 * time.Millisecond
-	// shedTime is how long instances shed load.
-	shedTime = 5 * time.Second
-	// requestEvery is the interval between two requests of callers.
-	requestEvery = 4 * time.Millisecond
+	// requestedCooldown is the cooldown that a shedding instance asks for.
+	requestedCooldown = 2 * time.Second
+	// inFlightTime is how long after a refusal requests that were sent before it may still arrive.
+	inFlightTime = 500 * time.Millisecond
+	// shedDuration is how long instances shed load.
+	shedDuration = 5 * time.Second
+	// requestInterval is the interval between two requests of callers.
+	requestInterval = 4 * time.Millisecond
 )
 
-// leavingID is the ID of the instance that announces that it leaves.
-const leavingID = "i0"
+// leavingInstanceID is the ID of the instance that announces that it leaves.
+const leavingInstanceID = "i0"
 
-// mostInCooldown is the maximum number of requests of one node that may reach an instance during
+// maxRequestsInCooldown is the maximum number of requests of one node that may reach an instance during
 // its cooldown.
-const mostInCooldown = 2
+const maxRequestsInCooldown = 2
 
 // Headers of nodeCodec.
 const (
@@ -73,15 +73,15 @@
 	}}
 }
 
-// shedding is a set of instances of the plain service, some of which refuse all requests for a while.
-type shedding struct {
-	mu       sync.Mutex
-	until    time.Time
-	leaves   bool
-	arrivals map[sender][]time.Time
-	refusals map[sender][]time.Time
-	// farewells holds the times of the answers in which an instance announced that it leaves.
-	farewells map[sender][]time.Time
+// sheddingInstances is a set of instances of the plain service, some of which refuse all requests for a while.
+type sheddingInstances struct {
+	mu        sync.Mutex
+	shedUntil time.Time
+	isLeaving bool
+	arrivals  map[sender][]time.Time
+	refusals  map[sender][]time.Time
+	// leaveNotices holds the times of the answers in which an instance announced that it leaves.
+	leaveNotices map[sender][]time.Time
 }
 
 // sender is a pair of an instance and a node that sends to it.
@@ -89,10 +89,10 @@
 	instance, node string
 }
 
-// newShedding starts instances and adds them to the instance list. The first ones, as many as shed
-// says, refuse requests after begin.
-func newShedding(t *testing.T, s *store, instances, shed int) *shedding {
-	set := &shedding{arrivals: map[sender][]time.Time{}, refusals: map[sender][]time.Time{}, farewells: map[sender][]time.Time{}}
+// newSheddingInstances starts instances and adds them to the instance list. The first ones, as many as shed
+// says, refuse requests after beginShedding.
+func newSheddingInstances(t *testing.T, s *store, instances, shed int) *sheddingInstances {
+	set := &sheddingInstances{arrivals: map[sender][]time.Time{}, refusals: map[sender][]time.Time{}, leaveNotices: map[sender][]time.Time{}}
 	for i := range instances {
 		id := fmt.Sprintf("i%d", i)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { set.serve(w, r, id, i < shed) }))
@@ -104,42 +104,42 @@
 	return set
 }
 
-// begin makes the shedding instances refuse requests for d from now on.
-func (s *shedding) begin(d time.Duration) {
+// beginShedding makes the shedding instances refuse requests for d from now on.
+func (s *sheddingInstances) beginShedding(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = time.Now().Add(d)
+	s.shedUntil = time.Now().Add(d)
 }
 
 // serve answers a request, or refuses it and asks for a cooldown.
-func (s *shedding) serve(w http.ResponseWriter, r *http.Request, id string, sheds bool) {
+func (s *sheddingInstances) serve(w http.ResponseWriter, r *http.Request, id string, sheds bool) {
 	body, _ := io.ReadAll(r.Body)
 	from := sender{id, r.Header.Get(headerNode)}
 	now := time.Now()
 	s.mu.Lock()
 	s.arrivals[from] = append(s.arrivals[from], now)
-	if sheds = sheds && now.Before(s.until); sheds {
+	if sheds = sheds && now.Before(s.shedUntil); sheds {
 		s.refusals[from] = append(s.refusals[from], now)
 	}
-	if s.leaves && id == leavingID {
-		s.farewells[from] = append(s.farewells[from], now)
+	if s.isLeaving && id == leavingInstanceID {
+		s.leaveNotices[from] = append(s.leaveNotices[from], now)
 		w.Header().Set(headerLeaving, "1")
 	}
 	s.mu.Unlock()
 	w.Header().Set("Id", r.Header.Get("Id"))
 	if sheds {
 		w.Header().Set(headerNotRun, "1")
-		w.Header().Set(headerCooldown, strconv.FormatFloat(askedCooldown.Seconds(), 'f', -1, 64))
+		w.Header().Set(headerCooldown, strconv.FormatFloat(requestedCooldown.Seconds(), 'f', -1, 64))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = w.Write(body)
 }
 
-// worst returns the maximum number of requests that one node sent to an instance within the
+// maxInCooldown returns the maximum number of requests that one node sent to an instance within the
 // cooldown after one of its refusals, and the total number of refusals. Requests that may have been
 // in flight at the refusal do not count.
-func (s *shedding) worst() (most, refusals int) {
+func (s *sheddingInstances) maxInCooldown() (most, refusals int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for from, list := range s.refusals {
@@ -147,7 +147,7 @@
 		for _, at := range list {
 			n := 0
 			for _, a := range s.arrivals[from] {
-				if d := a.Sub(at); d > underWay && d <= askedCooldown {
+				if d := a.Sub(at); d > inFlightTime && d <= requestedCooldown {
 					n++
 				}
 			}
@@ -157,31 +157,31 @@
 	return most, refusals
 }
 
-// leave makes the instance leavingID announce in its answers from now on that it leaves.
-func (s *shedding) leave() {
+// announceLeaving makes the instance leavingInstanceID announce in its answers from now on that it leaves.
+func (s *sheddingInstances) announceLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaves = true
+	s.isLeaving = true
 }
 
-// afterFarewell returns how many nodes received the announcement that the instance leaves, and how
+// afterLeaveNotice returns how many nodes received the announcement that the instance leaves, and how
 // many requests they sent to it afterwards, without those that may have been in flight.
-func (s *shedding) afterFarewell() (told, late int) {
+func (s *sheddingInstances) afterLeaveNotice() (notified, late int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for from, list := range s.farewells {
-		told++
+	for from, list := range s.leaveNotices {
+		notified++
 		for _, a := range s.arrivals[from] {
-			if a.Sub(list[0]) > underWay {
+			if a.Sub(list[0]) > inFlightTime {
 				late++
 			}
 		}
 	}
-	return told, late
+	return notified, late
 }
 
-// arrivedSince returns the number of requests after a time for each instance that got any.
-func (s *shedding) arrivedSince(at time.Time) map[string]int {
+// arrivalsSince returns the number of requests after a time for each instance that got any.
+func (s *sheddingInstances) arrivalsSince(at time.Time) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := map[string]int{}
@@ -222,8 +222,8 @@
 	return nodes
 }
 
-// callNodes sends requests to randomly selected nodes for d and returns the number of responses by status.
-func callNodes(nodes []*running, d time.Duration) map[int]int {
+// sendRequests sends requests to randomly selected nodes for d and returns the number of responses by status.
+func sendRequests(nodes []*running, d time.Duration) map[int]int {
 	client := &http.Client{Timeout: 2 * time.Second}
 	var mu sync.Mutex
 	counts := map[int]int{}
@@ -237,13 +237,13 @@
 			defer mu.Unlock()
 			counts[code]++
 		})
-		time.Sleep(requestEvery)
+		time.Sleep(requestInterval)
 	}
 	callers.Wait()
 	return counts
 }
 
-func TestAnInstanceThatAskedForACooldownIsLeftAlone(t *testing.T) {
+func TestInstanceGetsNoRequestsDuringCooldown(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		instances, shed int
@@ -259,24 +259,24 @@
 			g := NewWithT(t)
 			s := &store{topics: map[source.Topic][]source.Item{}}
 			s.add(source.Configuration, "config", 1)
-			instances := newShedding(t, s, c.instances, c.shed)
+			instances := newSheddingInstances(t, s, c.instances, c.shed)
 			nodes := startNamedNodes(t, s, 3)
-			instances.begin(shedTime)
-			counts := callNodes(nodes, shedTime)
-			most, refusals := instances.worst()
+			instances.beginShedding(shedDuration)
+			counts := sendRequests(nodes, shedDuration)
+			most, refusals := instances.maxInCooldown()
 			t.Logf("%d refusals, at most %d requests of one node in a cooldown, responses by status: %v", refusals, most, counts)
 			g.Expect(refusals).To(BeNumerically(">", 0), "no instance asked for a cooldown")
-			g.Expect(most).To(BeNumerically("<=", mostInCooldown))
+			g.Expect(most).To(BeNumerically("<=", maxRequestsInCooldown))
 			if c.shed < c.instances {
 				g.Expect(counts[http.StatusOK]).To(BeNumerically(">", 0))
 				g.Expect(counts).To(HaveLen(1), "the other instances serve all requests")
 			}
 
 			// Afterwards all instances serve again.
-			time.Sleep(askedCooldown)
+			time.Sleep(requestedCooldown)
 			began := time.Now()
-			g.Expect(callNodes(nodes, time.Second)).To(HaveLen(1))
-			g.Expect(instances.arrivedSince(began)).To(HaveLen(c.instances))
+			g.Expect(sendRequests(nodes, time.Second)).To(HaveLen(1))
+			g.Expect(instances.arrivalsSince(began)).To(HaveLen(c.instances))
 		})
 	}
 }
@@ -284,19 +284,19 @@
 // An instance may announce in its answers that it leaves while its entry in the list still says
 // that it is ready. A node that relies on the list alone, and cannot read it, sends requests until
 // the process of the instance ends.
-func TestAnInstanceThatSaysItIsLeavingGetsNoFurtherRequests(t *testing.T) {
+func TestInstanceThatAnnouncesLeavingGetsNoFurtherRequests(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
-	instances := newShedding(t, s, 3, 0)
+	instances := newSheddingInstances(t, s, 3, 0)
 	nodes := startNamedNodes(t, s, 3)
-	callNodes(nodes, time.Second)
+	sendRequests(nodes, time.Second)
 	nodes[0].view.setCut(true)
-	instances.leave()
-	counts := callNodes(nodes, 3*time.Second)
-	told, late := instances.afterFarewell()
-	t.Logf("%d nodes got the announcement, %d late requests, responses by status: %v", told, late, counts)
-	g.Expect(told).To(BeNumerically(">", 0))
+	instances.announceLeaving()
+	counts := sendRequests(nodes, 3*time.Second)
+	notified, late := instances.afterLeaveNotice()
+	t.Logf("%d nodes got the announcement, %d late requests, responses by status: %v", notified, late, counts)
+	g.Expect(notified).To(BeNumerically(">", 0))
 	g.Expect(late).To(BeZero())
 	g.Expect(counts).To(HaveLen(1))
 }
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -83,21 +83,21 @@
 // view is the connection of one node to the store.
 type view struct {
 	*store
-	mu    sync.Mutex
-	cut   bool
-	reads map[source.Topic]int
+	mu           sync.Mutex
+	disconnected bool
+	reads        map[source.Topic]int
 }
 
 func (v *view) setCut(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.cut = on
+	v.disconnected = on
 }
 
-func (v *view) isCut() bool {
+func (v *view) isDisconnected() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.cut
+	return v.disconnected
 }
 
 func (v *view) Newest(ctx context.Context, topic source.Topic) (source.Tail, error) {
@@ -106,9 +106,9 @@
 
 func (v *view) Read(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.Tail, error) {
 	v.count(topic)
-	end := time.After(wait)
+	timeout := time.After(wait)
 	for {
-		if v.isCut() {
+		if v.isDisconnected() {
 			return source.Tail{}, source.ErrUnavailable
 		}
 		v.store.mu.Lock()
@@ -125,7 +125,7 @@
 		select {
 		case <-ctx.Done():
 			return source.Tail{}, source.ErrUnavailable
-		case <-end:
+		case <-timeout:
 			return source.Tail{Era: era, End: from, Whole: true}, nil
 		case <-time.After(5 * time.Millisecond):
 		}
@@ -142,15 +142,15 @@
 	v.reads[topic]++
 }
 
-// readsOf returns how often a topic has been read.
-func (v *view) readsOf(topic source.Topic) int {
+// readCount returns how often a topic has been read.
+func (v *view) readCount(topic source.Topic) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.reads[topic]
 }
 
 func (v *view) Append(_ context.Context, topic source.Topic, key string, value []byte) (source.Place, error) {
-	if v.isCut() {
+	if v.isDisconnected() {
 		return source.Place{}, source.ErrUnavailable
 	}
 	offset := v.add(topic, key, json.RawMessage(value))
@@ -249,13 +249,13 @@
 	return r
 }
 
-// addresses counts the loopback addresses that freeAddress has returned.
-var addresses atomic.Int32
+// addressCount counts the loopback addresses that freeAddress has returned.
+var addressCount atomic.Int32
 
 // freeAddress returns a free port on a loopback IP address that no other caller gets. Outgoing
 // connections use ports of 127.0.0.1, so they cannot take the port before the node listens on it.
 func freeAddress(t *testing.T) netip.AddrPort {
-	n := addresses.Add(1)
+	n := addressCount.Add(1)
 	ip := netip.AddrFrom4([4]byte{127, 1 + byte(os.Getpid()%250), byte(n >> 8), 1 + byte(n%250)})
 	ln, err := net.Listen("tcp4", netip.AddrPortFrom(ip, 0).String())
 	if err != nil {
@@ -280,7 +280,7 @@
 	return resp.StatusCode
 }
 
-func TestANodeIsReadyOnceItHasAConfigurationAndServesIt(t *testing.T) {
+func TestNodeIsReadyOnceItHasAConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	n := start(t, s, "a")
@@ -292,7 +292,7 @@
 	g.Expect(status(n.set.Metrics, "")).NotTo(BeZero())
 }
 
-func TestANodeThatCannotReadTheStoreServesByTheConfigurationOfAnother(t *testing.T) {
+func TestNodeWithoutStoreServesConfigurationOfPeer(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
@@ -301,17 +301,17 @@
 	for _, n := range []*running{a, b} {
 		g.Eventually(func() int { return status(n.set.Callers, "other") }, 10*time.Second).Should(Equal(http.StatusUnauthorized))
 	}
-	for _, cut := range []*running{a, b} {
-		cut.view.setCut(true)
+	for _, disconnected := range []*running{a, b} {
+		disconnected.view.setCut(true)
 		// Well beyond KeysWithin the node still accepts the keys: its peer confirms them.
-		g.Consistently(func() int { return status(cut.set.Callers, "other") }, 4*time.Second, 50*time.Millisecond).
+		g.Consistently(func() int { return status(disconnected.set.Callers, "other") }, 4*time.Second, 50*time.Millisecond).
 			Should(Equal(http.StatusUnauthorized))
-		cut.view.setCut(false)
+		disconnected.view.setCut(false)
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func TestKeysAreNotTrustedWithoutWordOfTheStore(t *testing.T) {
+func TestKeysExpireWithoutConfirmationByStore(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
@@ -323,7 +323,7 @@
 	g.Eventually(func() int { return status(n.set.Callers, "other") }, 10*time.Second).Should(Equal(http.StatusUnauthorized))
 }
 
-func TestAStoppingNodeIsNotReadyAndEnds(t *testing.T) {
+func TestStoppingNodeIsNotReadyAndEnds(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
@@ -335,7 +335,7 @@
 	n.done <- nil
 }
 
-func TestKnowledgeNeverGoesBack(t *testing.T) {
+func TestKnowledgeKeepsNewestConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	k := entry.NewKnowledge(decoder{}, true, 5*time.Second, clockwork.NewFakeClock())
 	for _, c := range []struct {
@@ -354,28 +354,28 @@
 	}
 }
 
-func TestKnowledgeIsAsOldAsTheQuestion(t *testing.T) {
+func TestKnowledgeAgeCountsFromStartOfRead(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
 	k := entry.NewKnowledge(decoder{}, true, 5*time.Second, clock)
 	g.Expect(k.KeysFresh()).To(BeFalse())
-	asked := clock.Now()
+	requested := clock.Now()
 	clock.Advance(3 * time.Second) // the response is delayed
-	k.Confirm(asked)
+	k.Confirm(requested)
 	g.Expect(k.KeysFresh()).To(BeTrue())
 	clock.Advance(1500 * time.Millisecond)
 	g.Expect(k.KeysFresh()).To(BeTrue())
 	clock.Advance(200 * time.Millisecond)
 	g.Expect(k.KeysFresh()).To(BeFalse())
-	k.Confirm(asked.Add(-time.Second)) // an older confirmation has no effect
+	k.Confirm(requested.Add(-time.Second)) // an older confirmation has no effect
 	g.Expect(k.KeysFresh()).To(BeFalse())
 	k.SetBound(false, 0)
 	g.Expect(k.KeysFresh()).To(BeTrue())
 }
 
-// plainInstance starts an instance of the plain service whose requests are served by answer.
-// list writes its entry to the store, had returns how many requests it has received.
-func plainInstance(t *testing.T, s *store, id string, answer http.HandlerFunc) (list func(change func(*fleet.Instance)), had func() int) {
+// startPlainInstance starts an instance of the plain service whose requests are served by answer.
+// list writes its entry to the store, received returns how many requests it has received.
+func startPlainInstance(t *testing.T, s *store, id string, answer http.HandlerFunc) (list func(change func(*fleet.Instance)), received func() int) {
 	var mu sync.Mutex
 	n := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -388,16 +388,16 @@
 	t.Cleanup(srv.Close)
 	in := fleet.Instance{ID: state.InstanceID(id), Service: "plain", Slots: 4, Hall: "hall", Address: netip.MustParseAddrPort(srv.Listener.Addr().String())}
 	list = func(change func(*fleet.Instance)) {
-		entry := in
-		change(&entry)
-		s.add(source.Instances, id, entry)
+		changed := in
+		change(&changed)
+		s.add(source.Instances, id, changed)
 	}
-	had = func() int {
+	received = func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		return n
 	}
-	return list, had
+	return list, received
 }
 
 // unchanged leaves the entry of an instance as it is.
@@ -406,7 +406,7 @@
 // answerOK answers 200 with an empty body.
 func answerOK(http.ResponseWriter, *http.Request) {}
 
-func TestALeavingInstanceGetsNoNewRequests(t *testing.T) {
+func TestLeavingInstanceGetsNoNewRequests(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		leave func(s *store, list func(func(*fleet.Instance)))
@@ -421,16 +421,16 @@
 			s := &store{topics: map[source.Topic][]source.Item{}}
 			s.add(source.Configuration, "config", 1)
 			n := start(t, s, "a")
-			list, had := plainInstance(t, s, "i1", answerOK)
+			list, received := startPlainInstance(t, s, "i1", answerOK)
 			list(unchanged)
 			g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
 			c.leave(s, list)
 			g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusServiceUnavailable))
-			before := had()
+			before := received()
 			for range 20 {
 				g.Expect(status(n.set.Callers, "k")).To(Equal(http.StatusServiceUnavailable))
 			}
-			g.Expect(had()).To(Equal(before))
+			g.Expect(received()).To(Equal(before))
 			list(unchanged) // the instance returns
 			g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
 		})
@@ -439,37 +439,37 @@
 
 // Another writer may overwrite the entry of an instance with a value that cannot be decoded. The
 // instance gets no requests until it writes its entry again. Other instances are not affected.
-func TestAnEntryThatCannotBeReadNamesNoInstance(t *testing.T) {
+func TestInstanceWithUnreadableEntryGetsNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
 	a := start(t, s, "a")
 	b := start(t, s, "b", a.set.Peer)
-	list1, had1 := plainInstance(t, s, "i1", answerOK)
-	list2, had2 := plainInstance(t, s, "i2", answerOK)
+	list1, received1 := startPlainInstance(t, s, "i1", answerOK)
+	list2, received2 := startPlainInstance(t, s, "i2", answerOK)
 	list1(unchanged)
 	list2(unchanged)
 	for _, n := range []*running{a, b} {
 		g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
 	}
-	serves := func(had func() int) func() bool {
+	serves := func(received func() int) func() bool {
 		return func() bool {
-			before := had()
+			before := received()
 			for _, n := range []*running{a, b} {
 				for range 8 {
 					g.Expect(status(n.set.Callers, "k")).To(BeElementOf(http.StatusOK, http.StatusServiceUnavailable))
 				}
 			}
-			return had() > before
+			return received() > before
 		}
 	}
-	g.Eventually(serves(had1), 10*time.Second).Should(BeTrue())
+	g.Eventually(serves(received1), 10*time.Second).Should(BeTrue())
 	s.add(source.Instances, "i1", "no entry")
 	// Eight requests of a node may all go to the other instance by chance: once in 256 draws.
 	servesWithin := func(draws int) func() bool {
 		return func() bool {
 			for range draws {
-				if serves(had1)() {
+				if serves(received1)() {
 					return true
 				}
 			}
@@ -477,21 +477,21 @@
 		}
 	}
 	g.Eventually(servesWithin(6), 10*time.Second).Should(BeFalse())
-	g.Consistently(serves(had1), time.Second).Should(BeFalse())
-	g.Expect(serves(had2)()).To(BeTrue())
+	g.Consistently(serves(received1), time.Second).Should(BeFalse())
+	g.Expect(serves(received2)()).To(BeTrue())
 	list1(unchanged)
-	g.Eventually(serves(had1), 10*time.Second).Should(BeTrue())
+	g.Eventually(serves(received1), 10*time.Second).Should(BeTrue())
 }
 
-func TestAPlannedStopCutsNothingOff(t *testing.T) {
+func TestPlannedStopCompletesRequestsInProgress(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
 	n := start(t, s, "a")
-	working, finish := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	list, _ := plainInstance(t, s, "i1", func(http.ResponseWriter, *http.Request) {
-		once.Do(func() { close(working) })
+	list, _ := startPlainInstance(t, s, "i1", func(http.ResponseWriter, *http.Request) {
+		once.Do(func() { close(started) })
 		<-finish
 	})
 	list(unchanged)
@@ -504,7 +504,7 @@
 			}
 		}
 	}()
-	g.Eventually(working, 10*time.Second).Should(BeClosed())
+	g.Eventually(started, 10*time.Second).Should(BeClosed())
 	n.stop()
 	g.Eventually(func() int { return status(n.set.Ready, "") }, 10*time.Second).ShouldNot(Equal(http.StatusOK))
 	close(finish)
@@ -513,11 +513,11 @@
 	n.done <- nil
 }
 
-func TestNewNodesServeFromTheStoreAlone(t *testing.T) {
+func TestNewNodesServeFromStoreAlone(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
-	list, _ := plainInstance(t, s, "i1", answerOK)
+	list, _ := startPlainInstance(t, s, "i1", answerOK)
 	list(unchanged)
 	for _, name := range []string{"a", "b"} {
 		n := start(t, s, name)
@@ -530,43 +530,43 @@
 
 // When many nodes start together, none of them may read the list of nodes once for every node that
 // joins: reads would grow with the square of the number of nodes.
-func TestReadsOfTheNodesDoNotGrowWithEveryEntry(t *testing.T) {
+func TestNodeListReadsDoNotGrowWithEveryEntry(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	n := start(t, s, "a")
-	g.Eventually(func() int { return n.view.readsOf(source.Nodes) }, 10*time.Second).Should(BeNumerically(">", 0))
+	g.Eventually(func() int { return n.view.readCount(source.Nodes) }, 10*time.Second).Should(BeNumerically(">", 0))
 	const others = 40
-	before := n.view.readsOf(source.Nodes)
+	before := n.view.readCount(source.Nodes)
 	for i := range others {
 		s.add(source.Nodes, strconv.Itoa(i), entry.NodeEntry{Name: "n" + strconv.Itoa(i), Address: "127.0.0.1:1"})
 		time.Sleep(10 * time.Millisecond)
 	}
-	g.Expect(n.view.readsOf(source.Nodes) - before).To(BeNumerically("<", others/4))
+	g.Expect(n.view.readCount(source.Nodes) - before).To(BeNumerically("<", others/4))
 }
 
 // A node that receives the instance list from the leader does not read it from the store. It
 // reads the store itself once the leader has stopped.
-func TestOnlyThePlacingNodeReadsTheList(t *testing.T) {
+func TestOnlyLeaderReadsInstanceList(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
 	a := start(t, s, "a")
 	b := start(t, s, "b", a.set.Peer)
-	reads := func(n *running) func() int { return func() int { return n.view.readsOf(source.Instances) } }
-	var placing, told *running
+	reads := func(n *running) func() int { return func() int { return n.view.readCount(source.Instances) } }
+	var leader, follower *running
 	g.Eventually(func() bool {
 		beforeA, beforeB := reads(a)(), reads(b)()
 		time.Sleep(time.Second)
-		placing, told = a, b
+		leader, follower = a, b
 		if reads(b)() > beforeB {
-			placing, told = b, a
+			leader, follower = b, a
 		}
-		return reads(told)() == map[*running]int{a: beforeA, b: beforeB}[told] && reads(placing)() > map[*running]int{a: beforeA, b: beforeB}[placing]
+		return reads(follower)() == map[*running]int{a: beforeA, b: beforeB}[follower] && reads(leader)() > map[*running]int{a: beforeA, b: beforeB}[leader]
 	}, 20*time.Second).Should(BeTrue())
-	list, _ := plainInstance(t, s, "i2", answerOK)
+	list, _ := startPlainInstance(t, s, "i2", answerOK)
 	list(unchanged)
-	g.Eventually(func() int { return status(told.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
-	placing.stop()
-	before := reads(told)()
-	g.Eventually(reads(told), 10*time.Second).Should(BeNumerically(">", before))
+	g.Eventually(func() int { return status(follower.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
+	leader.stop()
+	before := reads(follower)()
+	g.Eventually(reads(follower), 10*time.Second).Should(BeNumerically(">", before))
 }
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -28,8 +28,8 @@
 // deadlyRequest is the fingerprint of a request that ends the instances that run it.
 var deadlyRequest = quarantine.NewFingerprint(quarantine.Content{Method: "POST", Target: "/deadly"})
 
-// endUnder has a node record that three instances ended while they ran a request.
-func endUnder(n *Node, f quarantine.Fingerprint) {
+// recordEndings has a node record that three instances ended while they ran a request.
+func recordEndings(n *Node, f quarantine.Fingerprint) {
 	for i := range 3 {
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprintf("%s-i%d", n.set.Name, i)), Life: "1"}
 		at := n.clock.Now().Add(time.Duration(i-5) * time.Second)
@@ -38,14 +38,14 @@
 	}
 }
 
-// holds reports whether a request is quarantined on a node.
-func holds(n *Node, f quarantine.Fingerprint) bool {
+// isQuarantined reports whether a request is quarantined on a node.
+func isQuarantined(n *Node, f quarantine.Fingerprint) bool {
 	_, held := n.QuarantinedUntil(f)
 	return held
 }
 
-// exchange sends a status report of a node to the leader and applies the answer.
-func exchange(g *WithT, from, leader *Node) {
+// exchangeReport sends a status report of a node to the leader and applies the answer.
+func exchangeReport(g *WithT, from, leader *Node) {
 	w := from.peers.word()
 	sent := from.peers.addLedger(w, from.clock.Now())
 	resp, err := leader.peers.answer(context.Background(), connect.NewRequest(w))
@@ -63,18 +63,18 @@
 	return n
 }
 
-func TestAllNodesHoldBackWhatOneSawEnd(t *testing.T) {
+func TestQuarantineOfOneNodeReachesAllNodes(t *testing.T) {
 	g := NewWithT(t)
 	leader, a, b := numbered(g, "leader", 1), numbered(g, "a", 2), numbered(g, "b", 3)
-	endUnder(a, deadlyRequest)
-	exchange(g, a, leader)
-	exchange(g, b, leader)
+	recordEndings(a, deadlyRequest)
+	exchangeReport(g, a, leader)
+	exchangeReport(g, b, leader)
 	for _, n := range []*Node{leader, a, b} {
-		g.Expect(holds(n, deadlyRequest)).To(BeTrue(), n.set.Name)
+		g.Expect(isQuarantined(n, deadlyRequest)).To(BeTrue(), n.set.Name)
 	}
 	// Ledger changes that were exchanged are not sent again.
-	exchange(g, a, leader)
-	exchange(g, b, leader)
+	exchangeReport(g, a, leader)
+	exchangeReport(g, b, leader)
 	for _, n := range []*Node{a, b} {
 		w := n.peers.word()
 		n.peers.addLedger(w, n.clock.Now())
@@ -85,12 +85,12 @@
 	}
 	// A new leader with an empty ledger receives all of it from any node.
 	next := numbered(g, "next", 4)
-	exchange(g, b, next)
-	exchange(g, b, next)
-	g.Expect(holds(next, deadlyRequest)).To(BeTrue())
+	exchangeReport(g, b, next)
+	exchangeReport(g, b, next)
+	g.Expect(isQuarantined(next, deadlyRequest)).To(BeTrue())
 }
 
-func TestEndingsSeenByDifferentNodesAddUp(t *testing.T) {
+func TestEndingsRecordedByDifferentNodesAddUp(t *testing.T) {
 	g := NewWithT(t)
 	leader, nodes := numbered(g, "leader", 1), []*Node{numbered(g, "a", 2), numbered(g, "b", 3), numbered(g, "c", 4)}
 	for i, n := range nodes {
@@ -101,20 +101,20 @@
 	}
 	for range 2 {
 		for _, n := range nodes {
-			exchange(g, n, leader)
+			exchangeReport(g, n, leader)
 		}
 	}
 	for _, n := range nodes {
-		g.Expect(holds(n, deadlyRequest)).To(BeTrue(), n.set.Name)
+		g.Expect(isQuarantined(n, deadlyRequest)).To(BeTrue(), n.set.Name)
 	}
 }
 
 // After all nodes lose power at once, only the store still holds the quarantine.
-func TestTheQuarantineOutlivesAllNodes(t *testing.T) {
+func TestQuarantineSurvivesLossOfAllNodes(t *testing.T) {
 	g := NewWithT(t)
 	before := numbered(g, "a", 1)
-	endUnder(before, deadlyRequest)
-	store := &keptRecords{}
+	recordEndings(before, deadlyRequest)
+	store := &recordStore{}
 	before.ports.Store = store
 	now := before.clock.Now()
 	for f, v := range before.ledger.Verdicts(now) {
@@ -123,10 +123,10 @@
 	after := numbered(g, "b", 2)
 	after.ports.Store = store
 	after.restoreQuarantine(t.Context())
-	g.Expect(holds(after, deadlyRequest)).To(BeTrue())
+	g.Expect(isQuarantined(after, deadlyRequest)).To(BeTrue())
 }
 
-func TestARecordThatCannotBeReadLeavesTheOthersInForce(t *testing.T) {
+func TestUnreadableQuarantineRecordsAreSkipped(t *testing.T) {
 	g := NewWithT(t)
 	n := numbered(g, "a", 1)
 	now := n.clock.Now()
@@ -138,21 +138,21 @@
 		{Key: deadlyRequest.String()},
 		{Key: deadlyRequest.String(), Value: []byte(good)},
 	})
-	g.Expect(holds(n, deadlyRequest)).To(BeTrue())
+	g.Expect(isQuarantined(n, deadlyRequest)).To(BeTrue())
 }
 
-// keptRecords is a store that returns all records appended to it.
-type keptRecords struct {
+// recordStore is a store that returns all records appended to it.
+type recordStore struct {
 	Store
 	items []source.Item
 }
 
-func (s *keptRecords) Append(_ context.Context, _ source.Topic, key string, value []byte) (source.Place, error) {
+func (s *recordStore) Append(_ context.Context, _ source.Topic, key string, value []byte) (source.Place, error) {
 	s.items = append(s.items, source.Item{Key: key, Value: value})
 	return source.Place{Offset: int64(len(s.items) - 1)}, nil
 }
 
-func (s *keptRecords) Newest(context.Context, source.Topic) (source.Tail, error) {
+func (s *recordStore) Newest(context.Context, source.Topic) (source.Tail, error) {
 	return source.Tail{Items: s.items}, nil
 }
 
@@ -170,7 +170,7 @@
 	return OrderAnswer{Reply: placement.Unanswered}, nil
 }
 
-func TestWhatProvesThatAnInstanceEnded(t *testing.T) {
+func TestProofsThatInstanceEnded(t *testing.T) {
 	born := time.UnixMilli(5000).UTC()
 	for _, c := range []struct {
 		name  string
@@ -219,7 +219,7 @@
 // A network partition that cuts off a hall by resets makes the connections to all of its instances
 // be refused. If that proved that the instances ended, the requests interrupted there would count
 // as run on instances that ended, and harmless ones would be quarantined.
-func TestARefusedConnectionProvesAnEndingOnlyWhileItsHallAnswers(t *testing.T) {
+func TestRefusedConnectionProvesEndingOnlyWhileHallAnswers(t *testing.T) {
 	near := []string{"a1", "a2", "b1"}
 	for _, c := range []struct {
 		name      string
@@ -251,11 +251,11 @@
 	}
 }
 
-// silentConnections fails every probe over a kept-alive connection with a timeout, as if the
+// silentKeepAlive fails every probe over a kept-alive connection with a timeout, as if the
 // connection had gone silent for good.
-type silentConnections struct{ proofs }
+type silentKeepAlive struct{ proofs }
 
-func (s silentConnections) Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, by Connection) (fleet.Report, error) {
+func (s silentKeepAlive) Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, by Connection) (fleet.Report, error) {
 	if by == AnyConnection {
 		return fleet.Report{}, context.DeadlineExceeded
 	}
@@ -264,11 +264,11 @@
 
 // All kept-alive connections to instances may go silent at once, while new ones work. No instance
 // counts as unreachable before a probe over a new connection has failed as well.
-func TestAnInstanceIsNotLostForItsKeptConnectionAlone(t *testing.T) {
+func TestSilentKeepAliveConnectionAloneDoesNotMakeInstanceUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
 	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
-	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: silentConnections{}}, clock, &log.Logger{Handler: discard.New()})
+	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: silentKeepAlive{}}, clock, &log.Logger{Handler: discard.New()})
 	in := fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9)}
 	n.roster.ApplyFreshEntry(in, clock.Now())
 	for range 2 { // twice in a row
@@ -280,38 +280,38 @@
 	}
 }
 
-func TestAnOperatorSeesAndReleasesAQuarantinedRequest(t *testing.T) {
+func TestOperatorListsAndReleasesQuarantinedRequest(t *testing.T) {
 	g := NewWithT(t)
 	n := numbered(g, "a", 1)
-	endUnder(n, deadlyRequest)
+	recordEndings(n, deadlyRequest)
 	mux := http.NewServeMux()
 	n.handleOperators(mux)
-	ask := func(method, path string) *httptest.ResponseRecorder {
+	request := func(method, path string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(method, path, nil))
 		return w
 	}
-	g.Expect(ask(http.MethodGet, "/quarantine").Body.String()).To(And(ContainSubstring(deadlyRequest.String()), ContainSubstring("a-i2")))
-	g.Expect(ask(http.MethodDelete, "/quarantine/nonsense").Code).To(Equal(http.StatusBadRequest))
-	g.Expect(holds(n, deadlyRequest)).To(BeTrue())
-	g.Expect(ask(http.MethodDelete, "/quarantine/"+deadlyRequest.String()).Code).To(Equal(http.StatusNoContent))
+	g.Expect(request(http.MethodGet, "/quarantine").Body.String()).To(And(ContainSubstring(deadlyRequest.String()), ContainSubstring("a-i2")))
+	g.Expect(request(http.MethodDelete, "/quarantine/nonsense").Code).To(Equal(http.StatusBadRequest))
+	g.Expect(isQuarantined(n, deadlyRequest)).To(BeTrue())
+	g.Expect(request(http.MethodDelete, "/quarantine/"+deadlyRequest.String()).Code).To(Equal(http.StatusNoContent))
 	n.clock.(*clockwork.FakeClock).Advance(time.Second)
-	g.Expect(holds(n, deadlyRequest)).To(BeFalse())
-	g.Expect(ask(http.MethodGet, "/quarantine").Body.String()).To(Equal("[]\n"))
+	g.Expect(isQuarantined(n, deadlyRequest)).To(BeFalse())
+	g.Expect(request(http.MethodGet, "/quarantine").Body.String()).To(Equal("[]\n"))
 }
 
 // One ending may be chance. A second one makes a request suspected, a third one quarantines it.
-func TestARequestIsSuspectedOneEndingBeforeItIsHeldBack(t *testing.T) {
+func TestRequestIsSuspectedOneEndingBeforeQuarantine(t *testing.T) {
 	g := NewWithT(t)
 	n := numbered(g, "a", 1)
 	for endings := range 3 {
 		g.Expect(n.IsSuspected(deadlyRequest)).To(Equal(endings == 2))
-		g.Expect(holds(n, deadlyRequest)).To(BeFalse())
+		g.Expect(isQuarantined(n, deadlyRequest)).To(BeFalse())
 		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprint("i", endings)), Life: "1"}
 		at := n.clock.Now().Add(time.Duration(endings-5) * time.Second)
 		n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in}, at.Add(-time.Second), at)
 		n.ledger.RecordEnding(in, at)
 		n.clock.(*clockwork.FakeClock).Advance(100 * time.Millisecond)
 	}
-	g.Expect(holds(n, deadlyRequest)).To(BeTrue())
+	g.Expect(isQuarantined(n, deadlyRequest)).To(BeTrue())
 }
--- a/transport/entry/ratelimit_test.go
+++ b/transport/entry/ratelimit_test.go
@@ -22,31 +22,31 @@
 	return fleet.Notice{RateLimit: fleet.LimitedTo(perSecond)}
 }
 
-func TestBeginningChangeAndEndOfARateLimitAreLogged(t *testing.T) {
+func TestBeginningChangeAndEndOfRateLimitAreLogged(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
-	say := func(notice fleet.Notice) {
+	record := func(notice fleet.Notice) {
 		n.clock.Advance(time.Second)
 		n.RecordNotice(&n.in, notice, "r", n.clock.Now().Add(-time.Millisecond))
 	}
-	say(fleet.Notice{RateLimit: fleet.Unlimited()})
+	record(fleet.Notice{RateLimit: fleet.Unlimited()})
 	g.Expect(n.logged("rate limit ended")).To(BeZero())
 	for _, perSecond := range []float64{2, 2, 3, 1, 1} {
-		say(limitedTo(perSecond))
+		record(limitedTo(perSecond))
 	}
 	g.Expect(n.logged("rate limit began")).To(Equal(1))
 	g.Expect(n.logged("rate limit changed")).To(Equal(2))
-	say(fleet.Notice{})
+	record(fleet.Notice{})
 	g.Expect(n.logged("rate limit ended")).To(BeZero(), "a notice without a rate limit changes nothing")
 	for range 2 {
-		say(fleet.Notice{RateLimit: fleet.Unlimited()})
+		record(fleet.Notice{RateLimit: fleet.Unlimited()})
 	}
 	g.Expect(n.logged("rate limit ended")).To(Equal(1))
-	say(limitedTo(2))
+	record(limitedTo(2))
 	g.Expect(n.logged("rate limit began")).To(Equal(2))
 }
 
-func TestARateLimitThatCannotBeReadIsLoggedOnceALife(t *testing.T) {
+func TestUnreadableRateLimitIsLoggedOncePerIncarnation(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	bad := fleet.Notice{RateLimit: fleet.RateLimit{Fault: errors.New("rate limit is not a number")}}
@@ -63,7 +63,7 @@
 	g.Expect(n.logged("rate limit not read")).To(Equal(2))
 }
 
-func TestOperatorsSeeWhichInstancesAreLimited(t *testing.T) {
+func TestOperatorListsRateLimitedInstances(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	n.RecordNotice(&n.in, limitedTo(2.5), "r1", n.clock.Now())
@@ -86,56 +86,56 @@
 	return sent
 }
 
-// reporting is a leader and two nodes that report to it. All three know one instance and share a clock.
-type reporting struct {
+// reportingNodes is a leader and two nodes that report to it. All three know one instance and share a clock.
+type reportingNodes struct {
 	leader, a, b *Node
 	in           fleet.Instance
 	clock        *clockwork.FakeClock
 }
 
 // newReporting returns three nodes that know each other.
-func newReporting(g *WithT) *reporting {
+func newReporting(g *WithT) *reportingNodes {
 	h := newLimitHistory(g, rand.New(rand.NewPCG(1, 1)), 3, 0)
-	return &reporting{h.nodes[0].Node, h.nodes[1].Node, h.nodes[2].Node, h.in, h.clock}
+	return &reportingNodes{h.nodes[0].Node, h.nodes[1].Node, h.nodes[2].Node, h.in, h.clock}
 }
 
-// pass advances the clock by d in steps. In each one the nodes divide the rate limits and send
+// advance advances the clock by d in steps. In each one the nodes divide the rate limits and send
 // status reports to the leader.
-func (r *reporting) pass(g *WithT, d time.Duration) {
+func (r *reportingNodes) advance(g *WithT, d time.Duration) {
 	for range d / (100 * time.Millisecond) {
 		r.clock.Advance(100 * time.Millisecond)
 		for _, n := range []*Node{r.leader, r.a, r.b} {
 			n.storeRead(r.clock.Now())
 			n.dealLimits(r.clock.Now())
 		}
-		exchange(g, r.a, r.leader)
-		exchange(g, r.b, r.leader)
+		exchangeReport(g, r.a, r.leader)
+		exchangeReport(g, r.b, r.leader)
 	}
 }
 
 // One node receives a rate limit from an instance, then a lower one, and another node the end of the
 // limit. All nodes apply each of them.
-func TestAllNodesKeepToALimitThatOneWasTold(t *testing.T) {
+func TestAllNodesApplyRateLimitReceivedByOne(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
 	all := []*Node{r.leader, r.a, r.b}
 	for _, perSecond := range []float64{4, 1, 3} {
 		r.a.RecordNotice(&r.in, limitedTo(perSecond), "r", r.clock.Now())
-		r.pass(g, 200*time.Millisecond)
+		r.advance(g, 200*time.Millisecond)
 		for _, n := range all {
 			got, limited := n.RateLimit(&r.in)
 			g.Expect(limited).To(BeTrue(), n.set.Name)
 			g.Expect(got).To(Equal(perSecond), n.set.Name)
 		}
 	}
-	r.pass(g, 2*time.Second)
-	open := 0
+	r.advance(g, 2*time.Second)
+	admitted := 0
 	for _, n := range all {
-		open += spend(n, &r.in)
+		admitted += spend(n, &r.in)
 	}
-	g.Expect(open).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)), "one second of the rate and two requests more, over all nodes")
+	g.Expect(admitted).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)), "one second of the rate and two requests more, over all nodes")
 	r.b.RecordNotice(&r.in, fleet.Notice{RateLimit: fleet.Unlimited()}, "r", r.clock.Now())
-	r.pass(g, 200*time.Millisecond)
+	r.advance(g, 200*time.Millisecond)
 	for _, n := range all {
 		g.Expect(n.CanSend(&r.in)).To(BeTrue(), n.set.Name)
 		g.Expect(n.peers.word().ByGrants).To(BeFalse(), "no node reports use of grants without a rate limit")
@@ -144,32 +144,32 @@
 
 // A node that gets no grants from a leader, as with a leader of an earlier version or behind a
 // network partition, uses no more than its equal share of the rate limit.
-func TestWithoutALeaderThatDealsANodeKeepsToItsPart(t *testing.T) {
+func TestNodeWithoutGrantsKeepsToItsShare(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		tell func(g *WithT, r *reporting)
+		name          string
+		leaderAnswers func(g *WithT, r *reportingNodes)
 	}{
-		{"no leader", func(*WithT, *reporting) {}},
-		{"leader of an earlier version", func(g *WithT, r *reporting) {
+		{"no leader", func(*WithT, *reportingNodes) {}},
+		{"leader of an earlier version", func(g *WithT, r *reportingNodes) {
 			resp, err := r.leader.peers.answer(context.Background(), connect.NewRequest(r.a.peers.word()))
 			g.Expect(err).NotTo(HaveOccurred())
 			a := resp.Msg
 			a.Limits, a.LimitsNow, a.Grants, a.Dealing, a.Possible = nil, 0, nil, false, 0
 			r.a.peers.take(a, r.clock.Now())
 		}},
-		{"node leads alone", func(_ *WithT, r *reporting) { r.a.peers.setPlacing(true) }},
+		{"node leads alone", func(_ *WithT, r *reportingNodes) { r.a.peers.setPlacing(true) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := newReporting(g)
 			r.a.RecordNotice(&r.in, limitedTo(3), "r", r.clock.Now())
-			r.pass(g, 2*time.Second)
+			r.advance(g, 2*time.Second)
 			r.clock.Advance(2 * time.Second)
 			spend(r.a, &r.in)
 			sent := 0
 			for range 200 {
 				r.clock.Advance(100 * time.Millisecond)
-				c.tell(g, r)
+				c.leaderAnswers(g, r)
 				r.a.dealLimits(r.clock.Now())
 				sent += spend(r.a, &r.in)
 			}
@@ -181,18 +181,18 @@
 // Rate limits are divided by the number of nodes that may be running. A node that was replaced by
 // one at another address is no longer counted after ForgetNode. A node behind a network partition
 // is counted until then, and again once it reports.
-func TestNodesSilentForLongLoseTheirPart(t *testing.T) {
+func TestNodesSilentForLongLoseTheirShare(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
-	forget := r.leader.policy.ForgetNode
-	r.clock.Advance(forget - time.Second)
-	exchange(g, r.a, r.leader)
+	forgetNode := r.leader.policy.ForgetNode
+	r.clock.Advance(forgetNode - time.Second)
+	exchangeReport(g, r.a, r.leader)
 	g.Expect(r.leader.peers.possible(r.clock.Now())).To(Equal(3))
 	r.clock.Advance(2 * time.Second)
-	exchange(g, r.a, r.leader)
+	exchangeReport(g, r.a, r.leader)
 	g.Expect(r.leader.peers.possible(r.clock.Now())).To(Equal(2))
 	g.Expect(r.a.peers.possible(r.clock.Now())).To(Equal(2), "as the leader answered")
-	exchange(g, r.b, r.leader)
+	exchangeReport(g, r.b, r.leader)
 	g.Expect(r.leader.peers.possible(r.clock.Now())).To(Equal(3))
 	// A new leader has no report of any node yet, and counts all of them until ForgetNode has passed.
 	r.leader.peers.setPlacing(false)
@@ -200,13 +200,13 @@
 	g.Expect(r.a.peers.possible(r.clock.Now())).To(Equal(3))
 }
 
-func TestALimitedInstanceIsAskedSeldom(t *testing.T) {
+func TestRateLimitedInstanceIsProbedRarely(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		leading bool
-		err     error
-		most    int
-		lost    bool
+		name        string
+		leading     bool
+		err         error
+		maxProbes   int
+		unreachable bool
 	}{
 		{"probed by the leader", true, nil, 3, false},
 		{"not probed by another node", false, nil, 0, false},
@@ -222,9 +222,9 @@
 				n.clock.Advance(100 * time.Millisecond)
 				n.report(context.Background(), n.in, n.clock.Now())
 			}
-			g.Expect(targets.asked).To(And(BeNumerically("<=", c.most), BeNumerically(">=", c.most/2)))
+			g.Expect(targets.asked).To(And(BeNumerically("<=", c.maxProbes), BeNumerically(">=", c.maxProbes/2)))
 			v, _ := n.roster.Get("i", n.clock.Now())
-			g.Expect(v.Unreachable).To(Equal(c.lost))
+			g.Expect(v.Unreachable).To(Equal(c.unreachable))
 		})
 	}
 }
