--- a/transport/entry/limited_test.go
+++ b/transport/entry/limited_test.go
@@ -217,9 +217,9 @@
 	slowest time.Duration
 }
 
-// sendRequests sends perSecond requests a second for a time; choose picks the node that gets
+// sendUneven sends perSecond requests a second for a time; choose picks the node that gets
 // each of them.
-func sendRequests(nodes []*running, perSecond int, d time.Duration, choose func(n int) int) *callerResults {
+func sendUneven(nodes []*running, perSecond int, d time.Duration, choose func(n int) int) *callerResults {
 	client := &http.Client{Timeout: 2 * time.Second}
 	out := &callerResults{codes: map[int]int{}}
 	var callers sync.WaitGroup
@@ -280,9 +280,9 @@
 			instances := newLimitedInstances(t, s, c.instances, c.limited, c.perSecond)
 			nodes := startLimitNodes(t, s, c.nodes, c.groups)
 			rate := c.ratePerInstance * c.instances
-			sendRequests(nodes, rate, time.Second, c.choose)
+			sendUneven(nodes, rate, time.Second, c.choose)
 			instances.setLimited(true)
-			out := sendRequests(nodes, rate, limitPropagation+limitWindow, c.choose)
+			out := sendUneven(nodes, rate, limitPropagation+limitWindow, c.choose)
 			most, last := instances.callsInWindows(c.limited)
 			t.Logf("at most %d calls in a window, %g allowed; %d in the last one; probes %v; status codes %v; slowest refusal %v",
 				most, maxInWindow(c.perSecond), last, instances.probes, out.codes, out.slowest)
@@ -299,7 +299,7 @@
 			instances.setLimited(false)
 			ended := time.Now()
 			g.Eventually(func() float64 {
-				sendRequests(nodes, rate, time.Second, c.choose)
+				sendUneven(nodes, rate, time.Second, c.choose)
 				return float64(instances.callsSince("i0", ended)) - c.perSecond*time.Since(ended).Seconds()
 			}, recoveryTime, time.Millisecond).Should(BeNumerically(">", maxInWindow(0)))
 		})
