--- a/transport/entry/backpressure.go
+++ b/transport/entry/backpressure.go
@@ -12,8 +12,8 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// RecordNotice implements gateway.Backpressure: it heeds what an instance said in any answer, to a
-// request, a question or an order that was sent at a time.
+// RecordNotice implements gateway.Backpressure. It records the notice in an instance's answer to a
+// request, probe or order sent at a time.
 func (n *Node) RecordNotice(in *fleet.Instance, notice fleet.Notice, request string, sent time.Time) {
 	n.toldLimit(in, notice.RateLimit, request, sent)
 	if notice.Leaving {
@@ -47,7 +47,7 @@
 	}).Info("cooldown began")
 }
 
-// badCooldown keys the instances whose cooldowns cannot be read.
+// badCooldown is the key in Node.garbled for an instance whose cooldown cannot be read.
 type badCooldown state.InstanceID
 
 // CooldownUntil implements gateway.Backpressure.
@@ -58,8 +58,8 @@
 // IsLeaving implements gateway.Backpressure.
 func (n *Node) IsLeaving(in *fleet.Instance) bool { return n.roster.IsLeaving(in.Incarnation()) }
 
-// leaving records that a life of an instance said that it will end soon, to this node or to
-// the one named, and has the leader told at once.
+// leaving records that an incarnation of an instance announced its shutdown, to this node or to the
+// node toldBy, and requests an immediate status report.
 func (n *Node) leaving(in fleet.Incarnation, toldBy string) {
 	if !n.roster.MarkLeaving(in) {
 		return
@@ -74,7 +74,8 @@
 	n.tellSoon()
 }
 
-// leavingTold returns the lives of instances that the leader is told to be leaving.
+// leavingTold returns the incarnations recorded as leaving within NodePolicy.LeavingFor, for the
+// status report to the leader, and removes older ones.
 func (n *Node) leavingTold(now time.Time) []fleet.Incarnation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,7 +90,7 @@
 	return list
 }
 
-// instance returns what is known of an instance, or no more than its id.
+// instance returns an instance from the roster, or one with only its ID set if it is unknown.
 func (n *Node) instance(id state.InstanceID) fleet.Instance {
 	v, known := n.roster.Get(id, n.clock.Now())
 	if !known {
@@ -98,7 +99,7 @@
 	return v.Instance
 }
 
-// logCooldowns logs the cooldowns that have ended and counts those that last.
+// logCooldowns logs the cooldowns that have ended and updates the gauge of those in force.
 func (n *Node) logCooldowns() {
 	now := n.clock.Now()
 	for _, c := range n.cooldowns.Sweep(now) {
@@ -108,14 +109,14 @@
 	metrics.GetOrRegisterGauge("cooldown.active", n.metrics).Update(int64(len(n.cooldowns.Active(now))))
 }
 
-// cooling is one instance that is cooling down, as an operator sees it.
+// cooling is an instance that is cooling down in the response to an operator.
 type cooling struct {
 	Instance state.InstanceID `json:"instance"`
 	SinceMS  int64            `json:"since_ms"`
 	LeftMS   int64            `json:"left_ms"`
 }
 
-// serveCooldowns lists the instances that asked this node to send them nothing.
+// serveCooldowns lists the instances that are cooling down.
 func (n *Node) serveCooldowns(w http.ResponseWriter, _ *http.Request) {
 	now := n.clock.Now()
 	list := []cooling{}
@@ -124,6 +125,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(list); err != nil {
-		n.log.WithError(err).Info("list of cooldowns not written")
+		n.log.WithError(err).Info("failed to write cooldown response")
 	}
 }
--- a/transport/entry/endings.go
+++ b/transport/entry/endings.go
@@ -17,10 +17,11 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// endProof names what proved that an instance ended.
+// endProof is the evidence that an instance ended.
 type endProof string
 
-// The proofs that a process has ended. Silence is none: a cut looks alike.
+// The proofs that a process has ended. A time-out is no proof, since a network partition causes
+// time-outs too.
 const (
 	proofRefused  endProof = "its address refuses connections"
 	proofReplaced endProof = "another process answers at its address"
@@ -31,8 +32,8 @@
 func (n *Node) RecordInterruption(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time) {
 	var lives []fleet.Incarnation
 	for i := range instances {
-		// The members of a group that stands still have just been asked: only those that did
-		// not answer may have ended, one or two of 16.
+		// The members of a stalled group have just been probed. Only those that did not answer may
+		// have ended, usually one or two of 16.
 		if len(instances) == 1 || n.roster.ConsecutiveFailures(instances[i].ID) > 0 {
 			lives = append(lives, instances[i].Incarnation())
 		}
@@ -43,9 +44,10 @@
 // RecordConnectionRefused implements gateway.Quarantine.
 func (n *Node) RecordConnectionRefused(c *dispatch.Candidate) { go n.refused(c.Incarnation()) }
 
-// refused judges a refused connection to an instance on which requests broke off. A hall that is cut
-// off by resets refuses on behalf of instances that live: it proves an ending only if another
-// instance of the hall answers, and the connection is refused still.
+// refused decides whether a refused connection proves that an instance ended, if requests were
+// interrupted on it. A network partition that resets connections to a hall looks like refusals by
+// instances that are alive. If the hall has other instances, a refusal is therefore a proof only if
+// one of them answers and the instance then still refuses connections.
 func (n *Node) refused(in fleet.Incarnation) {
 	if !n.ledger.BeginInvestigation(in, n.clock.Now()) {
 		return
@@ -61,17 +63,17 @@
 		n.ended(in, proofRefused)
 	default:
 		n.Count("quarantine.unproven")
-		n.log.WithField("instance", in.ID).Debug("refused connection proves nothing")
+		n.log.WithField("instance", in.ID).Debug("refused connection is inconclusive")
 	}
 }
 
-// refusesStill reports whether an instance refuses a connection once more.
+// refusesStill probes an instance again and reports whether it refuses the connection.
 func (n *Node) refusesStill(m fleet.Instance) bool {
 	_, err := n.tryQuestion(m)
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// answered reports whether one of some instances answers a question, of which a few are asked.
+// answered probes the first instances of a list, at most mostNeighbors, and reports whether one answered.
 func (n *Node) answered(list []fleet.Instance) bool {
 	for _, m := range list[:min(len(list), mostNeighbors)] {
 		rep, err := n.tryQuestion(m)
@@ -80,24 +82,25 @@
 			return true
 		}
 		if errors.Is(err, placement.ErrInvalidReport) || errors.Is(err, placement.ErrAddressReused) {
-			return true // what is no report, or another process's, came over the same link
+			return true // an invalid report, or one of another process, also proves that the link works
 		}
 	}
 	return false
 }
 
-// tryQuestion asks an instance for its report, without any conclusion.
+// tryQuestion sends one probe to an instance and records nothing about the result.
 func (n *Node) tryQuestion(m fleet.Instance) (fleet.Report, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), n.policy.ProbeTimeout)
 	defer cancel()
 	return n.question(ctx, m, n.clock.Now())
 }
 
-// mostNeighbors bounds the instances that are asked for whether the link to their hall works.
+// mostNeighbors is the maximum number of instances to probe to find out whether their hall is reachable.
 const mostNeighbors = 2
 
-// neighbors returns the other instances in the hall of one: first those that failed no call, and of
-// these those of other domains, since a domain may be lost as a whole.
+// neighbors returns the other instances in an instance's hall in random order, except that those
+// whose last call succeeded come first, and then those of other domains, since a domain may fail as a
+// whole.
 func (n *Node) neighbors(of *fleet.Instance) []fleet.Instance {
 	var list []fleet.Instance
 	for _, v := range n.roster.All(n.clock.Now()) {
@@ -120,8 +123,8 @@
 	return list
 }
 
-// ended records that an instance has ended, and has the leader told at once of the
-// requests that it had under way.
+// ended records that an instance has ended. If it had requests in flight, it requests an immediate
+// status report about them.
 func (n *Node) ended(in fleet.Incarnation, proof endProof) {
 	requests := n.ledger.RecordEnding(in, n.clock.Now())
 	if len(requests) == 0 {
@@ -132,18 +135,18 @@
 	n.tellSoon()
 }
 
-// alive records that an instance answered a question.
+// alive records that an instance answered a probe sent at a time.
 func (n *Node) alive(in fleet.Incarnation, asked time.Time) {
 	if !n.ledger.RecordProbeResponse(in, asked) {
 		return
 	}
 	n.Count("quarantine.back")
-	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life}).Info("ended instance is back")
+	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life}).Info("ended instance responds again")
 	n.tellSoon()
 }
 
-// judgeReport concludes from the answer to a question, or the lack of one, whether
-// the instance has ended since requests broke off on it.
+// judgeReport decides from the result of a probe whether the instance has ended since requests were
+// interrupted on it.
 func (n *Node) judgeReport(in fleet.Incarnation, asked time.Time, rep fleet.Report, err error) {
 	switch {
 	case errors.Is(err, placement.ErrAddressReused):
@@ -153,12 +156,12 @@
 	case err == nil && !rep.Born.IsZero() && in.Life != "" && fleet.LifeSince(in.ID, rep.Born) != in:
 		n.ended(in, proofReborn)
 	case err == nil:
-		// An answer that is no report may be that of another process at the address.
+		// An invalid report is excluded: it may come from another process at the address.
 		n.alive(in, asked)
 	}
 }
 
-// askDoubted asks the instances on which requests broke off whether they live.
+// askDoubted probes the instances on which requests were interrupted and whose probe is due.
 func (n *Node) askDoubted() {
 	for _, in := range n.ledger.NextProbes(n.clock.Now()) {
 		v, known := n.roster.Get(in.ID, n.clock.Now())
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -31,8 +31,8 @@
 	n.touch()
 }
 
-// ProbeGroup implements gateway.FailureDetector: it asks all members of a group whether they
-// live, and gives the group's requests up if one does not.
+// ProbeGroup implements gateway.FailureDetector. It probes all members of a group in the background
+// and cancels the group's requests if one does not answer.
 func (n *Node) ProbeGroup(c *dispatch.Candidate) {
 	go func() {
 		silent := n.askAll(c.Members)
@@ -42,13 +42,13 @@
 		n.Count("group.stalled")
 		n.log.WithFields(log.Fields{
 			"group": c.Membership.Group, "epoch": c.Membership.Epoch, "head": c.ID, "silent": silent, "held": c.Held(),
-		}).Warn("group stands still")
+		}).Warn("group stalled")
 		n.touch()
 		n.gate.StallDetector.CancelGroup(c.ID)
 	}()
 }
 
-// askAll asks instances for their reports and returns those that did not answer.
+// askAll probes instances concurrently and returns those that did not answer.
 func (n *Node) askAll(members []fleet.Instance) []state.InstanceID {
 	var mu sync.Mutex
 	var silent []state.InstanceID
@@ -67,8 +67,7 @@
 	return silent
 }
 
-// ask asks an instance for its report and reports whether it answered. One that
-// does not is asked once more.
+// ask probes an instance, with one retry, and reports whether it answered.
 func (n *Node) ask(ctx context.Context, m fleet.Instance) bool {
 	for range 2 {
 		asked := n.clock.Now()
@@ -79,11 +78,11 @@
 	return false
 }
 
-// errNotAsked means that an instance was not to be asked now: one that wants no calls for a while is
-// asked only until it can have shown that it is lost, one that takes few only now and then.
-var errNotAsked = errors.New("entry: the instance takes no question now")
+// errNotAsked means that a probe was not sent because of a cooldown or a rate limit. An instance that
+// is cooling down is probed only as often as is needed to detect its loss, a rate-limited one seldom.
+var errNotAsked = errors.New("entry: probe skipped: instance is cooling down or rate limited")
 
-// question asks an instance for its report once.
+// question sends one probe to an instance and returns its report.
 func (n *Node) question(ctx context.Context, m fleet.Instance, asked time.Time) (fleet.Report, error) {
 	if !n.cooldowns.TryProbe(m.Incarnation(), asked) {
 		n.Count("probes.cooling-down")
@@ -99,7 +98,7 @@
 	return rep, err
 }
 
-// told records what an instance asks for in the answer to a question.
+// told records the notice in the answer to a probe.
 func (n *Node) told(m fleet.Instance, rep fleet.Report) {
 	if !rep.Born.IsZero() {
 		m.Born = rep.Born
@@ -107,14 +106,15 @@
 	n.RecordNotice(&m, rep.Notice, "", rep.Asked)
 }
 
-// reported records the report of an instance, and then what it asks for: the roster knows of a
-// later life by then.
+// reported records the report of an instance and then its notice, so that the roster already knows
+// a later incarnation when the notice is recorded.
 func (n *Node) reported(m fleet.Instance, rep fleet.Report) {
 	n.roster.RecordReport(m.ID, rep)
 	n.told(m, rep)
 }
 
-// report asks an instance for its report once and reports whether it answered, or need not.
+// report sends one probe to an instance, records the result, and reports whether the instance may be
+// assumed alive: it answered, or the probe was skipped or inconclusive.
 func (n *Node) report(ctx context.Context, m fleet.Instance, asked time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.policy.ProbeTimeout)
 	defer cancel()
@@ -122,7 +122,7 @@
 	if errors.Is(err, errNotAsked) {
 		return true
 	}
-	defer n.told(m, rep) // after the roster knows of a later life
+	defer n.told(m, rep) // deferred until the roster knows a later incarnation
 	n.judgeReport(m.Incarnation(), asked, rep, err)
 	if errors.Is(err, placement.ErrAddressReused) {
 		n.RecordReplaced(m.ID)
@@ -147,14 +147,14 @@
 	return true
 }
 
-// connectionTo returns over which connection an instance is called next: a new one if its
-// last call failed.
+// connectionTo returns the connection for the next call to an instance: a new one if the last
+// call failed.
 func (n *Node) connectionTo(id state.InstanceID) Connection {
 	return Connection(n.roster.ConsecutiveFailures(id) > 0)
 }
 
-// logFailedProbe logs a failed probe as long as the instance does not yet count as
-// lost for it, so that a dead instance is logged once or twice.
+// logFailedProbe logs a failed probe until the instance has failed often enough to be lost, so that
+// a dead instance is logged only a few times.
 func (n *Node) logFailedProbe(id state.InstanceID, asked time.Time, err error) {
 	failures := n.roster.ConsecutiveFailures(id)
 	if failures > n.set.Policy.Roster.LostFailures {
@@ -165,8 +165,8 @@
 	}).Info("probe failed")
 }
 
-// delayed reports whether a call begun at a time ran out of time while this process
-// itself ran late, so that its end says nothing of the other side.
+// delayed reports whether a call that began at a time timed out while this process itself was
+// delayed, so that the time-out is no evidence about the other side.
 func (n *Node) delayed(ctx context.Context, began time.Time, timeout time.Duration) bool {
 	if ctx.Err() == nil {
 		return false
@@ -175,7 +175,7 @@
 	return n.health.DelayedSince(began, now) || localhealth.DetectedLate(began.Add(timeout), now)
 }
 
-// watchHealth measures how late the node's own timers are.
+// watchHealth measures how late the node's own timers fire, and runs the checks due at each interval.
 func (n *Node) watchHealth(ctx context.Context) {
 	for {
 		began := n.clock.Now()
@@ -192,8 +192,8 @@
 	}
 }
 
-// Woke records that the machine was suspended for a time. All ages that the node knows
-// have grown by it; the list and the leader are asked anew at once.
+// Woke records that the machine was suspended for d. All data that the node holds is older by d, so
+// the node reads the instance list and sends a status report to the leader at once.
 func (n *Node) Woke(d time.Duration) {
 	n.Count("wakeups")
 	n.log.WithField("ms", d.Milliseconds()).Warn("the machine was suspended")
@@ -201,17 +201,17 @@
 	n.tellSoon()
 }
 
-// unreadable takes in that an instance answered no report: it lives, and what was
-// known of it stays. The first such answer of an instance is logged.
+// unreadable records that an instance answered with an invalid report. The instance is alive, and
+// its last report stays in force. Only the first such answer of an instance is logged.
 func (n *Node) unreadable(id state.InstanceID, asked time.Time, err error) {
 	n.Count("reports.unreadable")
 	n.roster.RecordResponse(id, asked)
 	if _, known := n.garbled.LoadOrStore(id, true); !known {
-		n.log.WithError(err).WithField("instance", id).Warn("report not read")
+		n.log.WithError(err).WithField("instance", id).Warn("invalid instance report")
 	}
 }
 
-// suspect remembers that an instance did not answer, and has the placing node told at once.
+// suspect records that an instance did not answer, and requests an immediate status report.
 func (n *Node) suspect(id state.InstanceID, at time.Time) {
 	n.mu.Lock()
 	n.suspects[id] = at
@@ -219,7 +219,7 @@
 	n.tellSoon()
 }
 
-// tellSoon has the leader told at once what this node knows.
+// tellSoon requests an immediate status report to the leader.
 func (n *Node) tellSoon() {
 	select {
 	case n.news <- struct{}{}:
@@ -227,7 +227,8 @@
 	}
 }
 
-// suspected returns the instances that did not answer lately.
+// suspected returns the instances that did not answer this node within NodePolicy.SuspectFor, and
+// removes older suspicions.
 func (n *Node) suspected(now time.Time) []Suspicion {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/transport/entry/ledger.go
+++ b/transport/entry/ledger.go
@@ -7,10 +7,10 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// EndingReport tells what one node observed of an instance that ended under requests.
+// EndingReport is one node's observation of an instance that ended while requests were in flight on it.
 type EndingReport struct {
 	Instance fleet.Incarnation `json:"i"`
-	// By is the node; builds that merge what all nodes observed leave it out.
+	// By is the node. Builds that merge the observations of all nodes omit it.
 	By       quarantine.Source        `json:"b,omitempty"`
 	AgeMS    int64                    `json:"a"`
 	Requests []quarantine.Fingerprint `json:"r"`
@@ -20,7 +20,8 @@
 	Back    bool `json:"v,omitempty"`
 }
 
-// ClearedReport tells how long ago a request last got a whole answer after instances ended under it.
+// ClearedReport states how long ago a request last received a complete response, or was released by
+// an operator, after instances had ended under it.
 type ClearedReport struct {
 	Request quarantine.Fingerprint `json:"r"`
 	By      quarantine.Source      `json:"b"`
@@ -28,13 +29,14 @@
 	AgeMS   int64                  `json:"a"`
 }
 
-// LedgerReport is what a node tells another of which instances ended under which requests.
+// LedgerReport is the part of a quarantine ledger that a node sends to another: which instances ended
+// under which requests.
 type LedgerReport struct {
 	Endings []EndingReport  `json:"e,omitempty"`
 	Cleared []ClearedReport `json:"c,omitempty"`
 }
 
-// newLedgerReport returns what is told of a ledger, or nil if there is nothing.
+// newLedgerReport returns the report of the changes to a ledger, or nil if there are none.
 func newLedgerReport(d quarantine.Delta, now time.Time) *LedgerReport {
 	if d.Empty() {
 		return nil
@@ -51,7 +53,7 @@
 	return r
 }
 
-// delta returns a report by the clock of the node that got it.
+// delta converts a report to changes with times by the receiver's clock, where now is the time of receipt.
 func (r *LedgerReport) delta(now time.Time) quarantine.Delta {
 	var d quarantine.Delta
 	if r == nil {
@@ -69,7 +71,8 @@
 	return d
 }
 
-// giveLedger adds to an answer what the asker lacks of this node's ledger.
+// giveLedger adds to the answer to a status report the changes to this node's ledger that the sender
+// does not have yet.
 func (n *Node) giveLedger(a *Answer, w *Word, now time.Time) {
 	after := w.LedgerAfter
 	if w.Feed != n.number.Load() {
@@ -79,8 +82,8 @@
 	a.Ledger, a.LedgerNow = newLedgerReport(d, now), version
 }
 
-// addLedger adds to a status report what the leader lacks of this node's ledger,
-// and returns the version that this brings the leader to.
+// addLedger adds to a status report the changes to this node's ledger that the leader does not have
+// yet, and returns the version that the leader has after it.
 func (p *peers) addLedger(w *Word, now time.Time) uint64 {
 	p.mu.Lock()
 	sent, leader := p.ledgerSent, quarantine.Source(p.feedFrom)
@@ -91,8 +94,8 @@
 	return version
 }
 
-// takeLedger joins the leader's ledger with this node's; sent is the version of
-// this node's own that the leader was told. A new leader is told all.
+// takeLedger merges the leader's ledger into this node's. sent is the version of this node's ledger
+// that the leader has received. A new leader is sent the whole ledger.
 func (p *peers) takeLedger(a *Answer, sent uint64) {
 	p.n.ledger.Merge(a.Ledger.delta(p.n.clock.Now()), quarantine.Source(a.Feed))
 	p.mu.Lock()
--- a/transport/entry/node.go
+++ b/transport/entry/node.go
@@ -26,19 +26,19 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// Bounds of connections.
+// Connection timeouts.
 const (
-	// dialTimeout bounds the time to connect to an instance.
+	// dialTimeout is the maximum time to connect to an instance.
 	dialTimeout = 400 * time.Millisecond
-	// silence is how long sent bytes may stay unacknowledged.
+	// silence is the maximum time for which sent bytes may remain unacknowledged.
 	silence = 2 * time.Second
-	// headerTime bounds the reading of a request's head.
+	// headerTime is the maximum time to read a request's headers.
 	headerTime = 10 * time.Second
-	// idleTime is how long a caller's connection may rest.
+	// idleTime is how long a caller's connection may be idle.
 	idleTime = 90 * time.Second
 )
 
-// Node is one entry node.
+// Node is an entry node: it accepts requests from callers and forwards them to instances.
 type Node struct {
 	set    *Settings
 	policy NodePolicy
@@ -50,9 +50,9 @@
 	gate   *gateway.Gateway
 	demand *demand.Meter
 	ledger *quarantine.Ledger
-	// cooldowns are the instances that asked this node to send them nothing for a while.
+	// cooldowns tracks the instances that asked this node to send them nothing for some time.
 	cooldowns *cooldown.Tracker
-	// limits are the instances that take only so many requests a second from all nodes together.
+	// limits tracks the instances that limit the requests per second from all nodes together.
 	limits  *ratelimit.Tracker
 	dealer  *ratelimit.Allocator
 	pool    *direct.Pool
@@ -65,36 +65,39 @@
 	feed    feed
 	started time.Time
 
-	// number names this life of the node among all: the place of its first entry in the store, plus one.
+	// number identifies this incarnation of the node: the offset of its first entry in the store, plus one.
 	number  atomic.Int64
 	eras    eras
 	storeAt atomic.Int64
-	// storeFailed tells that the last read of the store failed: only the first of a row is logged.
+	// storeFailed reports whether the last read of the store failed. Only the first of consecutive
+	// failures is logged.
 	storeFailed atomic.Bool
 	stopping    atomic.Bool
-	// listSoon asks for frequent reads of the list.
+	// listSoon requests frequent reads of the instance list.
 	listSoon atomic.Bool
-	listNow  chan struct{}
-	// writeAgain asks for the node's entry to be written again.
+	// listNow requests one read of the instance list.
+	listNow chan struct{}
+	// writeAgain requests that the node's entry is written again.
 	writeAgain chan struct{}
-	// changed asks for the candidates to be built anew.
+	// changed requests a rebuild of the candidates.
 	changed chan struct{}
 
-	// garbled are the instances that answered something that is no report.
+	// garbled holds a key for each invalid or unexpected message that was already logged, so that it
+	// is logged only once.
 	garbled sync.Map
 
 	mu sync.Mutex
-	// avoid are formations that the placing node takes apart.
+	// avoid holds the groups, each at one epoch, that receive no new requests by decision of the leader.
 	avoid map[fleet.GroupKey]bool
-	// suspects are instances that did not answer this node, with when they were asked.
+	// suspects maps each instance that did not answer this node to the time of the unanswered call.
 	suspects map[state.InstanceID]time.Time
-	// leavers are lives of instances that told this node that they will end soon, with when.
+	// leavers maps each incarnation known to be leaving to the time at which this node recorded it.
 	leavers map[fleet.Incarnation]time.Time
-	// news asks for a word to the placing node at once.
+	// news requests an immediate status report to the leader.
 	news chan struct{}
 }
 
-// New returns a Node that is not yet running.
+// New returns a Node. Run starts it.
 func New(set *Settings, ports Ports, clock clockwork.Clock, logger *log.Logger) *Node {
 	n := &Node{
 		set:     set,
@@ -134,13 +137,13 @@
 // Count implements gateway.Recorder.
 func (n *Node) Count(name string) { metrics.GetOrRegisterCounter(name, n.metrics).Inc(1) }
 
-// sampleSize and sampleAlpha are go-metrics' customary reservoir for histograms.
+// Parameters of the histogram reservoirs: the values that go-metrics recommends.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// ObserveDuration implements gateway.Recorder: histograms are in microseconds.
+// ObserveDuration implements gateway.Recorder. Histograms are in microseconds.
 func (n *Node) ObserveDuration(name string, d time.Duration) {
 	h := n.metrics.GetOrRegister(name+".us", func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
@@ -153,7 +156,7 @@
 // LogDecision implements gateway.Recorder.
 func (n *Node) LogDecision(d event.Decision) { n.log.WithFields(d).Info(d.Name()) }
 
-// Run runs the node until ctx ends, then stops it within the time for a planned stop.
+// Run runs the node until ctx is done, then shuts it down within Settings.StopWithin.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.WithFields(log.Fields{"node": n.set.Name, "hall": n.set.Hall}).Info("start")
 	life, end := context.WithCancel(context.Background())
@@ -174,7 +177,7 @@
 	return nil
 }
 
-// every returns a loop that calls a function again and again.
+// every returns a loop that calls f after each interval until its context is done.
 func (n *Node) every(interval time.Duration, f func(context.Context)) func(context.Context) {
 	return func(ctx context.Context) {
 		for n.sleep(ctx, interval) {
@@ -183,7 +186,7 @@
 	}
 }
 
-// sleep waits and reports whether the node still runs.
+// sleep waits for d and reports whether it elapsed before ctx was done.
 func (n *Node) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -193,7 +196,7 @@
 	}
 }
 
-// rebuild builds the candidates anew whenever something has changed.
+// rebuild rebuilds the candidates when the catalog, an instance or the time changes them.
 func (n *Node) rebuild(ctx context.Context) {
 	var version uint64
 	var known *catalog.Catalog
@@ -220,7 +223,8 @@
 	}
 }
 
-// timed reports whether an instance may have come to count as lost by time alone.
+// timed reports whether the candidates may change by the passage of time alone, since an instance
+// may become lost without a further event.
 func (n *Node) timed(views []roster.View) bool {
 	for i := range views {
 		if views[i].Unreachable || views[i].Draining || views[i].Unlisted {
@@ -230,7 +234,7 @@
 	return false
 }
 
-// touch asks for the candidates to be built anew.
+// touch requests a rebuild of the candidates.
 func (n *Node) touch() {
 	select {
 	case n.changed <- struct{}{}:
@@ -238,14 +242,14 @@
 	}
 }
 
-// avoided reports whether a formation takes no new requests.
+// avoided reports whether a group at one epoch receives no new requests.
 func (n *Node) avoided(key fleet.GroupKey) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.avoid[key]
 }
 
-// setAvoid takes in the formations that take no new requests.
+// setAvoid replaces the groups that receive no new requests, and requests a rebuild if they changed.
 func (n *Node) setAvoid(list []Formation) {
 	next := make(map[fleet.GroupKey]bool, len(list))
 	for _, f := range list {
--- a/transport/entry/placer.go
+++ b/transport/entry/placer.go
@@ -17,7 +17,7 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// placer has the groups of all engine services formed and repaired while the node places.
+// placer forms and repairs the groups of all engine services while this node is the leader.
 type placer struct {
 	n *Node
 
@@ -28,10 +28,10 @@
 	asking   map[state.InstanceID]bool
 	asked    map[state.InstanceID]time.Time
 	wake     chan struct{}
-	// staging are the loads to hosts under way, by service: those of the own planners
-	// while this node leads, else those that the leader told of.
+	// staging holds the loads of models to hosts that are in progress, by service. They come from
+	// this node's planners while it is the leader, otherwise from the leader.
 	staging map[state.ServiceName][]placement.Staging
-	// told is when what serves was last logged.
+	// told is when the supply of instances was last logged.
 	told time.Time
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// run steps the planners while the node places.
+// run steps the planners while this node is the leader.
 func (p *placer) run(ctx context.Context) {
 	for {
 		select {
@@ -67,16 +67,15 @@
 	}
 }
 
-// pause returns how long after a step that took some time the next one may begin.
-// Answers of instances ask for steps one by one: without a pause, a leader of 296
-// instances made 250 to 420 steps a second, which took its whole processor, and its
-// own probes ran out of time.
+// pause returns the time to wait after a step that took the given time. Each answer of an instance
+// requests a step: without a pause, a leader of 296 instances ran 250 to 420 steps per second, which
+// used all of its CPU and made its own probes time out.
 func (p *placer) pause(took time.Duration) time.Duration {
 	rest := time.Duration(float64(took) * (1/p.n.policy.PlanPart - 1))
 	return max(rest, p.n.policy.PlanPause)
 }
 
-// rest forgets what was planned: another node places.
+// rest discards all planning state, since another node is the leader.
 func (p *placer) rest() {
 	p.n.load.reset()
 	p.mu.Lock()
@@ -85,7 +84,7 @@
 	p.avoid = nil
 }
 
-// step plans once for every engine service and returns how long that took.
+// step runs each engine service's planner once and returns the time that took.
 func (p *placer) step(ctx context.Context, c *catalog.Catalog, since time.Time) time.Duration {
 	now := p.n.clock.Now()
 	var avoid []Formation
@@ -125,7 +124,8 @@
 	return took
 }
 
-// tell logs now and then what serves.
+// tell logs the groups and instances of a service, at most once per NodePolicy.SupplyLogInterval
+// for all services together.
 func (p *placer) tell(now time.Time, service state.ServiceName, plan placement.Plan, instances int) {
 	if now.Sub(p.told) < p.n.policy.SupplyLogInterval {
 		return
@@ -137,7 +137,7 @@
 	p.n.log.WithFields(p.n.load.fields()).Info("leader load")
 }
 
-// avoidedText lists formations with why they take no requests.
+// avoidedText describes groups that receive no requests, with the reasons.
 func avoidedText(avoid map[fleet.GroupKey]string) []string {
 	list := make([]string, 0, len(avoid))
 	for key, why := range avoid {
@@ -147,7 +147,7 @@
 	return list
 }
 
-// planner returns the planner of a service.
+// planner returns the planner of a service, and creates it if there is none.
 func (p *placer) planner(s *catalog.Service) *placement.Planner {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,7 +161,7 @@
 	return pl
 }
 
-// stagings returns the loads to hosts that are under way, as other nodes are told.
+// stagings returns the loads of models to hosts that are in progress, in the form sent to other nodes.
 func (p *placer) stagings(now time.Time) []Staging {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,8 +174,8 @@
 	return list
 }
 
-// handOver records the loads that the leader told of in an answer to a question
-// asked at a time, for the case that this node leads next.
+// handOver records the loads in progress from the leader's answer to a status report sent at a time,
+// in case this node becomes the next leader.
 func (p *placer) handOver(list []Staging, asked time.Time) {
 	byService := map[state.ServiceName][]placement.Staging{}
 	for _, st := range list {
@@ -187,7 +187,7 @@
 	p.staging = byService
 }
 
-// nextEpoch returns an epoch above one that was seen, which no other life of a node makes.
+// nextEpoch returns an epoch above seen that no other incarnation of a node generates.
 func (p *placer) nextEpoch(seen state.Epoch) state.Epoch {
 	p.mu.Lock()
 	epochs := p.makeEpochs()
@@ -195,7 +195,7 @@
 	return epochs.Next(seen)
 }
 
-// makeEpochs returns the node's epochs; p.mu is held.
+// makeEpochs returns the node's epoch generator, and creates it if there is none. p.mu is held.
 func (p *placer) makeEpochs() *placement.EpochGenerator {
 	if p.epochs == nil {
 		p.epochs = placement.NewEpochGenerator(source.Era(p.n.number.Load()), source.Offset(p.n.number.Load()))
@@ -203,7 +203,8 @@
 	return p.epochs
 }
 
-// observe takes in the newest epoch that instances name, and whether one of them has seen a later one.
+// observe records the newest epoch that instances reported. If behind is set, an instance has seen an
+// epoch unknown to this node, and the generator skips ahead.
 func (p *placer) observe(seen state.Epoch, behind bool) {
 	if p.n.number.Load() == 0 {
 		return
@@ -217,7 +218,7 @@
 	}
 }
 
-// carryOut sends a plan's orders and questions.
+// carryOut sends the orders and probes of a plan.
 func (p *placer) carryOut(ctx context.Context, members []placement.Member, plan placement.Plan) {
 	byID := make(map[state.InstanceID]*placement.Member, len(members))
 	for i := range members {
@@ -234,7 +235,7 @@
 	}
 }
 
-// order sends one order to a life of an instance and records what it says of it.
+// order sends an order to an incarnation of an instance and records the reply.
 func (p *placer) order(ctx context.Context, o placement.Order, life roster.IncarnationNumber) {
 	callCtx, cancel := context.WithTimeout(ctx, p.n.policy.OrderTimeout)
 	defer cancel()
@@ -268,7 +269,7 @@
 	p.stir()
 }
 
-// stir has the planners step at once.
+// stir requests a step of the planners as soon as the pause after the last one has elapsed.
 func (p *placer) stir() {
 	select {
 	case p.wake <- struct{}{}:
@@ -276,12 +277,13 @@
 	}
 }
 
-// askOnce asks an instance for its report unless that is under way or was done a moment ago.
+// askOnce probes an instance unless a probe is in flight or was sent within NodePolicy.ProbeInterval.
 func (p *placer) askOnce(ctx context.Context, m fleet.Instance) {
 	p.askEvery(ctx, m, p.n.policy.ProbeInterval)
 }
 
-// askEvery asks an instance for its report unless that is under way or was done within an interval.
+// askEvery probes an instance in the background unless a probe to it is in flight or was sent within
+// an interval, too many probes are in flight, or the instance's rate limit forbids it.
 func (p *placer) askEvery(ctx context.Context, m fleet.Instance, interval time.Duration) {
 	now := p.n.clock.Now()
 	p.mu.Lock()
@@ -302,8 +304,9 @@
 	}()
 }
 
-// askAround asks an instance for its report and, if it failed to answer before, other nodes
-// meanwhile whether they reach it: what one node alone does not reach is not lost.
+// askAround probes an instance. If an indirect probe is due because earlier probes failed, it asks
+// other nodes at the same time whether they reach it: an instance that only one node cannot reach is
+// not lost.
 func (p *placer) askAround(ctx context.Context, m fleet.Instance, now time.Time) {
 	var wg sync.WaitGroup
 	if p.n.roster.IndirectProbeDue(m.ID, now) {
@@ -313,7 +316,8 @@
 	wg.Wait()
 }
 
-// suspect takes in that an instance did not answer another node when asked, and asks it too.
+// suspect records that an instance did not answer another node, and probes it from this node. It
+// does nothing unless this node is the leader.
 func (p *placer) suspect(id state.InstanceID, asked time.Time) {
 	if on, _ := p.n.peers.isPlacing(); !on {
 		return
@@ -326,7 +330,7 @@
 	p.askOnce(context.Background(), v.Instance)
 }
 
-// avoiding returns the formations that must not be sent new requests.
+// avoiding returns the groups, each at one epoch, that must not receive new requests.
 func (p *placer) avoiding() []Formation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/entry/port.go
+++ b/transport/entry/port.go
@@ -26,30 +26,30 @@
 	Instance(id string, raw []byte) (fleet.Instance, error)
 }
 
-// Connection says over which connection an instance is called.
+// Connection selects the connection over which an instance is called.
 type Connection bool
 
-// The connections. A kept one may have gone silent for good, so what decides whether an
-// instance is lost is asked over a new one.
+// The connections. A reused connection may be broken without notice, so a call that decides
+// whether an instance is lost uses a new one.
 const (
 	AnyConnection Connection = false
 	NewConnection Connection = true
 )
 
-// OrderAnswer is what an instance says of an order.
+// OrderAnswer is an instance's answer to an order.
 type OrderAnswer struct {
 	fleet.Notice
 	Reply placement.Reply
 }
 
-// Targets asks and orders instances. What an answer says of when to call the instance again
-// is returned with errors too.
+// Targets sends probes and orders to instances. If the answer carries a notice, such as a cooldown
+// or a rate limit, it is returned together with an error too.
 type Targets interface {
 	Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, by Connection) (fleet.Report, error)
 	Order(ctx context.Context, o placement.Order, by Connection) (OrderAnswer, error)
 }
 
-// Ports are the parts of a node that speak to the platform.
+// Ports are the adapters through which a node uses the platform.
 type Ports struct {
 	Store   Store
 	Decoder Decoder
--- a/transport/entry/quarantine.go
+++ b/transport/entry/quarantine.go
@@ -31,26 +31,26 @@
 // RecordComplete implements gateway.Quarantine.
 func (n *Node) RecordComplete(f quarantine.Fingerprint) { n.ledger.RecordComplete(f, n.clock.Now()) }
 
-// Times of keeping the quarantine in the store.
+// Bounds of persisting the quarantine in the store.
 const (
-	// keepInterval is the time between two looks for requests to keep in the store.
+	// keepInterval is the time between two checks for quarantined requests that are not yet stored.
 	keepInterval = 500 * time.Millisecond
-	// restoreTries bounds the reads of what is kept: a node that cannot read the store
-	// when it starts hears the same from the leader.
+	// restoreTries is the maximum number of attempts to read the stored quarantine. A node that
+	// cannot read the store at startup receives the same records from the leader.
 	restoreTries = 20
 )
 
-// keptEnding is an ending as the store keeps it.
+// keptEnding is an ending in its stored form.
 type keptEnding struct {
 	Instance fleet.Incarnation `json:"instance"`
 	UnixMS   int64             `json:"unix_ms"`
-	// Apart tells that the request had broken off elsewhere just before, as in quarantine.Ending.
+	// Apart reports whether the request had been interrupted elsewhere just before, as in quarantine.Ending.
 	Apart bool `json:"apart,omitempty"`
 }
 
-// keepQuarantine writes the requests that are held back into the store while this
-// node leads, so that they outlive the loss of all nodes at once. One record a
-// request is written, and one more for each further ending.
+// keepQuarantine writes the quarantined requests to the store while this node is the leader, so that
+// the quarantine survives the simultaneous loss of all nodes. It writes one record per request, and
+// another for each further independent ending.
 func (n *Node) keepQuarantine(ctx context.Context) {
 	n.restoreQuarantine(ctx)
 	kept := map[quarantine.Fingerprint]int{}
@@ -58,7 +58,7 @@
 	for n.sleep(ctx, keepInterval) {
 		if now := n.eras.current(); now != era {
 			era = now
-			clear(kept) // the copy may lack what was kept
+			clear(kept) // the store was restored from a backup that may lack these records
 		}
 		if leading, _ := n.peers.isPlacing(); !leading {
 			continue
@@ -72,7 +72,7 @@
 	}
 }
 
-// keep writes one request that is held back into the store and reports whether it is there.
+// keep writes a quarantined request to the store and reports whether it succeeded.
 func (n *Node) keep(ctx context.Context, f quarantine.Fingerprint, v quarantine.Verdict, now time.Time) bool {
 	var list []keptEnding
 	for _, e := range v.Evidence {
@@ -80,7 +80,7 @@
 	}
 	value, err := json.Marshal(list)
 	if err != nil {
-		n.log.WithError(err).Error("quarantine not kept")
+		n.log.WithError(err).Error("failed to encode quarantine record")
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.policy.StoreTimeout)
@@ -93,7 +93,7 @@
 	return true
 }
 
-// restoreQuarantine reads what the store keeps.
+// restoreQuarantine reads the stored quarantine, with backoff, and merges it into the ledger.
 func (n *Node) restoreQuarantine(ctx context.Context) {
 	pause := n.policy.StoreRetry
 	for range restoreTries {
@@ -107,10 +107,10 @@
 		}
 		pause = min(2*pause, n.policy.StoreRetryMax)
 	}
-	n.log.Warn("quarantine not read from the store")
+	n.log.Warn("failed to read quarantine from the store")
 }
 
-// takeKept joins what the store keeps with what is known.
+// takeKept merges stored records into the ledger. It skips records that it cannot decode.
 func (n *Node) takeKept(items []source.Item) {
 	now := n.clock.Now()
 	for _, item := range items {
@@ -121,7 +121,7 @@
 		var list []keptEnding
 		if err := errors.Join(f.UnmarshalText([]byte(item.Key)), json.Unmarshal(item.Value, &list)); err != nil {
 			n.Count("quarantine.unreadable")
-			n.log.WithError(err).WithField("key", item.Key).Warn("kept quarantine not read")
+			n.log.WithError(err).WithField("key", item.Key).Warn("failed to decode stored quarantine record")
 			continue
 		}
 		var d quarantine.Delta
@@ -137,7 +137,8 @@
 	}
 }
 
-// logQuarantine logs each request that is newly held back, and each that no longer is.
+// logQuarantine logs each request whose quarantine began, was extended or ended since the last call.
+// held maps the quarantined requests to the ends of their quarantine; logQuarantine updates it.
 func (n *Node) logQuarantine(held map[quarantine.Fingerprint]time.Time) {
 	now := n.clock.Now()
 	verdicts := n.ledger.Verdicts(now)
@@ -160,7 +161,7 @@
 	}
 }
 
-// quarantined is one request that is held back, as an operator sees it.
+// quarantined is a quarantined request in the response to an operator.
 type quarantined struct {
 	Fingerprint quarantine.Fingerprint `json:"fingerprint"`
 	Endings     int                    `json:"endings"`
@@ -168,7 +169,7 @@
 	HoldMS      int64                  `json:"hold_ms"`
 }
 
-// serveQuarantine lists the requests that are held back.
+// serveQuarantine lists the quarantined requests.
 func (n *Node) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	now := n.clock.Now()
 	list := []quarantined{}
@@ -185,11 +186,11 @@
 	slices.SortFunc(list, func(a, b quarantined) int { return strings.Compare(a.Fingerprint.String(), b.Fingerprint.String()) })
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(list); err != nil {
-		n.log.WithError(err).Info("list of the quarantine not written")
+		n.log.WithError(err).Info("failed to write quarantine response")
 	}
 }
 
-// serveRelease clears one request by its fingerprint, on all nodes.
+// serveRelease releases the request with the given fingerprint from quarantine, on all nodes.
 func (n *Node) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(r.PathValue("fingerprint"))); err != nil {
--- a/transport/entry/ratelimit.go
+++ b/transport/entry/ratelimit.go
@@ -27,13 +27,13 @@
 // TrySend implements gateway.Backpressure.
 func (n *Node) TrySend(i *fleet.Instance) bool { return n.limits.Take(i.Incarnation(), n.clock.Now()) }
 
-// asker returns who asks when this node puts a question to an instance.
+// asker describes this node as the sender of a probe to an instance.
 func (n *Node) asker(id state.InstanceID) ratelimit.ProbeRequest {
 	leading, _ := n.peers.isPlacing()
 	return ratelimit.ProbeRequest{IsLeader: leading, LastProbeFailed: n.roster.ConsecutiveFailures(id) > 0}
 }
 
-// toldLimit records what an answer to this node, sent for at a time, said of its instance's rate limit.
+// toldLimit records the rate limit in an instance's answer to a request, probe or order sent at a time.
 func (n *Node) toldLimit(in *fleet.Instance, said fleet.RateLimit, request string, sent time.Time) {
 	if said.Fault != nil {
 		n.Count("rate-limit.unreadable")
@@ -51,10 +51,10 @@
 	}
 }
 
-// badLimit keys the lives of instances whose limits cannot be read.
+// badLimit is the key in Node.garbled for an incarnation whose rate limit cannot be read.
 type badLimit fleet.Incarnation
 
-// learnLimits records what another node knows of rate limits.
+// learnLimits merges the rate limits that another node reported.
 func (n *Node) learnLimits(list []LimitReport, toldBy string, now time.Time) {
 	for i := range list {
 		r := &list[i]
@@ -67,7 +67,8 @@
 	}
 }
 
-// limitChanged logs a change of what is known of an instance's rate limit, and who told it.
+// limitChanged logs and counts a change of an instance's rate limit. by holds log fields that name
+// the source.
 func (n *Node) limitChanged(change ratelimit.Change, in *fleet.Instance, perSecond float64, by log.Fields) {
 	if change == ratelimit.LimitUnchanged {
 		return
@@ -80,7 +81,7 @@
 	n.log.WithFields(fields).WithFields(by).Info("rate limit " + string(change))
 }
 
-// limitReports returns what is told of limits.
+// limitReports converts limits to the form sent to other nodes, with ages in place of times.
 func limitReports(list []ratelimit.Limit, now time.Time) []LimitReport {
 	var out []LimitReport
 	for _, l := range list {
@@ -91,13 +92,13 @@
 	return out
 }
 
-// limit returns a report by the clock of the node that got it.
+// limit converts a report to a limit with times by the receiver's clock, where now is the time of receipt.
 func (r *LimitReport) limit(now time.Time) ratelimit.Limit {
 	at := func(ageMS int64) time.Time { return now.Add(-time.Duration(max(ageMS, 0)) * time.Millisecond) }
 	return ratelimit.Limit{Instance: r.Instance, PerSecond: r.PerSecond, Ended: r.Ended, SentAt: at(r.AskedMS), AnsweredAt: at(r.AnsweredMS)}
 }
 
-// addLimits adds to a status report what the leader divides rates by.
+// addLimits adds to a status report the limits and usage from which the leader allocates rates.
 func (p *peers) addLimits(w *Word, now time.Time) {
 	n := p.n
 	w.Limits = limitReports(n.limits.RecentlyObserved(now), now)
@@ -108,7 +109,8 @@
 	w.LimitsAfter = p.limitsHas
 }
 
-// giveLimits adds to an answer the limits that the asker lacks, and its grants.
+// giveLimits adds to the answer to a status report the limits that the sender does not have yet, and
+// the sender's grants.
 func (p *peers) giveLimits(a *Answer, w *Word, now time.Time) {
 	n := p.n
 	after := w.LimitsAfter
@@ -129,7 +131,7 @@
 	}
 }
 
-// takeLimits records the limits and grants in the leader's answer to a question asked at a time.
+// takeLimits records the limits and grants in the leader's answer to a status report sent at a time.
 func (p *peers) takeLimits(a *Answer, asked time.Time) {
 	n := p.n
 	n.learnLimits(a.Limits, "leader", n.clock.Now())
@@ -142,9 +144,10 @@
 	}
 }
 
-// dealLimits divides the rates of limited instances: a leader over all nodes that report to
-// it, another node over itself alone while no leader deals for it, as one of an earlier
-// version or none does. Both deal no more than the part that these are of all nodes.
+// dealLimits allocates the rates of limited instances. A leader allocates to all nodes that report to
+// it. Another node allocates only to itself, and only while no leader allocates to it: there is no
+// leader, or the leader is of an earlier version. Either allocates no more than the share that the
+// nodes it allocates for have of all nodes.
 func (n *Node) dealLimits(now time.Time) {
 	if !n.limits.HasActive() {
 		return
@@ -168,19 +171,19 @@
 	n.limits.AddGrants(n.dealer.Collect(n.set.Name, now), now.Add(n.set.Policy.RateLimit.GrantTTL))
 }
 
-// dealtFor reports whether a leader lately dealt for this node.
+// dealtFor reports whether a leader allocated rates for this node within NodePolicy.NodeTimeout.
 func (p *peers) dealtFor(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.dealtAt.IsZero() && now.Sub(p.dealtAt) < p.n.policy.NodeTimeout
 }
 
-// leastWeight is the weight of a node that was asked for nothing lately, in requests a second.
+// leastWeight is the weight of a node without recent requests, in requests per second.
 const leastWeight = 0.01
 
-// addReporting adds the nodes that send by grants to a round, this one and those that report
-// to it, each with what callers ask of it. It returns how many nodes' part of the rate it may
-// deal: those of earlier builds, which are kept away from limited instances, count too.
+// addReporting adds to an allocation round the nodes that send by grants: this one and those that
+// report to it, each with its demand. It returns the number of nodes whose share of the rate may be
+// allocated. Nodes of earlier builds count too, since they are kept away from limited instances.
 func (p *peers) addReporting(r *ratelimit.AllocationInput, now time.Time) (counted int) {
 	n := p.n
 	asked := map[string]map[servedModel]float64{n.set.Name: byModel(n.demand.Flows(now))}
@@ -211,13 +214,13 @@
 	return counted
 }
 
-// servedModel names a model of a service; a plain service has none.
+// servedModel identifies a model of a service. The model of a service without an engine is empty.
 type servedModel struct {
 	service state.ServiceName
 	model   string
 }
 
-// servedModel returns what an instance serves, as the requests for it are counted.
+// servedModel returns the service and model under which requests for an instance are counted.
 func (n *Node) servedModel(id state.InstanceID) servedModel {
 	in := n.instance(id)
 	if c := n.know.Catalog(); c != nil && c.Services[in.Service] != nil && c.Services[in.Service].Engine != nil {
@@ -226,7 +229,7 @@
 	return servedModel{in.Service, ""}
 }
 
-// byModel returns the requests a second that are asked of each model.
+// byModel returns the requests per second for each model.
 func byModel(flows []demand.Flow) map[servedModel]float64 {
 	asked := make(map[servedModel]float64, len(flows))
 	for _, f := range flows {
@@ -235,7 +238,7 @@
 	return asked
 }
 
-// sweepLimits forgets what is no longer needed of rate limits, and counts those in force.
+// sweepLimits removes rate limits that are no longer needed and updates the gauge of those in force.
 func (n *Node) sweepLimits() {
 	now := n.clock.Now()
 	n.limits.Sweep(now, func(in fleet.Incarnation) bool {
@@ -245,18 +248,19 @@
 	metrics.GetOrRegisterGauge("rate-limit.active", n.metrics).Update(int64(len(n.limits.Active())))
 }
 
-// limitState is one rate limit, as an operator sees it.
+// limitState is a rate limit in the response to an operator.
 type limitState struct {
 	Instance  state.InstanceID `json:"instance"`
 	PerSecond float64          `json:"per_second"`
 	SinceMS   int64            `json:"since_ms"`
-	// SaidMS is how long ago the instance last named the limit to this node or, when it last changed, to another.
+	// SaidMS is how long ago the instance last announced the limit to this node or, when the limit last
+	// changed, to another node.
 	SaidMS int64 `json:"said_ms"`
-	// Usage is what this node made of it.
+	// Usage is this node's usage of the limit.
 	Usage ratelimit.Usage `json:"usage"`
 }
 
-// serveLimits lists the instances that take only so many requests a second.
+// serveLimits lists the instances with a rate limit in force.
 func (n *Node) serveLimits(w http.ResponseWriter, _ *http.Request) {
 	now := n.clock.Now()
 	usage := n.limits.Usage(now)
@@ -269,6 +273,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(list); err != nil {
-		n.log.WithError(err).Info("list of rate limits not written")
+		n.log.WithError(err).Info("failed to write rate limit response")
 	}
 }
--- a/transport/entry/serve.go
+++ b/transport/entry/serve.go
@@ -14,16 +14,16 @@
 	"github.com/troutmast/troutmast/protocol/peer"
 )
 
-// Bounds of a planned stop.
+// Timing of a graceful shutdown.
 const (
-	// leaveTime is how long new connections still come after the node is no longer ready.
+	// leaveTime is how long new connections may still arrive after the node is no longer ready.
 	leaveTime = 2900 * time.Millisecond
-	// stopMargin is kept of the time for a planned stop.
+	// stopMargin is the part of Settings.StopWithin that is reserved for the end of the shutdown.
 	stopMargin = 400 * time.Millisecond
 )
 
-// Reload takes in settings that were read anew. Addresses and names need a new
-// start; where they differ, the settings are refused and the old ones stay.
+// Reload applies changed settings. The name and the addresses can change only with a restart: if
+// one of them differs, Reload returns ErrNeedsRestart and applies nothing.
 func (n *Node) Reload(set *Settings) error {
 	if set.Name != n.set.Name || set.Callers != n.set.Callers || set.Ready != n.set.Ready || set.Peer != n.set.Peer || set.Store != n.set.Store {
 		return ErrNeedsRestart
@@ -34,10 +34,10 @@
 	return nil
 }
 
-// ErrNeedsRestart means that changed settings take effect only with a new start.
-var ErrNeedsRestart = errors.New("entry: the name or an address differs, which needs a new start")
+// ErrNeedsRestart is returned by Reload for settings that take effect only after a restart.
+var ErrNeedsRestart = errors.New("entry: changed name or address requires a restart")
 
-// loops returns what runs for the life of the node.
+// loops returns the background loops that run until the node stops.
 func (n *Node) loops() []func(context.Context) {
 	return []func(context.Context){
 		n.followConfig,
@@ -55,13 +55,13 @@
 	}
 }
 
-// listener is one server of the node.
+// listener is an HTTP server of the node and its network listener.
 type listener struct {
 	srv *http.Server
 	ln  net.Listener
 }
 
-// listen opens all listeners and serves them.
+// listen opens all listeners and starts their servers. The server for callers is the first.
 func (n *Node) listen() ([]*http.Server, error) {
 	inner := http.NewServeMux()
 	inner.Handle(wordProcedure, connect.NewUnaryHandler(wordProcedure, n.peers.answer, connect.WithCodec(peer.JSONCodec{})))
@@ -93,14 +93,14 @@
 		servers = append(servers, l.srv)
 		go func() {
 			if err := l.srv.Serve(l.ln); !errors.Is(err, http.ErrServerClosed) {
-				n.log.WithError(err).Error("listener ended")
+				n.log.WithError(err).Error("listener stopped unexpectedly")
 			}
 		}()
 	}
 	return servers, nil
 }
 
-// serveReady answers whether the node takes new connections.
+// serveReady serves the readiness probe: status 200 if the node accepts new connections, else 503.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !n.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -112,7 +112,7 @@
 // isReady reports whether the node can answer callers.
 func (n *Node) isReady() bool { return !n.stopping.Load() && n.know.Catalog() != nil }
 
-// handleOperators adds what operators ask of the node.
+// handleOperators registers the handlers for operators.
 func (n *Node) handleOperators(mux *http.ServeMux) {
 	mux.HandleFunc("/metrics", n.serveMetrics)
 	mux.HandleFunc("GET /quarantine", n.serveQuarantine)
@@ -121,10 +121,11 @@
 	mux.HandleFunc("DELETE /quarantine/{fingerprint}", n.serveRelease)
 }
 
-// serveMetrics writes all counters.
+// serveMetrics writes all metrics.
 func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) { metrics.WriteOnce(n.metrics, w) }
 
-// stop ends the node: it is no longer ready, answers on, then takes nothing new and finishes what it holds.
+// stop shuts the node down gracefully. The node first reports that it is not ready but still accepts
+// requests. It then refuses new requests and waits for those in flight.
 func (n *Node) stop(servers []*http.Server) {
 	began := n.clock.Now()
 	n.log.Info("stopping")
@@ -135,6 +136,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), n.set.StopWithin-stopMargin-n.clock.Since(began))
 	defer cancel()
 	if err := servers[0].Shutdown(ctx); err != nil {
-		n.log.WithError(err).WithField("held", n.gate.StallDetector.ActiveCount()).Warn("requests cut off by the stop")
+		n.log.WithError(err).WithField("held", n.gate.StallDetector.ActiveCount()).Warn("requests interrupted by shutdown")
 	}
 }
