--- a/transport/entry/backpressure.go
+++ b/transport/entry/backpressure.go
@@ -35,15 +35,15 @@
 		return
 	}
 	n.Count("cooldown.began")
-	left := 0
+	available := 0
 	for _, c := range n.table.Candidates(in.Service, in.Model) {
 		if _, cooling := n.CooldownUntil(&c.Instance); !cooling {
-			left++
+			available++
 		}
 	}
 	n.log.WithFields(log.Fields{
 		"instance": in.ID, "service": in.Service, "group": in.Membership.Group, "asked_ms": notice.Cooldown.Milliseconds(),
-		"ms": until.Sub(now).Milliseconds(), "request": request, "left": left,
+		"ms": until.Sub(now).Milliseconds(), "request": request, "left": available,
 	}).Info("cooldown began")
 }
 
@@ -59,13 +59,13 @@
 func (n *Node) IsLeaving(in *fleet.Instance) bool { return n.roster.IsLeaving(in.Incarnation()) }
 
 // leaving records that an incarnation of an instance announced its shutdown, to this node or to the
-// node toldBy, and requests an immediate status report.
-func (n *Node) leaving(in fleet.Incarnation, toldBy string) {
+// node reportedBy, and requests an immediate status report.
+func (n *Node) leaving(in fleet.Incarnation, reportedBy string) {
 	if !n.roster.MarkLeaving(in) {
 		return
 	}
 	n.Count("leaving.learned")
-	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life, "told_by": toldBy}).Info("instance leaving")
+	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life, "told_by": reportedBy}).Info("instance leaving")
 	n.mu.Lock()
 	n.leavers[in] = n.clock.Now()
 	n.mu.Unlock()
--- a/transport/entry/endings.go
+++ b/transport/entry/endings.go
@@ -30,15 +30,15 @@
 
 // RecordInterruption implements gateway.Quarantine.
 func (n *Node) RecordInterruption(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time) {
-	var lives []fleet.Incarnation
+	var incarnations []fleet.Incarnation
 	for i := range instances {
 		// The members of a stalled group have just been probed. Only those that did not answer may
 		// have ended, usually one or two of 16.
 		if len(instances) == 1 || n.roster.ConsecutiveFailures(instances[i].ID) > 0 {
-			lives = append(lives, instances[i].Incarnation())
+			incarnations = append(incarnations, instances[i].Incarnation())
 		}
 	}
-	n.ledger.RecordInterruption(f, lives, began, n.clock.Now())
+	n.ledger.RecordInterruption(f, incarnations, began, n.clock.Now())
 }
 
 // RecordConnectionRefused implements gateway.Quarantine.
@@ -101,10 +101,10 @@
 // neighbors returns the other instances in an instance's hall in random order, except that those
 // whose last call succeeded come first, and then those of other domains, since a domain may fail as a
 // whole.
-func (n *Node) neighbors(of *fleet.Instance) []fleet.Instance {
+func (n *Node) neighbors(instance *fleet.Instance) []fleet.Instance {
 	var list []fleet.Instance
 	for _, v := range n.roster.All(n.clock.Now()) {
-		if v.ID != of.ID && v.Hall == of.Hall {
+		if v.ID != instance.ID && v.Hall == instance.Hall {
 			list = append(list, v.Instance)
 		}
 	}
@@ -114,7 +114,7 @@
 		if n.roster.ConsecutiveFailures(m.ID) > 0 {
 			r += 2
 		}
-		if m.Domain == of.Domain {
+		if m.Domain == instance.Domain {
 			r++
 		}
 		return r
@@ -136,8 +136,8 @@
 }
 
 // alive records that an instance answered a probe sent at a time.
-func (n *Node) alive(in fleet.Incarnation, asked time.Time) {
-	if !n.ledger.RecordProbeResponse(in, asked) {
+func (n *Node) alive(in fleet.Incarnation, probedAt time.Time) {
+	if !n.ledger.RecordProbeResponse(in, probedAt) {
 		return
 	}
 	n.Count("quarantine.back")
@@ -147,7 +147,7 @@
 
 // judgeReport decides from the result of a probe whether the instance has ended since requests were
 // interrupted on it.
-func (n *Node) judgeReport(in fleet.Incarnation, asked time.Time, rep fleet.Report, err error) {
+func (n *Node) judgeReport(in fleet.Incarnation, probedAt time.Time, rep fleet.Report, err error) {
 	switch {
 	case errors.Is(err, placement.ErrAddressReused):
 		n.ended(in, proofReplaced)
@@ -157,7 +157,7 @@
 		n.ended(in, proofReborn)
 	case err == nil:
 		// An invalid report is excluded: it may come from another process at the address.
-		n.alive(in, asked)
+		n.alive(in, probedAt)
 	}
 }
 
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -35,13 +35,13 @@
 // and cancels the group's requests if one does not answer.
 func (n *Node) ProbeGroup(c *dispatch.Candidate) {
 	go func() {
-		silent := n.askAll(c.Members)
-		if len(silent) == 0 {
+		unresponsive := n.askAll(c.Members)
+		if len(unresponsive) == 0 {
 			return
 		}
 		n.Count("group.stalled")
 		n.log.WithFields(log.Fields{
-			"group": c.Membership.Group, "epoch": c.Membership.Epoch, "head": c.ID, "silent": silent, "held": c.Held(),
+			"group": c.Membership.Group, "epoch": c.Membership.Epoch, "head": c.ID, "silent": unresponsive, "held": c.Held(),
 		}).Warn("group stalled")
 		n.touch()
 		n.gate.StallDetector.CancelGroup(c.ID)
@@ -51,7 +51,7 @@
 // askAll probes instances concurrently and returns those that did not answer.
 func (n *Node) askAll(members []fleet.Instance) []state.InstanceID {
 	var mu sync.Mutex
-	var silent []state.InstanceID
+	var unresponsive []state.InstanceID
 	var wg sync.WaitGroup
 	for _, m := range members {
 		wg.Go(func() {
@@ -60,18 +60,18 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			silent = append(silent, m.ID)
+			unresponsive = append(unresponsive, m.ID)
 		})
 	}
 	wg.Wait()
-	return silent
+	return unresponsive
 }
 
 // ask probes an instance, with one retry, and reports whether it answered.
 func (n *Node) ask(ctx context.Context, m fleet.Instance) bool {
 	for range 2 {
-		asked := n.clock.Now()
-		if n.report(ctx, m, asked) {
+		probedAt := n.clock.Now()
+		if n.report(ctx, m, probedAt) {
 			return true
 		}
 	}
@@ -83,18 +83,18 @@
 var errNotAsked = errors.New("entry: probe skipped: instance is cooling down or rate limited")
 
 // question sends one probe to an instance and returns its report.
-func (n *Node) question(ctx context.Context, m fleet.Instance, asked time.Time) (fleet.Report, error) {
-	if !n.cooldowns.TryProbe(m.Incarnation(), asked) {
+func (n *Node) question(ctx context.Context, m fleet.Instance, probedAt time.Time) (fleet.Report, error) {
+	if !n.cooldowns.TryProbe(m.Incarnation(), probedAt) {
 		n.Count("probes.cooling-down")
 		return fleet.Report{}, errNotAsked
 	}
-	if !n.limits.TryProbe(m.Incarnation(), n.asker(m.ID), asked) {
+	if !n.limits.TryProbe(m.Incarnation(), n.asker(m.ID), probedAt) {
 		n.Count("probes.rate-limited")
 		return fleet.Report{}, errNotAsked
 	}
 	n.Count("probes")
 	rep, err := n.ports.Targets.Report(ctx, m.Address, m.ID, n.connectionTo(m.ID))
-	rep.Asked = asked
+	rep.Asked = probedAt
 	return rep, err
 }
 
@@ -115,32 +115,32 @@
 
 // report sends one probe to an instance, records the result, and reports whether the instance may be
 // assumed alive: it answered, or the probe was skipped or inconclusive.
-func (n *Node) report(ctx context.Context, m fleet.Instance, asked time.Time) bool {
+func (n *Node) report(ctx context.Context, m fleet.Instance, probedAt time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.policy.ProbeTimeout)
 	defer cancel()
-	rep, err := n.question(ctx, m, asked)
+	rep, err := n.question(ctx, m, probedAt)
 	if errors.Is(err, errNotAsked) {
 		return true
 	}
 	defer n.told(m, rep) // deferred until the roster knows a later incarnation
-	n.judgeReport(m.Incarnation(), asked, rep, err)
+	n.judgeReport(m.Incarnation(), probedAt, rep, err)
 	if errors.Is(err, placement.ErrAddressReused) {
 		n.RecordReplaced(m.ID)
 		return false
 	}
 	if errors.Is(err, placement.ErrInvalidReport) {
-		n.unreadable(m.ID, asked, err)
+		n.unreadable(m.ID, probedAt, err)
 		return true
 	}
-	late := err != nil && n.delayed(ctx, asked, n.policy.ProbeTimeout)
-	n.load.probe(err != nil, late)
-	if late {
+	inconclusive := err != nil && n.delayed(ctx, probedAt, n.policy.ProbeTimeout)
+	n.load.probe(err != nil, inconclusive)
+	if inconclusive {
 		n.Count("probes.inconclusive")
 		return true
 	}
 	if err != nil {
-		n.RecordFailure(m.ID, asked)
-		n.logFailedProbe(m.ID, asked, err)
+		n.RecordFailure(m.ID, probedAt)
+		n.logFailedProbe(m.ID, probedAt, err)
 		return false
 	}
 	n.roster.RecordReport(m.ID, rep)
@@ -155,13 +155,13 @@
 
 // logFailedProbe logs a failed probe until the instance has failed often enough to be lost, so that
 // a dead instance is logged only a few times.
-func (n *Node) logFailedProbe(id state.InstanceID, asked time.Time, err error) {
+func (n *Node) logFailedProbe(id state.InstanceID, probedAt time.Time, err error) {
 	failures := n.roster.ConsecutiveFailures(id)
 	if failures > n.set.Policy.Roster.LostFailures {
 		return
 	}
 	n.log.WithError(err).WithFields(log.Fields{
-		"instance": id, "failures": failures, "ms": n.clock.Since(asked).Milliseconds(),
+		"instance": id, "failures": failures, "ms": n.clock.Since(probedAt).Milliseconds(),
 	}).Info("probe failed")
 }
 
@@ -203,9 +203,9 @@
 
 // unreadable records that an instance answered with an invalid report. The instance is alive, and
 // its last report stays in force. Only the first such answer of an instance is logged.
-func (n *Node) unreadable(id state.InstanceID, asked time.Time, err error) {
+func (n *Node) unreadable(id state.InstanceID, probedAt time.Time, err error) {
 	n.Count("reports.unreadable")
-	n.roster.RecordResponse(id, asked)
+	n.roster.RecordResponse(id, probedAt)
 	if _, known := n.garbled.LoadOrStore(id, true); !known {
 		n.log.WithError(err).WithField("instance", id).Warn("invalid instance report")
 	}
--- a/transport/entry/node.go
+++ b/transport/entry/node.go
@@ -159,19 +159,19 @@
 // Run runs the node until ctx is done, then shuts it down within Settings.StopWithin.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.WithFields(log.Fields{"node": n.set.Name, "hall": n.set.Hall}).Info("start")
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	servers, err := n.listen()
 	if err != nil {
 		return err
 	}
 	var loops sync.WaitGroup
 	for _, loop := range n.loops() {
-		loops.Go(func() { loop(life) })
+		loops.Go(func() { loop(runCtx) })
 	}
 	<-ctx.Done()
 	n.stop(servers)
-	end()
+	cancel()
 	loops.Wait()
 	n.log.Info("stopped")
 	return nil
@@ -198,8 +198,8 @@
 
 // rebuild rebuilds the candidates when the catalog, an instance or the time changes them.
 func (n *Node) rebuild(ctx context.Context) {
-	var version uint64
-	var known *catalog.Catalog
+	var lastVersion uint64
+	var lastCatalog *catalog.Catalog
 	for {
 		select {
 		case <-ctx.Done():
@@ -211,10 +211,10 @@
 		now := n.clock.Now()
 		views := n.roster.All(now)
 		v := n.roster.Version()
-		if c == nil || (v == version && c == known && !n.timed(views)) {
+		if c == nil || (v == lastVersion && c == lastCatalog && !n.timed(views)) {
 			continue
 		}
-		version, known = v, c
+		lastVersion, lastCatalog = v, c
 		n.table.Update(c, views, n.avoided)
 		n.Count("candidates.rebuilt")
 		if !n.sleep(ctx, n.policy.RebuildPause) {
--- a/transport/entry/placer.go
+++ b/transport/entry/placer.go
@@ -55,9 +55,9 @@
 		case <-p.n.clock.After(p.n.policy.PlanInterval):
 		case <-p.wake:
 		}
-		on, since := p.n.peers.isPlacing()
+		leading, since := p.n.peers.isPlacing()
 		c := p.n.know.Catalog()
-		if !on || c == nil {
+		if !leading || c == nil {
 			p.rest()
 			continue
 		}
@@ -87,24 +87,24 @@
 // step runs each engine service's planner once and returns the time that took.
 func (p *placer) step(ctx context.Context, c *catalog.Catalog, since time.Time) time.Duration {
 	now := p.n.clock.Now()
-	var avoid []Formation
+	var excluded []Formation
 	staging := map[state.ServiceName][]placement.Staging{}
-	watch := false
-	_, asked := p.n.peers.total()
+	inTransition := false
+	_, flows := p.n.peers.total()
 	for _, s := range c.Services {
 		if s.Engine == nil {
 			continue
 		}
 		planner := p.planner(s)
 		planner.BeforeTraffic = p.n.set.FirstStart && !p.n.peers.anyArrived()
-		planner.Demand = p.n.set.Policy.Demand.WorkOf(s.Name, s.Engine, asked)
+		planner.Demand = p.n.set.Policy.Demand.WorkOf(s.Name, s.Engine, flows)
 		members := p.n.roster.Members(s.Name, since, now)
 		plan := planner.Step(now, members)
 		staging[s.Name] = planner.Stagings()
 		for key := range plan.ExcludedGroups {
-			avoid = append(avoid, Formation{Group: key.Group, Epoch: key.Epoch})
+			excluded = append(excluded, Formation{Group: key.Group, Epoch: key.Epoch})
 		}
-		watch = watch || plan.InTransition
+		inTransition = inTransition || plan.InTransition
 		p.tell(now, s.Name, plan, len(members))
 		p.n.roster.SetMaxReportLag(s.Engine.ReportLag + p.n.policy.ReportMargin)
 		p.carryOut(ctx, members, plan)
@@ -115,10 +115,10 @@
 		}
 	}
 	p.mu.Lock()
-	p.avoid, p.staging = avoid, staging
+	p.avoid, p.staging = excluded, staging
 	p.mu.Unlock()
-	p.n.setAvoid(avoid)
-	p.n.readListSoon(watch)
+	p.n.setAvoid(excluded)
+	p.n.readListSoon(inTransition)
 	took := p.n.clock.Since(now)
 	p.n.load.step(took)
 	return took
@@ -138,10 +138,10 @@
 }
 
 // avoidedText describes groups that receive no requests, with the reasons.
-func avoidedText(avoid map[fleet.GroupKey]string) []string {
-	list := make([]string, 0, len(avoid))
-	for key, why := range avoid {
-		list = append(list, string(key.Group)+": "+why)
+func avoidedText(excluded map[fleet.GroupKey]string) []string {
+	list := make([]string, 0, len(excluded))
+	for key, reason := range excluded {
+		list = append(list, string(key.Group)+": "+reason)
 	}
 	slices.Sort(list)
 	return list
@@ -166,8 +166,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []Staging
-	for service, under := range p.staging {
-		for _, st := range under {
+	for service, stagings := range p.staging {
+		for _, st := range stagings {
 			list = append(list, Staging{Service: service, Instance: st.Instance, Model: st.Model, AgeMS: age(now.Sub(st.StartedAt))})
 		}
 	}
@@ -176,10 +176,10 @@
 
 // handOver records the loads in progress from the leader's answer to a status report sent at a time,
 // in case this node becomes the next leader.
-func (p *placer) handOver(list []Staging, asked time.Time) {
+func (p *placer) handOver(list []Staging, sentAt time.Time) {
 	byService := map[state.ServiceName][]placement.Staging{}
 	for _, st := range list {
-		since := asked.Add(-time.Duration(st.AgeMS) * time.Millisecond)
+		since := sentAt.Add(-time.Duration(st.AgeMS) * time.Millisecond)
 		byService[st.Service] = append(byService[st.Service], placement.Staging{Instance: st.Instance, Model: st.Model, StartedAt: since})
 	}
 	p.mu.Lock()
@@ -225,8 +225,8 @@
 		byID[members[i].ID] = &members[i]
 	}
 	for _, o := range plan.Orders {
-		life := p.n.roster.BeginOrder(o.Instance)
-		go p.order(ctx, o, life)
+		incarnation := p.n.roster.BeginOrder(o.Instance)
+		go p.order(ctx, o, incarnation)
 	}
 	for _, id := range plan.Probes {
 		if m := byID[id]; m != nil {
@@ -236,7 +236,7 @@
 }
 
 // order sends an order to an incarnation of an instance and records the reply.
-func (p *placer) order(ctx context.Context, o placement.Order, life roster.IncarnationNumber) {
+func (p *placer) order(ctx context.Context, o placement.Order, incarnation roster.IncarnationNumber) {
 	callCtx, cancel := context.WithTimeout(ctx, p.n.policy.OrderTimeout)
 	defer cancel()
 	began := p.n.clock.Now()
@@ -246,7 +246,7 @@
 	ans, err := p.n.ports.Targets.Order(callCtx, o, p.n.connectionTo(o.Instance))
 	p.n.RecordNotice(&in, ans.Notice, "", began)
 	reply := ans.Reply
-	p.n.roster.RecordOrderReply(o, life, reply, p.n.clock.Now())
+	p.n.roster.RecordOrderReply(o, incarnation, reply, p.n.clock.Now())
 	p.observe(0, reply == placement.Superseded)
 	p.n.Count("order." + string(o.Action) + "." + string(reply))
 	fields := log.Fields{
@@ -318,15 +318,15 @@
 
 // suspect records that an instance did not answer another node, and probes it from this node. It
 // does nothing unless this node is the leader.
-func (p *placer) suspect(id state.InstanceID, asked time.Time) {
-	if on, _ := p.n.peers.isPlacing(); !on {
+func (p *placer) suspect(id state.InstanceID, failedAt time.Time) {
+	if leading, _ := p.n.peers.isPlacing(); !leading {
 		return
 	}
 	v, ok := p.n.roster.Get(id, p.n.clock.Now())
 	if !ok || v.Unreachable {
 		return
 	}
-	p.n.roster.RecordFailure(id, asked)
+	p.n.roster.RecordFailure(id, failedAt)
 	p.askOnce(context.Background(), v.Instance)
 }
 
--- a/transport/entry/quarantine.go
+++ b/transport/entry/quarantine.go
@@ -53,20 +53,20 @@
 // another for each further independent ending.
 func (n *Node) keepQuarantine(ctx context.Context) {
 	n.restoreQuarantine(ctx)
-	kept := map[quarantine.Fingerprint]int{}
+	storedEndings := map[quarantine.Fingerprint]int{}
 	era := n.eras.current()
 	for n.sleep(ctx, keepInterval) {
 		if now := n.eras.current(); now != era {
 			era = now
-			clear(kept) // the store was restored from a backup that may lack these records
+			clear(storedEndings) // the store was restored from a backup that may lack these records
 		}
 		if leading, _ := n.peers.isPlacing(); !leading {
 			continue
 		}
 		now := n.clock.Now()
 		for f, v := range n.ledger.Verdicts(now) {
-			if v.Quarantined(now) && kept[f] < v.IndependentEndings && n.keep(ctx, f, v, now) {
-				kept[f] = v.IndependentEndings
+			if v.Quarantined(now) && storedEndings[f] < v.IndependentEndings && n.keep(ctx, f, v, now) {
+				storedEndings[f] = v.IndependentEndings
 			}
 		}
 	}
@@ -138,24 +138,25 @@
 }
 
 // logQuarantine logs each request whose quarantine began, was extended or ended since the last call.
-// held maps the quarantined requests to the ends of their quarantine; logQuarantine updates it.
-func (n *Node) logQuarantine(held map[quarantine.Fingerprint]time.Time) {
+// quarantinedUntil maps the quarantined requests to the ends of their quarantine. logQuarantine updates
+// it.
+func (n *Node) logQuarantine(quarantinedUntil map[quarantine.Fingerprint]time.Time) {
 	now := n.clock.Now()
 	verdicts := n.ledger.Verdicts(now)
 	for f, v := range verdicts {
-		if until, known := held[f]; !v.Quarantined(now) || known && until.Equal(v.Until) {
+		if until, known := quarantinedUntil[f]; !v.Quarantined(now) || known && until.Equal(v.Until) {
 			continue
 		}
-		held[f] = v.Until
+		quarantinedUntil[f] = v.Until
 		n.Count("quarantine.held")
 		n.log.WithFields(log.Fields{
 			"fingerprint": f, "endings": v.IndependentEndings, "instances": v.Instances(), "hold_ms": v.Until.Sub(now).Milliseconds(),
 			"last_ms": now.Sub(v.Evidence[len(v.Evidence)-1].At).Milliseconds(),
 		}).Warn("request quarantined")
 	}
-	for f, until := range held {
+	for f, until := range quarantinedUntil {
 		if !verdicts[f].Quarantined(now) {
-			delete(held, f)
+			delete(quarantinedUntil, f)
 			n.log.WithFields(log.Fields{"fingerprint": f, "expired": !until.After(now)}).Info("request released")
 		}
 	}
--- a/transport/entry/ratelimit.go
+++ b/transport/entry/ratelimit.go
@@ -34,18 +34,18 @@
 }
 
 // toldLimit records the rate limit in an instance's answer to a request, probe or order sent at a time.
-func (n *Node) toldLimit(in *fleet.Instance, said fleet.RateLimit, request string, sent time.Time) {
-	if said.Fault != nil {
+func (n *Node) toldLimit(in *fleet.Instance, limit fleet.RateLimit, request string, sent time.Time) {
+	if limit.Fault != nil {
 		n.Count("rate-limit.unreadable")
 		if _, known := n.garbled.LoadOrStore(badLimit(in.Incarnation()), true); !known {
-			n.log.WithError(said.Fault).WithField("instance", in.ID).Warn("rate limit not read")
+			n.log.WithError(limit.Fault).WithField("instance", in.ID).Warn("rate limit not read")
 		}
 	}
-	if said.Limited {
+	if limit.Limited {
 		n.Count("rate-limit.named")
 	}
-	change := n.limits.Observe(in.Incarnation(), said, sent, n.clock.Now())
-	n.limitChanged(change, in, said.PerSecond, log.Fields{"request": request})
+	change := n.limits.Observe(in.Incarnation(), limit, sent, n.clock.Now())
+	n.limitChanged(change, in, limit.PerSecond, log.Fields{"request": request})
 	if change == ratelimit.LimitBegan {
 		n.tellSoon()
 	}
@@ -55,7 +55,7 @@
 type badLimit fleet.Incarnation
 
 // learnLimits merges the rate limits that another node reported.
-func (n *Node) learnLimits(list []LimitReport, toldBy string, now time.Time) {
+func (n *Node) learnLimits(list []LimitReport, reportedBy string, now time.Time) {
 	for i := range list {
 		r := &list[i]
 		change := n.limits.Merge(r.limit(now), now)
@@ -63,13 +63,13 @@
 			continue
 		}
 		in := n.instance(r.Instance.ID)
-		n.limitChanged(change, &in, r.PerSecond, log.Fields{"told_by": toldBy})
+		n.limitChanged(change, &in, r.PerSecond, log.Fields{"told_by": reportedBy})
 	}
 }
 
-// limitChanged logs and counts a change of an instance's rate limit. by holds log fields that name
-// the source.
-func (n *Node) limitChanged(change ratelimit.Change, in *fleet.Instance, perSecond float64, by log.Fields) {
+// limitChanged logs and counts a change of an instance's rate limit. source holds log fields that name
+// the origin of the change.
+func (n *Node) limitChanged(change ratelimit.Change, in *fleet.Instance, perSecond float64, source log.Fields) {
 	if change == ratelimit.LimitUnchanged {
 		return
 	}
@@ -78,7 +78,7 @@
 	if change != ratelimit.LimitEnded {
 		fields["per_second"] = perSecond
 	}
-	n.log.WithFields(fields).WithFields(by).Info("rate limit " + string(change))
+	n.log.WithFields(fields).WithFields(source).Info("rate limit " + string(change))
 }
 
 // limitReports converts limits to the form sent to other nodes, with ages in place of times.
@@ -132,15 +132,15 @@
 }
 
 // takeLimits records the limits and grants in the leader's answer to a status report sent at a time.
-func (p *peers) takeLimits(a *Answer, asked time.Time) {
+func (p *peers) takeLimits(a *Answer, sentAt time.Time) {
 	n := p.n
 	n.learnLimits(a.Limits, "leader", n.clock.Now())
-	n.limits.AddGrants(a.Grants, asked.Add(n.set.Policy.RateLimit.GrantTTL))
+	n.limits.AddGrants(a.Grants, sentAt.Add(n.set.Policy.RateLimit.GrantTTL))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limitsHas, p.told, p.complete = a.LimitsNow, a.Possible, true
 	if a.Dealing {
-		p.dealtAt = asked
+		p.dealtAt = sentAt
 	}
 }
 
@@ -153,20 +153,20 @@
 		return
 	}
 	r := ratelimit.AllocationInput{Limits: n.limits.Active()}
-	known, counted := n.peers.possible(now), 1
+	knownNodes, countedNodes := n.peers.possible(now), 1
 	leading, _ := n.peers.isPlacing()
 	switch {
 	case !n.peers.knowsAll():
 		return
 	case leading:
-		counted = n.peers.addReporting(&r, now)
+		countedNodes = n.peers.addReporting(&r, now)
 	case n.peers.dealtFor(now):
 		return
 	default:
 		r.Nodes = []ratelimit.NodeUsage{{Name: n.set.Name, Usage: n.limits.Usage(now)}}
 		r.Weight = func(string, *ratelimit.Limit) float64 { return 1 }
 	}
-	r.Share = min(float64(counted)/float64(known), 1)
+	r.Share = min(float64(countedNodes)/float64(knownNodes), 1)
 	n.dealer.Allocate(r, now)
 	n.limits.AddGrants(n.dealer.Collect(n.set.Name, now), now.Add(n.set.Policy.RateLimit.GrantTTL))
 }
@@ -186,7 +186,7 @@
 // allocated. Nodes of earlier builds count too, since they are kept away from limited instances.
 func (p *peers) addReporting(r *ratelimit.AllocationInput, now time.Time) (counted int) {
 	n := p.n
-	asked := map[string]map[servedModel]float64{n.set.Name: byModel(n.demand.Flows(now))}
+	requestRates := map[string]map[servedModel]float64{n.set.Name: byModel(n.demand.Flows(now))}
 	r.Nodes = []ratelimit.NodeUsage{{Name: n.set.Name, Usage: n.limits.Usage(now)}}
 	counted = 1
 	p.mu.Lock()
@@ -199,7 +199,7 @@
 			continue
 		}
 		r.Nodes = append(r.Nodes, ratelimit.NodeUsage{Name: name, Usage: h.word.Usage})
-		asked[name] = byModel(h.word.Demand)
+		requestRates[name] = byModel(h.word.Demand)
 	}
 	p.mu.Unlock()
 	slices.SortFunc(r.Nodes, func(a, b ratelimit.NodeUsage) int { return strings.Compare(a.Name, b.Name) })
@@ -209,7 +209,7 @@
 		models[id] = n.servedModel(id)
 	}
 	r.Weight = func(node string, l *ratelimit.Limit) float64 {
-		return asked[node][models[l.Instance.ID]] + leastWeight
+		return requestRates[node][models[l.Instance.ID]] + leastWeight
 	}
 	return counted
 }
@@ -231,11 +231,11 @@
 
 // byModel returns the requests per second for each model.
 func byModel(flows []demand.Flow) map[servedModel]float64 {
-	asked := make(map[servedModel]float64, len(flows))
+	requestRates := make(map[servedModel]float64, len(flows))
 	for _, f := range flows {
-		asked[servedModel{f.Service, f.Model}] = f.Requests
+		requestRates[servedModel{f.Service, f.Model}] = f.Requests
 	}
-	return asked
+	return requestRates
 }
 
 // sweepLimits removes rate limits that are no longer needed and updates the gauge of those in force.
--- a/transport/entry/serve.go
+++ b/transport/entry/serve.go
@@ -63,33 +63,33 @@
 
 // listen opens all listeners and starts their servers. The server for callers is the first.
 func (n *Node) listen() ([]*http.Server, error) {
-	inner := http.NewServeMux()
-	inner.Handle(wordProcedure, connect.NewUnaryHandler(wordProcedure, n.peers.answer, connect.WithCodec(peer.JSONCodec{})))
-	inner.Handle(reachProcedure, connect.NewUnaryHandler(reachProcedure, n.peers.reach, connect.WithCodec(peer.JSONCodec{})))
-	ready := http.NewServeMux()
-	ready.HandleFunc("/", n.serveReady)
-	measures := http.NewServeMux()
-	n.handleOperators(measures)
-	plan := []struct {
+	peerMux := http.NewServeMux()
+	peerMux.Handle(wordProcedure, connect.NewUnaryHandler(wordProcedure, n.peers.answer, connect.WithCodec(peer.JSONCodec{})))
+	peerMux.Handle(reachProcedure, connect.NewUnaryHandler(reachProcedure, n.peers.reach, connect.WithCodec(peer.JSONCodec{})))
+	readyMux := http.NewServeMux()
+	readyMux.HandleFunc("/", n.serveReady)
+	operatorMux := http.NewServeMux()
+	n.handleOperators(operatorMux)
+	endpoints := []struct {
 		at string
 		h  http.Handler
 	}{
 		{n.set.Callers.String(), n.gate},
-		{n.set.Ready.String(), ready},
-		{n.set.Peer.String(), inner},
-		{n.set.Metrics.String(), measures},
+		{n.set.Ready.String(), readyMux},
+		{n.set.Peer.String(), peerMux},
+		{n.set.Metrics.String(), operatorMux},
 	}
-	var list []*listener
-	for _, p := range plan {
+	var listeners []*listener
+	for _, p := range endpoints {
 		ln, err := net.Listen("tcp4", p.at)
 		if err != nil {
 			return nil, fmt.Errorf("entry: listen on %s: %w", p.at, err)
 		}
 		srv := &http.Server{Handler: p.h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ErrorLog: nil}
-		list = append(list, &listener{srv: srv, ln: ln})
+		listeners = append(listeners, &listener{srv: srv, ln: ln})
 	}
 	var servers []*http.Server
-	for _, l := range list {
+	for _, l := range listeners {
 		servers = append(servers, l.srv)
 		go func() {
 			if err := l.srv.Serve(l.ln); !errors.Is(err, http.ErrServerClosed) {
