--- a/transport/entry/backpressure.go
+++ b/transport/entry/backpressure.go
@@ -15,13 +15,13 @@
 // RecordNotice implements gateway.Backpressure. It records the notice in an instance's answer to a
 // request, probe or order sent at a time.
 func (n *Node) RecordNotice(in *fleet.Instance, notice fleet.Notice, request string, sent time.Time) {
-	n.toldLimit(in, notice.RateLimit, request, sent)
+	n.recordLimit(in, notice.RateLimit, request, sent)
 	if notice.Leaving {
-		n.leaving(in.Incarnation(), "")
+		n.recordLeaving(in.Incarnation(), "")
 	}
 	if notice.CooldownFault != nil {
 		n.Count("cooldown.unreadable")
-		if _, known := n.garbled.LoadOrStore(badCooldown(in.ID), true); !known {
+		if _, known := n.loggedOnce.LoadOrStore(unreadableCooldownKey(in.ID), true); !known {
 			n.log.WithError(notice.CooldownFault).WithField("instance", in.ID).Warn("cooldown not read")
 		}
 	}
@@ -47,8 +47,8 @@
 	}).Info("cooldown began")
 }
 
-// badCooldown is the key in Node.garbled for an instance whose cooldown cannot be read.
-type badCooldown state.InstanceID
+// unreadableCooldownKey is the key in Node.loggedOnce for an instance whose cooldown cannot be read.
+type unreadableCooldownKey state.InstanceID
 
 // CooldownUntil implements gateway.Backpressure.
 func (n *Node) CooldownUntil(in *fleet.Instance) (time.Time, bool) {
@@ -58,31 +58,31 @@
 // IsLeaving implements gateway.Backpressure.
 func (n *Node) IsLeaving(in *fleet.Instance) bool { return n.roster.IsLeaving(in.Incarnation()) }
 
-// leaving records that an incarnation of an instance announced its shutdown, to this node or to the
+// recordLeaving records that an incarnation of an instance announced its shutdown, to this node or to the
 // node reportedBy, and requests an immediate status report.
-func (n *Node) leaving(in fleet.Incarnation, reportedBy string) {
+func (n *Node) recordLeaving(in fleet.Incarnation, reportedBy string) {
 	if !n.roster.MarkLeaving(in) {
 		return
 	}
 	n.Count("leaving.learned")
 	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life, "told_by": reportedBy}).Info("instance leaving")
 	n.mu.Lock()
-	n.leavers[in] = n.clock.Now()
+	n.leavingSince[in] = n.clock.Now()
 	n.mu.Unlock()
-	n.touch()
-	n.placer.stir()
-	n.tellSoon()
+	n.requestRebuild()
+	n.placement.wakePlanner()
+	n.requestStatusReport()
 }
 
-// leavingTold returns the incarnations recorded as leaving within NodePolicy.LeavingFor, for the
+// recentlyLeaving returns the incarnations recorded as leaving within NodePolicy.LeavingTTL, for the
 // status report to the leader, and removes older ones.
-func (n *Node) leavingTold(now time.Time) []fleet.Incarnation {
+func (n *Node) recentlyLeaving(now time.Time) []fleet.Incarnation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var list []fleet.Incarnation
-	for in, at := range n.leavers {
-		if now.Sub(at) > n.policy.LeavingFor {
-			delete(n.leavers, in)
+	for in, at := range n.leavingSince {
+		if now.Sub(at) > n.policy.LeavingTTL {
+			delete(n.leavingSince, in)
 			continue
 		}
 		list = append(list, in)
@@ -109,8 +109,8 @@
 	metrics.GetOrRegisterGauge("cooldown.active", n.metrics).Update(int64(len(n.cooldowns.Active(now))))
 }
 
-// cooling is an instance that is cooling down in the response to an operator.
-type cooling struct {
+// cooldownState is an instance that is cooling down in the response to an operator.
+type cooldownState struct {
 	Instance state.InstanceID `json:"instance"`
 	SinceMS  int64            `json:"since_ms"`
 	LeftMS   int64            `json:"left_ms"`
@@ -119,9 +119,9 @@
 // serveCooldowns lists the instances that are cooling down.
 func (n *Node) serveCooldowns(w http.ResponseWriter, _ *http.Request) {
 	now := n.clock.Now()
-	list := []cooling{}
+	list := []cooldownState{}
 	for _, c := range n.cooldowns.Active(now) {
-		list = append(list, cooling{Instance: c.Instance.ID, SinceMS: now.Sub(c.Since).Milliseconds(), LeftMS: c.Until.Sub(now).Milliseconds()})
+		list = append(list, cooldownState{Instance: c.Instance.ID, SinceMS: now.Sub(c.Since).Milliseconds(), LeftMS: c.Until.Sub(now).Milliseconds()})
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(list); err != nil {
--- a/transport/entry/backpressure_test.go
+++ b/transport/entry/backpressure_test.go
@@ -27,13 +27,13 @@
 	asked  int
 }
 
-func (n *noticing) Report(context.Context, netip.AddrPort, state.InstanceID, Connection) (fleet.Report, error) {
+func (n *noticing) Report(context.Context, netip.AddrPort, state.InstanceID, ConnectionReuse) (fleet.Report, error) {
 	n.asked++
 	return fleet.Report{Notice: n.notice}, n.err
 }
 
-func (n *noticing) Order(context.Context, placement.Order, Connection) (OrderAnswer, error) {
-	return OrderAnswer{Notice: n.notice, Reply: placement.Refused}, n.err
+func (n *noticing) Order(context.Context, placement.Order, ConnectionReuse) (OrderResult, error) {
+	return OrderResult{Notice: n.notice, Reply: placement.Refused}, n.err
 }
 
 // observedNode is a node that knows one instance, with its clock and its log entries.
@@ -45,10 +45,10 @@
 }
 
 // observe returns a node that knows one instance, whose probes and orders targets answers.
-func observe(targets Targets) *observedNode {
+func observe(targets TargetClient) *observedNode {
 	clock, logs := clockwork.NewFakeClock(), memory.New()
-	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
-	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: logs, Level: log.InfoLevel})
+	set := &Settings{Name: "own", PeerAddress: testAddress(1), HeartbeatInterval: time.Second, Policy: DefaultPolicy()}
+	n := New(set, Ports{Decoder: anyConfiguration{}, Target: targets}, clock, &log.Logger{Handler: logs, Level: log.InfoLevel})
 	in := fleet.Instance{ID: "i", Born: time.UnixMilli(5000).UTC(), Service: "lm", Address: testAddress(9)}
 	n.roster.ApplyFreshEntry(in, clock.Now())
 	return &observedNode{n, in, clock, logs}
@@ -74,10 +74,10 @@
 		{"answer to a request", func(n *observedNode) {
 			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
 		}, nil},
-		{"answer to a probe", func(n *observedNode) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
-		{"answer to a probe that failed", func(n *observedNode) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrInvalidReport},
+		{"answer to a probe", func(n *observedNode) { n.probeAndRecord(context.Background(), n.in, n.clock.Now()) }, nil},
+		{"answer to a probe that failed", func(n *observedNode) { n.probeAndRecord(context.Background(), n.in, n.clock.Now()) }, placement.ErrInvalidReport},
 		{"answer to an order", func(n *observedNode) {
-			n.placer.order(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.BeginOrder("i"))
+			n.placement.sendOrder(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.BeginOrder("i"))
 		}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -119,13 +119,13 @@
 			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
 			for range 20 {
 				n.clock.Advance(100 * time.Millisecond)
-				n.report(context.Background(), n.in, n.clock.Now())
+				n.probeAndRecord(context.Background(), n.in, n.clock.Now())
 			}
 			g.Expect(targets.asked).To(Equal(2))
 			v, _ := n.roster.Get("i", n.clock.Now())
 			g.Expect(v.Unreachable).To(Equal(c.unreachable))
 			n.clock.Advance(time.Second)
-			n.report(context.Background(), n.in, n.clock.Now())
+			n.probeAndRecord(context.Background(), n.in, n.clock.Now())
 			g.Expect(targets.asked).To(Equal(3))
 		})
 	}
@@ -162,12 +162,12 @@
 	n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
 	n.clock.Advance(time.Second)
 	mux := http.NewServeMux()
-	n.handleOperators(mux)
+	n.registerOperatorHandlers(mux)
 	w := httptest.NewRecorder()
 	mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/cooldowns", nil))
-	var list []cooling
+	var list []cooldownState
 	g.Expect(json.Unmarshal(w.Body.Bytes(), &list)).To(Succeed())
-	g.Expect(list).To(Equal([]cooling{{Instance: "i", SinceMS: 1000, LeftMS: 2000}}))
+	g.Expect(list).To(Equal([]cooldownState{{Instance: "i", SinceMS: 1000, LeftMS: 2000}}))
 }
 
 // One node receives the notice of an instance that it leaves. The leader hands its group over, and no
@@ -187,8 +187,8 @@
 	b.roster.ApplyFreshEntry(newer, b.clock.Now())
 	exchangeReport(g, b, leader)
 	for _, n := range []*Node{leader, a, b} {
-		g.Expect(n.IsLeaving(&in)).To(BeTrue(), n.set.Name)
+		g.Expect(n.IsLeaving(&in)).To(BeTrue(), n.settings.Name)
 		v, _ := n.roster.Get("i", n.clock.Now())
-		g.Expect(v.Draining).To(BeTrue(), n.set.Name)
+		g.Expect(v.Draining).To(BeTrue(), n.settings.Name)
 	}
 }
--- a/transport/entry/beliefs.go
+++ b/transport/entry/beliefs.go
@@ -12,27 +12,27 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// beliefs is the state of dependencies and instances as the node last logged it.
-type beliefs struct {
+// loggedState is the state of dependencies and instances as the node last logged it.
+type loggedState struct {
 	store, keys, ready bool
-	instances          map[state.InstanceID]belief
+	instances          map[state.InstanceID]loggedInstance
 }
 
-// belief is the state of one instance as the node last logged it.
-type belief struct {
-	lost, draining, unlisted bool
-	membership               fleet.Membership
+// loggedInstance is the state of one instance as the node last logged it.
+type loggedInstance struct {
+	unreachable, draining, unlisted bool
+	membership                      fleet.Membership
 }
 
-// watchBeliefs logs each loss and recovery of a dependency, and each change in the observed state of
+// logStateChanges logs each loss and recovery of a dependency, and each change in the observed state of
 // instances, quarantined requests and cooldowns.
-func (n *Node) watchBeliefs(ctx context.Context) {
-	b := &beliefs{instances: map[state.InstanceID]belief{}}
+func (n *Node) logStateChanges(ctx context.Context) {
+	b := &loggedState{instances: map[state.InstanceID]loggedInstance{}}
 	quarantined := map[quarantine.Fingerprint]time.Time{}
 	for n.sleep(ctx, n.policy.LogInterval) {
 		n.logDependency("store", &b.store, n.storeAge() < n.policy.StoreLostAfter, n.storeAge())
-		age, _ := n.know.Age()
-		n.logDependency("fresh keys", &b.keys, n.know.KeysFresh(), age)
+		age, _ := n.configState.Age()
+		n.logDependency("fresh keys", &b.keys, n.configState.KeysFresh(), age)
 		n.logDependency("readiness", &b.ready, n.isReady(), 0)
 		n.logInstances(b, n.roster.All(n.clock.Now()))
 		n.logQuarantine(quarantined)
@@ -56,22 +56,22 @@
 }
 
 // logInstances logs the instances whose state changed and those that the roster has dropped.
-func (n *Node) logInstances(b *beliefs, views []roster.View) {
+func (n *Node) logInstances(b *loggedState, views []roster.View) {
 	seen := make(map[state.InstanceID]bool, len(views))
 	for i := range views {
 		v := &views[i]
 		seen[v.ID] = true
-		current := belief{lost: v.Unreachable, draining: v.Draining, unlisted: v.Unlisted, membership: v.Membership}
+		current := loggedInstance{unreachable: v.Unreachable, draining: v.Draining, unlisted: v.Unlisted, membership: v.Membership}
 		previous, known := b.instances[v.ID]
 		if known && previous == current {
 			continue
 		}
 		b.instances[v.ID] = current
-		if !known && current == (belief{}) {
+		if !known && current == (loggedInstance{}) {
 			continue
 		}
 		n.log.WithFields(log.Fields{
-			"instance": v.ID, "unlisted": v.Unlisted, "lost": current.lost, "draining": current.draining, "group": current.membership.Group, "epoch": current.membership.Epoch,
+			"instance": v.ID, "unlisted": v.Unlisted, "lost": current.unreachable, "draining": current.draining, "group": current.membership.Group, "epoch": current.membership.Epoch,
 			"rank": current.membership.Rank, "state": current.membership.State, "position": v.Position, "address": v.Address.String(),
 		}).Info("instance")
 	}
--- a/transport/entry/busyleader_test.go
+++ b/transport/entry/busyleader_test.go
@@ -32,14 +32,14 @@
 	delay time.Duration
 }
 
-func (p lateProbeTargets) Report(ctx context.Context, _ netip.AddrPort, _ state.InstanceID, _ Connection) (fleet.Report, error) {
+func (p lateProbeTargets) Report(ctx context.Context, _ netip.AddrPort, _ state.InstanceID, _ ConnectionReuse) (fleet.Report, error) {
 	<-ctx.Done()
 	p.clock.Advance(DefaultPolicy().Node.ProbeTimeout + p.delay)
 	return fleet.Report{}, ctx.Err()
 }
 
-func (lateProbeTargets) Order(context.Context, placement.Order, Connection) (OrderAnswer, error) {
-	return OrderAnswer{Reply: placement.Unanswered}, context.DeadlineExceeded
+func (lateProbeTargets) Order(context.Context, placement.Order, ConnectionReuse) (OrderResult, error) {
+	return OrderResult{Reply: placement.Unanswered}, context.DeadlineExceeded
 }
 
 func TestProbeTimeoutDetectedLateIsIgnored(t *testing.T) {
@@ -54,12 +54,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			clock := clockwork.NewFakeClock()
-			set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
-			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: lateProbeTargets{clock, c.delay}}, clock, &log.Logger{Handler: discard.New()})
+			set := &Settings{Name: "own", PeerAddress: testAddress(1), HeartbeatInterval: time.Second, Policy: DefaultPolicy()}
+			n := New(set, Ports{Decoder: anyConfiguration{}, Target: lateProbeTargets{clock, c.delay}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9)}
 			n.roster.ApplyFreshEntry(in, clock.Now())
 			for range set.Policy.Roster.LostFailures {
-				n.report(t.Context(), in, clock.Now())
+				n.probeAndRecord(t.Context(), in, clock.Now())
 			}
 			v, known := n.roster.Get(in.ID, clock.Now())
 			g.Expect(known).To(BeTrue())
@@ -72,7 +72,7 @@
 type engineConfiguration struct{ anyConfiguration }
 
 func (engineConfiguration) Catalog([]byte) (*catalog.Catalog, error) {
-	engine := &catalog.Engine{Slots: 8, Models: []catalog.Model{{Name: "m", Size: 2, Share: 1}}}
+	engine := &catalog.Engine{BatchSlots: 8, Models: []catalog.Model{{Name: "m", GroupSize: 2, ExpectedShare: 1}}}
 	return catalog.New(1, nil, []catalog.Service{{Name: "lm", Engine: engine}}, nil, catalog.Limits{}), nil
 }
 
@@ -85,11 +85,11 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.rebuild(ctx)
+		n.rebuildCandidates(ctx)
 	}()
 	for i := range 100 {
 		n.roster.ApplyFreshEntry(fleet.Instance{ID: "i", Position: int64(i), Membership: fleet.Membership{Group: "g", Epoch: state.Epoch(i + 1)}}, n.clock.Now())
-		n.touch()
+		n.requestRebuild()
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
@@ -101,21 +101,21 @@
 func TestBurstOfAnswersRunsOnePlanningStep(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestNode()
-	n.know = NewKnowledge(engineConfiguration{}, false, time.Second, n.clock)
-	g.Expect(n.know.Learn([]byte("x"))).Error().NotTo(HaveOccurred())
-	n.peers.setPlacing(true)
+	n.configState = NewConfigState(engineConfiguration{}, false, time.Second, n.clock)
+	g.Expect(n.configState.Apply([]byte("x"))).Error().NotTo(HaveOccurred())
+	n.peers.setLeader(true)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.placer.run(ctx)
+		n.placement.run(ctx)
 	}()
 	for range 200 {
-		n.placer.stir()
+		n.placement.wakePlanner()
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
 	<-done
 	// The fake clock is never advanced, so that no pause ends.
-	g.Expect(n.load.steps).To(BeNumerically("<=", 1))
+	g.Expect(n.leaderLoad.steps).To(BeNumerically("<=", 1))
 }
--- a/transport/entry/cooldown_test.go
+++ b/transport/entry/cooldown_test.go
@@ -198,7 +198,7 @@
 // startNamedNodes starts nodes that send their names to instances, and waits until all of them serve.
 func startNamedNodes(t *testing.T, s *store, count int) []*running {
 	return startServing(t, s, count, func(name string) entry.Ports {
-		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: nodeCodec{id: name}}
+		return entry.Ports{Decoder: crashDecoder{}, Target: dialTargets{}, HeaderCodec: nodeCodec{id: name}}
 	})
 }
 
@@ -210,11 +210,11 @@
 		name := fmt.Sprintf("n%d", i)
 		n := startWith(t, s, ports(name), name, seeds...)
 		nodes = append(nodes, n)
-		seeds = append(seeds, n.set.Peer)
+		seeds = append(seeds, n.set.PeerAddress)
 	}
 	for _, n := range nodes {
 		serves := func() int {
-			code, _ := post(http.DefaultClient, n.set.Callers, "ready", "sound")
+			code, _ := post(http.DefaultClient, n.set.CallerAddress, "ready", "sound")
 			return code
 		}
 		NewWithT(t).Eventually(serves, 10*time.Second).Should(Equal(http.StatusOK))
@@ -230,7 +230,7 @@
 	var callers sync.WaitGroup
 	end := time.Now().Add(d)
 	for n := 0; time.Now().Before(end); n++ {
-		at := nodes[rand.N(len(nodes))].set.Callers
+		at := nodes[rand.N(len(nodes))].set.CallerAddress
 		callers.Go(func() {
 			code, _ := post(client, at, fmt.Sprintf("r%d", n), "x")
 			mu.Lock()
--- a/transport/entry/endings.go
+++ b/transport/entry/endings.go
@@ -23,9 +23,9 @@
 // The proofs that a process has ended. A time-out is no proof, since a network partition causes
 // time-outs too.
 const (
-	proofRefused  endProof = "its address refuses connections"
-	proofReplaced endProof = "another process answers at its address"
-	proofReborn   endProof = "it has started again"
+	proofRefused   endProof = "its address refuses connections"
+	proofReplaced  endProof = "another process answers at its address"
+	proofRestarted endProof = "it has started again"
 )
 
 // RecordInterruption implements gateway.Quarantine.
@@ -42,43 +42,43 @@
 }
 
 // RecordConnectionRefused implements gateway.Quarantine.
-func (n *Node) RecordConnectionRefused(c *dispatch.Candidate) { go n.refused(c.Incarnation()) }
+func (n *Node) RecordConnectionRefused(c *dispatch.Candidate) { go n.onRefusal(c.Incarnation()) }
 
-// refused decides whether a refused connection proves that an instance ended, if requests were
+// onRefusal decides whether a refused connection proves that an instance ended, if requests were
 // interrupted on it. A network partition that resets connections to a hall looks like refusals by
 // instances that are alive. If the hall has other instances, a refusal is therefore a proof only if
 // one of them answers and the instance then still refuses connections.
-func (n *Node) refused(in fleet.Incarnation) {
+func (n *Node) onRefusal(in fleet.Incarnation) {
 	if !n.ledger.BeginInvestigation(in, n.clock.Now()) {
 		return
 	}
 	v, known := n.roster.Get(in.ID, n.clock.Now())
 	if !known {
-		n.ended(in, proofRefused)
+		n.recordEnding(in, proofRefused)
 		return
 	}
 	neighbors := n.neighbors(&v.Instance)
 	switch {
-	case len(neighbors) == 0, n.answered(neighbors) && n.refusesStill(v.Instance):
-		n.ended(in, proofRefused)
+	case len(neighbors) == 0, n.anyResponds(neighbors) && n.stillRefuses(v.Instance):
+		n.recordEnding(in, proofRefused)
 	default:
 		n.Count("quarantine.unproven")
 		n.log.WithField("instance", in.ID).Debug("refused connection is inconclusive")
 	}
 }
 
-// refusesStill probes an instance again and reports whether it refuses the connection.
-func (n *Node) refusesStill(m fleet.Instance) bool {
-	_, err := n.tryQuestion(m)
+// stillRefuses probes an instance again and reports whether it refuses the connection.
+func (n *Node) stillRefuses(m fleet.Instance) bool {
+	_, err := n.probeOnly(m)
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// answered probes the first instances of a list, at most mostNeighbors, and reports whether one answered.
-func (n *Node) answered(list []fleet.Instance) bool {
-	for _, m := range list[:min(len(list), mostNeighbors)] {
-		rep, err := n.tryQuestion(m)
+// anyResponds probes the first instances of a list, at most maxNeighborProbes, and reports whether one answered.
+func (n *Node) anyResponds(list []fleet.Instance) bool {
+	for _, m := range list[:min(len(list), maxNeighborProbes)] {
+		rep, err := n.probeOnly(m)
 		if err == nil {
-			n.reported(m, rep)
+			n.recordReport(m, rep)
 			return true
 		}
 		if errors.Is(err, placement.ErrInvalidReport) || errors.Is(err, placement.ErrAddressReused) {
@@ -88,15 +88,15 @@
 	return false
 }
 
-// tryQuestion sends one probe to an instance and records nothing about the result.
-func (n *Node) tryQuestion(m fleet.Instance) (fleet.Report, error) {
+// probeOnly sends one probe to an instance and records nothing about the result.
+func (n *Node) probeOnly(m fleet.Instance) (fleet.Report, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), n.policy.ProbeTimeout)
 	defer cancel()
-	return n.question(ctx, m, n.clock.Now())
+	return n.probe(ctx, m, n.clock.Now())
 }
 
-// mostNeighbors is the maximum number of instances to probe to find out whether their hall is reachable.
-const mostNeighbors = 2
+// maxNeighborProbes is the maximum number of instances to probe to find out whether their hall is reachable.
+const maxNeighborProbes = 2
 
 // neighbors returns the other instances in an instance's hall in random order, except that those
 // whose last call succeeded come first, and then those of other domains, since a domain may fail as a
@@ -123,54 +123,54 @@
 	return list
 }
 
-// ended records that an instance has ended. If it had requests in flight, it requests an immediate
+// recordEnding records that an instance has ended. If it had requests in flight, it requests an immediate
 // status report about them.
-func (n *Node) ended(in fleet.Incarnation, proof endProof) {
+func (n *Node) recordEnding(in fleet.Incarnation, proof endProof) {
 	requests := n.ledger.RecordEnding(in, n.clock.Now())
 	if len(requests) == 0 {
 		return
 	}
 	n.Count("quarantine.endings")
 	n.log.WithFields(log.Fields{"instance": in.ID, "proof": proof, "requests": requests}).Info("instance ended under requests")
-	n.tellSoon()
+	n.requestStatusReport()
 }
 
-// alive records that an instance answered a probe sent at a time.
-func (n *Node) alive(in fleet.Incarnation, probedAt time.Time) {
+// recordProbeResponse records that an instance answered a probe sent at a time.
+func (n *Node) recordProbeResponse(in fleet.Incarnation, probedAt time.Time) {
 	if !n.ledger.RecordProbeResponse(in, probedAt) {
 		return
 	}
 	n.Count("quarantine.back")
 	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life}).Info("ended instance responds again")
-	n.tellSoon()
+	n.requestStatusReport()
 }
 
-// judgeReport decides from the result of a probe whether the instance has ended since requests were
+// evaluateProbe decides from the result of a probe whether the instance has ended since requests were
 // interrupted on it.
-func (n *Node) judgeReport(in fleet.Incarnation, probedAt time.Time, rep fleet.Report, err error) {
+func (n *Node) evaluateProbe(in fleet.Incarnation, probedAt time.Time, rep fleet.Report, err error) {
 	switch {
 	case errors.Is(err, placement.ErrAddressReused):
-		n.ended(in, proofReplaced)
+		n.recordEnding(in, proofReplaced)
 	case errors.Is(err, syscall.ECONNREFUSED):
-		n.refused(in)
-	case err == nil && !rep.Born.IsZero() && in.Life != "" && fleet.LifeSince(in.ID, rep.Born) != in:
-		n.ended(in, proofReborn)
+		n.onRefusal(in)
+	case err == nil && !rep.Born.IsZero() && in.Life != "" && fleet.NewIncarnation(in.ID, rep.Born) != in:
+		n.recordEnding(in, proofRestarted)
 	case err == nil:
 		// An invalid report is excluded: it may come from another process at the address.
-		n.alive(in, probedAt)
+		n.recordProbeResponse(in, probedAt)
 	}
 }
 
-// askDoubted probes the instances on which requests were interrupted and whose probe is due.
-func (n *Node) askDoubted() {
+// probeInterrupted probes the instances on which requests were interrupted and whose probe is due.
+func (n *Node) probeInterrupted() {
 	for _, in := range n.ledger.NextProbes(n.clock.Now()) {
 		v, known := n.roster.Get(in.ID, n.clock.Now())
 		switch {
 		case !known:
 		case in.Life != "" && v.Incarnation() != in:
-			n.ended(in, proofReborn)
+			n.recordEnding(in, proofRestarted)
 		default:
-			go n.report(context.Background(), v.Instance, n.clock.Now())
+			go n.probeAndRecord(context.Background(), v.Instance, n.clock.Now())
 		}
 	}
 }
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -100,33 +100,33 @@
 	return v.disconnected
 }
 
-func (v *view) Newest(ctx context.Context, topic source.Topic) (source.Tail, error) {
+func (v *view) Newest(ctx context.Context, topic source.Topic) (source.ReadResult, error) {
 	return v.Read(ctx, topic, 0, 0)
 }
 
-func (v *view) Read(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.Tail, error) {
+func (v *view) Read(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.ReadResult, error) {
 	v.count(topic)
 	timeout := time.After(wait)
 	for {
 		if v.isDisconnected() {
-			return source.Tail{}, source.ErrUnavailable
+			return source.ReadResult{}, source.ErrUnavailable
 		}
 		v.store.mu.Lock()
 		era, all := v.era, v.topics[topic]
 		if from > int64(len(all)) {
 			v.store.mu.Unlock()
-			return source.Tail{}, source.ErrTrimmed
+			return source.ReadResult{}, source.ErrTrimmed
 		}
 		items := append([]source.Item(nil), all[from:]...)
 		v.store.mu.Unlock()
 		if len(items) > 0 || wait == 0 {
-			return source.Tail{Era: era, Items: items, End: from + int64(len(items)), Whole: true}, nil
+			return source.ReadResult{Era: era, Items: items, NextOffset: from + int64(len(items)), AtEnd: true}, nil
 		}
 		select {
 		case <-ctx.Done():
-			return source.Tail{}, source.ErrUnavailable
+			return source.ReadResult{}, source.ErrUnavailable
 		case <-timeout:
-			return source.Tail{Era: era, End: from, Whole: true}, nil
+			return source.ReadResult{Era: era, NextOffset: from, AtEnd: true}, nil
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
@@ -149,14 +149,14 @@
 	return v.reads[topic]
 }
 
-func (v *view) Append(_ context.Context, topic source.Topic, key string, value []byte) (source.Place, error) {
+func (v *view) Append(_ context.Context, topic source.Topic, key string, value []byte) (source.RecordPosition, error) {
 	if v.isDisconnected() {
-		return source.Place{}, source.ErrUnavailable
+		return source.RecordPosition{}, source.ErrUnavailable
 	}
 	offset := v.add(topic, key, json.RawMessage(value))
 	v.store.mu.Lock()
 	defer v.store.mu.Unlock()
-	return source.Place{Era: v.era, Offset: offset}, nil
+	return source.RecordPosition{Era: v.era, Offset: offset}, nil
 }
 
 // decoder decodes the records of store. A configuration record consists of its version only.
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, errors.New("unreadable")
 	}
-	route := catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Safe, MaxAttempts: 1, Shares: []catalog.Share{{Service: "plain", Weight: 1}}}
+	route := catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Safe, MaxAttempts: 1, Shares: []catalog.WeightedService{{Service: "plain", Weight: 1}}}
 	return catalog.New(version, []catalog.Route{route}, []catalog.Service{{Name: "plain"}}, map[string]*catalog.Team{"k": {Name: "t"}}, catalog.Limits{}), nil
 }
 
@@ -179,12 +179,12 @@
 // targets fails every probe and every order: the tests run no engines.
 type targets struct{}
 
-func (targets) Report(context.Context, netip.AddrPort, state.InstanceID, entry.Connection) (fleet.Report, error) {
+func (targets) Report(context.Context, netip.AddrPort, state.InstanceID, entry.ConnectionReuse) (fleet.Report, error) {
 	return fleet.Report{}, errors.New("no engine")
 }
 
-func (targets) Order(context.Context, placement.Order, entry.Connection) (entry.OrderAnswer, error) {
-	return entry.OrderAnswer{Reply: placement.Unanswered}, errors.New("no engine")
+func (targets) Order(context.Context, placement.Order, entry.ConnectionReuse) (entry.OrderResult, error) {
+	return entry.OrderResult{Reply: placement.Unanswered}, errors.New("no engine")
 }
 
 // codec is the header codec of the tests.
@@ -216,7 +216,7 @@
 
 // start runs a node on loopback addresses.
 func start(t *testing.T, s *store, name string, seeds ...netip.AddrPort) *running {
-	return startWith(t, s, entry.Ports{Decoder: decoder{}, Targets: targets{}, Dialect: codec{}}, name, seeds...)
+	return startWith(t, s, entry.Ports{Decoder: decoder{}, Target: targets{}, HeaderCodec: codec{}}, name, seeds...)
 }
 
 // startWith runs a node on loopback addresses with the given ports. It sets the Store port to a
@@ -229,9 +229,9 @@
 func startTuned(t *testing.T, s *store, ports entry.Ports, name string, tune func(*entry.Settings), seeds ...netip.AddrPort) *running {
 	set := &entry.Settings{
 		Policy: entry.DefaultPolicy(),
-		Name:   name, Hall: "hall", Callers: freeAddress(t), Ready: freeAddress(t), Peer: freeAddress(t), Metrics: freeAddress(t), Seeds: seeds,
-		BeatInterval: time.Second, StopWithin: time.Second, LeaveWithin: 2 * time.Second, StallTime: 4 * time.Second,
-		StrictKeys: true, KeysWithin: 3 * time.Second, Retry: retry.SharedBudgetConfig{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
+		Name:   name, Hall: "hall", CallerAddress: freeAddress(t), ReadyAddress: freeAddress(t), PeerAddress: freeAddress(t), MetricsAddress: freeAddress(t), Seeds: seeds,
+		HeartbeatInterval: time.Second, StopTimeout: time.Second, LeaveTimeout: 2 * time.Second, StallTimeout: 4 * time.Second,
+		StrictKeys: true, MaxKeyAge: 3 * time.Second, Retry: retry.SharedBudgetConfig{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
 	}
 	tune(set)
 	r := &running{set: set, view: &view{store: s}, done: make(chan error, 1)}
@@ -284,12 +284,12 @@
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	n := start(t, s, "a")
-	g.Eventually(func() int { return status(n.set.Ready, "") }, 10*time.Second).Should(Equal(http.StatusServiceUnavailable))
-	g.Expect(status(n.set.Callers, "k")).To(Equal(http.StatusServiceUnavailable))
+	g.Eventually(func() int { return status(n.set.ReadyAddress, "") }, 10*time.Second).Should(Equal(http.StatusServiceUnavailable))
+	g.Expect(status(n.set.CallerAddress, "k")).To(Equal(http.StatusServiceUnavailable))
 	s.add(source.Configuration, "config", 1)
-	g.Eventually(func() int { return status(n.set.Ready, "") }, 10*time.Second).Should(Equal(http.StatusOK))
-	g.Expect(status(n.set.Callers, "other")).To(Equal(http.StatusUnauthorized))
-	g.Expect(status(n.set.Metrics, "")).NotTo(BeZero())
+	g.Eventually(func() int { return status(n.set.ReadyAddress, "") }, 10*time.Second).Should(Equal(http.StatusOK))
+	g.Expect(status(n.set.CallerAddress, "other")).To(Equal(http.StatusUnauthorized))
+	g.Expect(status(n.set.MetricsAddress, "")).NotTo(BeZero())
 }
 
 func TestNodeWithoutStoreServesConfigurationOfPeer(t *testing.T) {
@@ -297,14 +297,14 @@
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
 	a := start(t, s, "a")
-	b := start(t, s, "b", a.set.Peer)
+	b := start(t, s, "b", a.set.PeerAddress)
 	for _, n := range []*running{a, b} {
-		g.Eventually(func() int { return status(n.set.Callers, "other") }, 10*time.Second).Should(Equal(http.StatusUnauthorized))
+		g.Eventually(func() int { return status(n.set.CallerAddress, "other") }, 10*time.Second).Should(Equal(http.StatusUnauthorized))
 	}
 	for _, disconnected := range []*running{a, b} {
 		disconnected.view.setCut(true)
-		// Well beyond KeysWithin the node still accepts the keys: its peer confirms them.
-		g.Consistently(func() int { return status(disconnected.set.Callers, "other") }, 4*time.Second, 50*time.Millisecond).
+		// Well beyond MaxKeyAge the node still accepts the keys: its peer confirms them.
+		g.Consistently(func() int { return status(disconnected.set.CallerAddress, "other") }, 4*time.Second, 50*time.Millisecond).
 			Should(Equal(http.StatusUnauthorized))
 		disconnected.view.setCut(false)
 		time.Sleep(100 * time.Millisecond)
@@ -316,11 +316,11 @@
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
 	n := start(t, s, "a")
-	g.Eventually(func() int { return status(n.set.Callers, "other") }, 10*time.Second).Should(Equal(http.StatusUnauthorized))
+	g.Eventually(func() int { return status(n.set.CallerAddress, "other") }, 10*time.Second).Should(Equal(http.StatusUnauthorized))
 	n.view.setCut(true)
-	g.Eventually(func() int { return status(n.set.Callers, "other") }, 10*time.Second).Should(Equal(http.StatusServiceUnavailable))
+	g.Eventually(func() int { return status(n.set.CallerAddress, "other") }, 10*time.Second).Should(Equal(http.StatusServiceUnavailable))
 	n.view.setCut(false)
-	g.Eventually(func() int { return status(n.set.Callers, "other") }, 10*time.Second).Should(Equal(http.StatusUnauthorized))
+	g.Eventually(func() int { return status(n.set.CallerAddress, "other") }, 10*time.Second).Should(Equal(http.StatusUnauthorized))
 }
 
 func TestStoppingNodeIsNotReadyAndEnds(t *testing.T) {
@@ -328,16 +328,16 @@
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
 	n := start(t, s, "a")
-	g.Eventually(func() int { return status(n.set.Ready, "") }, 10*time.Second).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return status(n.set.ReadyAddress, "") }, 10*time.Second).Should(Equal(http.StatusOK))
 	n.stop()
-	g.Eventually(func() int { return status(n.set.Ready, "") }, 10*time.Second).ShouldNot(Equal(http.StatusOK))
+	g.Eventually(func() int { return status(n.set.ReadyAddress, "") }, 10*time.Second).ShouldNot(Equal(http.StatusOK))
 	g.Eventually(n.done, 10*time.Second).Should(Receive(BeNil()))
 	n.done <- nil
 }
 
-func TestKnowledgeKeepsNewestConfiguration(t *testing.T) {
+func TestConfigStateKeepsNewestConfiguration(t *testing.T) {
 	g := NewWithT(t)
-	k := entry.NewKnowledge(decoder{}, true, 5*time.Second, clockwork.NewFakeClock())
+	k := entry.NewConfigState(decoder{}, true, 5*time.Second, clockwork.NewFakeClock())
 	for _, c := range []struct {
 		raw     string
 		newer   bool
@@ -346,30 +346,30 @@
 	}{
 		{"3", true, false, 3}, {"2", false, false, 3}, {"x", false, true, 3}, {"3", false, false, 3}, {"7", true, false, 7},
 	} {
-		newer, err := k.Learn([]byte(c.raw))
+		newer, err := k.Apply([]byte(c.raw))
 		g.Expect(newer).To(Equal(c.newer), c.raw)
 		g.Expect(err != nil).To(Equal(c.fails), c.raw)
-		_, version := k.Raw()
+		_, version := k.Encoded()
 		g.Expect(version).To(Equal(c.version), c.raw)
 	}
 }
 
-func TestKnowledgeAgeCountsFromStartOfRead(t *testing.T) {
+func TestConfigStateAgeCountsFromStartOfRead(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
-	k := entry.NewKnowledge(decoder{}, true, 5*time.Second, clock)
+	k := entry.NewConfigState(decoder{}, true, 5*time.Second, clock)
 	g.Expect(k.KeysFresh()).To(BeFalse())
 	requested := clock.Now()
 	clock.Advance(3 * time.Second) // the response is delayed
-	k.Confirm(requested)
+	k.RecordConfirmation(requested)
 	g.Expect(k.KeysFresh()).To(BeTrue())
 	clock.Advance(1500 * time.Millisecond)
 	g.Expect(k.KeysFresh()).To(BeTrue())
 	clock.Advance(200 * time.Millisecond)
 	g.Expect(k.KeysFresh()).To(BeFalse())
-	k.Confirm(requested.Add(-time.Second)) // an older confirmation has no effect
+	k.RecordConfirmation(requested.Add(-time.Second)) // an older confirmation has no effect
 	g.Expect(k.KeysFresh()).To(BeFalse())
-	k.SetBound(false, 0)
+	k.SetMaxKeyAge(false, 0)
 	g.Expect(k.KeysFresh()).To(BeTrue())
 }
 
@@ -423,16 +423,16 @@
 			n := start(t, s, "a")
 			list, received := startPlainInstance(t, s, "i1", answerOK)
 			list(unchanged)
-			g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
+			g.Eventually(func() int { return status(n.set.CallerAddress, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
 			c.leave(s, list)
-			g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusServiceUnavailable))
+			g.Eventually(func() int { return status(n.set.CallerAddress, "k") }, 10*time.Second).Should(Equal(http.StatusServiceUnavailable))
 			before := received()
 			for range 20 {
-				g.Expect(status(n.set.Callers, "k")).To(Equal(http.StatusServiceUnavailable))
+				g.Expect(status(n.set.CallerAddress, "k")).To(Equal(http.StatusServiceUnavailable))
 			}
 			g.Expect(received()).To(Equal(before))
 			list(unchanged) // the instance returns
-			g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
+			g.Eventually(func() int { return status(n.set.CallerAddress, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
 		})
 	}
 }
@@ -444,20 +444,20 @@
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
 	a := start(t, s, "a")
-	b := start(t, s, "b", a.set.Peer)
+	b := start(t, s, "b", a.set.PeerAddress)
 	list1, received1 := startPlainInstance(t, s, "i1", answerOK)
 	list2, received2 := startPlainInstance(t, s, "i2", answerOK)
 	list1(unchanged)
 	list2(unchanged)
 	for _, n := range []*running{a, b} {
-		g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
+		g.Eventually(func() int { return status(n.set.CallerAddress, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
 	}
 	serves := func(received func() int) func() bool {
 		return func() bool {
 			before := received()
 			for _, n := range []*running{a, b} {
 				for range 8 {
-					g.Expect(status(n.set.Callers, "k")).To(BeElementOf(http.StatusOK, http.StatusServiceUnavailable))
+					g.Expect(status(n.set.CallerAddress, "k")).To(BeElementOf(http.StatusOK, http.StatusServiceUnavailable))
 				}
 			}
 			return received() > before
@@ -498,7 +498,7 @@
 	got := make(chan int, 1)
 	go func() {
 		for {
-			if code := status(n.set.Callers, "k"); code != http.StatusServiceUnavailable && code != 0 {
+			if code := status(n.set.CallerAddress, "k"); code != http.StatusServiceUnavailable && code != 0 {
 				got <- code
 				return
 			}
@@ -506,7 +506,7 @@
 	}()
 	g.Eventually(started, 10*time.Second).Should(BeClosed())
 	n.stop()
-	g.Eventually(func() int { return status(n.set.Ready, "") }, 10*time.Second).ShouldNot(Equal(http.StatusOK))
+	g.Eventually(func() int { return status(n.set.ReadyAddress, "") }, 10*time.Second).ShouldNot(Equal(http.StatusOK))
 	close(finish)
 	g.Eventually(got, 10*time.Second).Should(Receive(Equal(http.StatusOK)))
 	g.Eventually(n.done, 10*time.Second).Should(Receive(BeNil()))
@@ -521,7 +521,7 @@
 	list(unchanged)
 	for _, name := range []string{"a", "b"} {
 		n := start(t, s, name)
-		g.Eventually(func() int { return status(n.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
+		g.Eventually(func() int { return status(n.set.CallerAddress, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
 		n.stop()
 		g.Eventually(n.done, 10*time.Second).Should(Receive(BeNil()))
 		n.done <- nil
@@ -551,7 +551,7 @@
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
 	a := start(t, s, "a")
-	b := start(t, s, "b", a.set.Peer)
+	b := start(t, s, "b", a.set.PeerAddress)
 	reads := func(n *running) func() int { return func() int { return n.view.readCount(source.Instances) } }
 	var leader, follower *running
 	g.Eventually(func() bool {
@@ -565,7 +565,7 @@
 	}, 20*time.Second).Should(BeTrue())
 	list, _ := startPlainInstance(t, s, "i2", answerOK)
 	list(unchanged)
-	g.Eventually(func() int { return status(follower.set.Callers, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return status(follower.set.CallerAddress, "k") }, 10*time.Second).Should(Equal(http.StatusOK))
 	leader.stop()
 	before := reads(follower)()
 	g.Eventually(reads(follower), 10*time.Second).Should(BeNumerically(">", before))
--- a/transport/entry/era.go
+++ b/transport/entry/era.go
@@ -11,87 +11,87 @@
 	"github.com/troutmast/troutmast/coordination/source"
 )
 
-// eras tracks the newest era of the store that a node knows of. The store may be restored from a
+// eraTracker tracks the newest era of the store that a node knows of. The store may be restored from a
 // backup some seconds old. Records written after the backup are lost, and their writers write
 // them again.
-type eras struct {
-	mu    sync.Mutex
-	known bool
-	era   int64
-	// settled is the time from which on the lost records of the others count as written again.
-	settled time.Time
+type eraTracker struct {
+	mu      sync.Mutex
+	isKnown bool
+	era     int64
+	// settledAt is the time from which on the lost records of the others count as written again.
+	settledAt time.Time
 }
 
-// observe records the era that an answer names. It returns the era known before, and reports
+// record records the era that an answer names. It returns the era known before, and reports
 // whether the answer shows a restoration: a later era than one already known. The first answer
 // never does.
-func (e *eras) observe(era int64, now time.Time, settle time.Duration) (previous int64, restored bool) {
+func (e *eraTracker) record(era int64, now time.Time, settle time.Duration) (previous int64, restored bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	previous = e.era
-	restored = e.known && era > e.era
+	restored = e.isKnown && era > e.era
 	if restored {
-		e.settled = now.Add(settle)
+		e.settledAt = now.Add(settle)
 	}
-	if !e.known || restored {
-		e.known, e.era = true, era
+	if !e.isKnown || restored {
+		e.isKnown, e.era = true, era
 	}
 	return previous, restored
 }
 
 // current returns the newest era that the node knows of.
-func (e *eras) current() int64 {
+func (e *eraTracker) current() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.era
 }
 
-// confirms reports whether the answer to a read that began at startedAt is current. Right after a
+// isCurrent reports whether the answer to a read that began at startedAt is current. Right after a
 // restoration, the backup still contains keys that were revoked and instances that were
 // dropped after it was made.
-func (e *eras) confirms(startedAt time.Time) bool {
+func (e *eraTracker) isCurrent(startedAt time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !startedAt.Before(e.settled)
+	return !startedAt.Before(e.settledAt)
 }
 
-// unsettled returns for how long answers do not count as current yet, or 0.
-func (e *eras) unsettled(now time.Time) time.Duration {
+// settlingTime returns for how long answers do not count as current yet, or 0.
+func (e *eraTracker) settlingTime(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.settled.Sub(now), 0)
+	return max(e.settledAt.Sub(now), 0)
 }
 
-// observeEra records the era of the store that the store itself or another node named in an
+// recordEra records the era of the store that the store itself or another node named in an
 // answer. After a restoration, the node writes its entry again, reads the list and reports to
 // the leader.
-func (n *Node) observeEra(era int64, from string) {
-	previous, restored := n.eras.observe(era, n.clock.Now(), n.policy.RestoreSettle)
+func (n *Node) recordEra(era int64, from string) {
+	previous, restored := n.eras.record(era, n.clock.Now(), n.policy.RestoreSettle)
 	if !restored {
 		return
 	}
 	n.Count("store.restored")
 	n.log.WithFields(log.Fields{"before": previous, "now": era, "from": from}).Warn("store came back from an older copy")
 	select {
-	case n.writeAgain <- struct{}{}:
+	case n.rewriteRequested <- struct{}{}:
 	default:
 	}
-	n.readListNow()
-	n.tellSoon()
+	n.requestListRead()
+	n.requestStatusReport()
 }
 
-// follow reads the records of a topic after the cursor. It reads the newest record of each key
+// readNew reads the records of a topic after the cursor. It reads the newest record of each key
 // instead if nothing was read yet, if the records are gone, or if the store was restored.
-func (n *Node) follow(ctx context.Context, topic source.Topic, c *source.Cursor, wait time.Duration) (source.Tail, source.Reading, error) {
-	from := c.From(n.clock.Now())
+func (n *Node) readNew(ctx context.Context, topic source.Topic, c *source.Cursor, wait time.Duration) (source.ReadResult, source.ReadKind, error) {
+	from := c.NextOffset(n.clock.Now())
 	tail, err := n.readTail(ctx, topic, from, wait)
 	if err != nil {
-		return tail, source.Stale, err
+		return tail, source.ReadStale, err
 	}
-	reading := c.Take(from, tail, n.clock.Now())
-	if reading == source.Stale {
+	reading := c.Record(from, tail, n.clock.Now())
+	if reading == source.ReadStale {
 		n.Count("store.stale-answers")
-		tail.Whole, tail.Items = false, nil
+		tail.AtEnd, tail.Items = false, nil
 		n.sleep(ctx, staleRetry)
 	}
 	return tail, reading, nil
@@ -101,19 +101,19 @@
 // busy loop while such answers persist. It is five times the latency to a store.
 const staleRetry = 20 * time.Millisecond
 
-// rewrite writes the node's entry again after each restoration of the store, since the backup may
+// rewriteEntries writes the node's entry again after each restoration of the store, since the backup may
 // lack it. A random delay spreads the writes of the nodes, which all notice a restoration at once.
-func (n *Node) rewrite(ctx context.Context) {
+func (n *Node) rewriteEntries(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.writeAgain:
+		case <-n.rewriteRequested:
 		}
 		if !n.sleep(ctx, rand.N(n.policy.RewriteSpread+1)) {
 			return
 		}
-		if _, ok := n.writeEntry(ctx); ok {
+		if _, ok := n.writeNodeEntry(ctx); ok {
 			n.Count("store.rewritten")
 		}
 	}
--- a/transport/entry/era_test.go
+++ b/transport/entry/era_test.go
@@ -19,18 +19,18 @@
 	writes int
 }
 
-func (s *eraStore) Newest(context.Context, source.Topic) (source.Tail, error) {
-	return source.Tail{Era: s.era, End: s.next}, nil
+func (s *eraStore) Newest(context.Context, source.Topic) (source.ReadResult, error) {
+	return source.ReadResult{Era: s.era, NextOffset: s.next}, nil
 }
 
-func (s *eraStore) Read(_ context.Context, _ source.Topic, from int64, _ time.Duration) (source.Tail, error) {
-	return source.Tail{Era: s.era, End: from, Whole: true}, nil
+func (s *eraStore) Read(_ context.Context, _ source.Topic, from int64, _ time.Duration) (source.ReadResult, error) {
+	return source.ReadResult{Era: s.era, NextOffset: from, AtEnd: true}, nil
 }
 
-func (s *eraStore) Append(context.Context, source.Topic, string, []byte) (source.Place, error) {
+func (s *eraStore) Append(context.Context, source.Topic, string, []byte) (source.RecordPosition, error) {
 	s.writes++
 	s.next++
-	return source.Place{Era: s.era, Offset: s.next - 1}, nil
+	return source.RecordPosition{Era: s.era, Offset: s.next - 1}, nil
 }
 
 // The number of a node is the era and the offset of its entry: after a restoration the store
@@ -43,8 +43,8 @@
 	before.register(t.Context())
 	store.era, store.next = 2, 12
 	after.register(t.Context())
-	g.Expect(after.number.Load()).NotTo(Equal(before.number.Load()))
-	g.Expect(before.placer.nextEpoch(0)).NotTo(Equal(after.placer.nextEpoch(0)))
+	g.Expect(after.incarnationNumber.Load()).NotTo(Equal(before.incarnationNumber.Load()))
+	g.Expect(before.placement.nextEpoch(0)).NotTo(Equal(after.placement.nextEpoch(0)))
 }
 
 // A read from a backup does not confirm keys: the backup may still hold a revoked key.
@@ -55,9 +55,9 @@
 	n.ports.Store = store
 	cursor := n.newCursor()
 	confirmed := func() bool {
-		tail, reading, err := n.follow(t.Context(), source.Configuration, cursor, 0)
+		tail, reading, err := n.readNew(t.Context(), source.Configuration, cursor, 0)
 		g.Expect(err).NotTo(HaveOccurred())
-		return tail.Whole && reading != source.Restored && n.eras.confirms(n.clock.Now())
+		return tail.AtEnd && reading != source.ReadRestored && n.eras.isCurrent(n.clock.Now())
 	}
 	confirmed()
 	g.Expect(confirmed()).To(BeTrue())
@@ -81,20 +81,20 @@
 	g := NewWithT(t)
 	leader, other := numbered(g, "leader", 1), numbered(g, "other", 2)
 	for _, n := range []*Node{leader, other} {
-		n.observeEra(1, "store")
+		n.recordEra(1, "store")
 	}
-	leader.observeEra(2, "store")
-	g.Expect(other.eras.confirms(other.clock.Now())).To(BeTrue())
-	resp, err := leader.peers.answer(context.Background(), connect.NewRequest(other.peers.word()))
+	leader.recordEra(2, "store")
+	g.Expect(other.eras.isCurrent(other.clock.Now())).To(BeTrue())
+	resp, err := leader.peers.handleStatusReport(context.Background(), connect.NewRequest(other.peers.statusReport()))
 	g.Expect(err).NotTo(HaveOccurred())
-	other.observeEra(resp.Msg.Era, "leader")
-	g.Expect(other.eras.confirms(other.clock.Now())).To(BeFalse())
-	g.Expect(other.writeAgain).To(HaveLen(1))
+	other.recordEra(resp.Msg.Era, "leader")
+	g.Expect(other.eras.isCurrent(other.clock.Now())).To(BeFalse())
+	g.Expect(other.rewriteRequested).To(HaveLen(1))
 
 	// A status report with an earlier era changes nothing.
 	third := numbered(g, "third", 3)
-	third.observeEra(1, "store")
-	_, err = leader.peers.answer(context.Background(), connect.NewRequest(third.peers.word()))
+	third.recordEra(1, "store")
+	_, err = leader.peers.handleStatusReport(context.Background(), connect.NewRequest(third.peers.statusReport()))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(leader.eras.current()).To(BeEquivalentTo(2))
 }
--- a/transport/entry/exchange.go
+++ b/transport/entry/exchange.go
@@ -28,99 +28,99 @@
 	AgeMS    int64            `json:"a"`
 }
 
-// Word is the status report that a node sends to the leader.
-type Word struct {
+// StatusReport is what a node reports to the leader.
+type StatusReport struct {
 	From NodeEntry `json:"from"`
 	// Protocol is the newest protocol version that the node implements.
 	Protocol int `json:"protocol,omitempty"`
-	// Held is the number of the node's requests in progress at each instance.
-	Held map[state.InstanceID]int `json:"held,omitempty"`
-	// Arrived reports whether the node has received requests since its start. Demand is the
+	// InProgress is the number of the node's requests in progress at each instance.
+	InProgress map[state.InstanceID]int `json:"held,omitempty"`
+	// HasRequests reports whether the node has received requests since its start. Demand is the
 	// recent demand of its callers.
-	Arrived bool          `json:"arrived,omitempty"`
-	Demand  []demand.Flow `json:"demand,omitempty"`
+	HasRequests bool          `json:"arrived,omitempty"`
+	Demand      []demand.Flow `json:"demand,omitempty"`
 	// Suspects are instances that recently did not answer the node.
 	Suspects []Suspicion `json:"suspects,omitempty"`
 	// Leaving are the incarnations of instances that recently announced that they will end soon.
 	Leaving []fleet.Incarnation `json:"leaving,omitempty"`
-	// Version is that of the configuration in force at the node, AgeMS the time since it was last
+	// ConfigVersion is that of the configuration in force at the node, ConfigAgeMS the time since it was last
 	// confirmed to be current. Config is the configuration itself if it is newer than the leader's.
-	Version int64  `json:"version"`
-	AgeMS   int64  `json:"age"`
-	Config  []byte `json:"config,omitempty"`
+	ConfigVersion int64  `json:"version"`
+	ConfigAgeMS   int64  `json:"age"`
+	Config        []byte `json:"config,omitempty"`
 	// Era is the newest era of the store that the node knows of.
 	Era int64 `json:"era,omitempty"`
-	// Feed and After identify the instance changes that the node has: those of the node
-	// numbered Feed, up to its roster version After.
-	Feed  int64  `json:"feed,omitempty"`
-	After uint64 `json:"after,omitempty"`
-	// StoreMS is the time since the node began its last successful read of the store.
-	StoreMS int64 `json:"store"`
-	// Nodes is the number of nodes that the node knows, including itself.
-	Nodes int `json:"nodes"`
-	// Late reports whether the node is overloaded: its own timers fire late.
-	Late bool `json:"late,omitempty"`
+	// Feed and FeedVersion identify the instance changes that the node has: those of the node
+	// numbered Feed, up to its roster version FeedVersion.
+	Feed        int64  `json:"feed,omitempty"`
+	FeedVersion uint64 `json:"after,omitempty"`
+	// StoreAgeMS is the time since the node began its last successful read of the store.
+	StoreAgeMS int64 `json:"store"`
+	// NodeCount is the number of nodes that the node knows, including itself.
+	NodeCount int `json:"nodes"`
+	// IsOverloaded is set if the node's own timers fire late.
+	IsOverloaded bool `json:"late,omitempty"`
 	// Ledger reports which instances ended while they ran which requests, as far as the leader may
-	// lack it. LedgerAfter is the version up to which the node has the leader's ledger.
-	Ledger      *LedgerReport `json:"ledger,omitempty"`
-	LedgerAfter uint64        `json:"ledger_after,omitempty"`
-	// Limits are changes of rate limits that instances recently announced to the node. LimitsAfter
+	// lack it. LedgerVersion is the version up to which the node has the leader's ledger.
+	Ledger        *LedgerReport `json:"ledger,omitempty"`
+	LedgerVersion uint64        `json:"ledger_after,omitempty"`
+	// Limits are changes of rate limits that instances recently announced to the node. LimitsVersion
 	// is the version up to which the node has the leader's rate limits.
-	Limits      []LimitReport `json:"limits,omitempty"`
-	LimitsAfter uint64        `json:"limits_after,omitempty"`
-	// Usage is the node's use of the rate of each limited instance. ByGrants reports whether the
+	Limits        []LimitReport `json:"limits,omitempty"`
+	LimitsVersion uint64        `json:"limits_after,omitempty"`
+	// Usage is the node's use of the rate of each limited instance. UsesGrants reports whether the
 	// node knows of rate limits and therefore sends requests to limited instances only by grants.
-	Usage    map[state.InstanceID]ratelimit.Usage `json:"usage,omitempty"`
-	ByGrants bool                                 `json:"by_grants,omitempty"`
+	Usage      map[state.InstanceID]ratelimit.Usage `json:"usage,omitempty"`
+	UsesGrants bool                                 `json:"by_grants,omitempty"`
 }
 
-// Answer is a node's response to a status report. Most of its fields are set only by the leader.
-type Answer struct {
-	// Placing reports whether the node can lead. If not, the sender does not try it again until a
+// StatusAnswer is a node's response to a status report. Most of its fields are set only by the leader.
+type StatusAnswer struct {
+	// CanLead reports whether the node can lead. If not, the sender does not try it again until a
 	// backoff has passed.
-	Placing bool `json:"placing"`
+	CanLead bool `json:"placing"`
 	// Protocol is the newest protocol version that the answering node implements.
 	Protocol int `json:"protocol,omitempty"`
 	// Nodes are all nodes that the leader knows, if the sender knows a different number of them.
 	Nodes []NodeEntry `json:"nodes,omitempty"`
-	// Held is the number of requests in progress from all nodes at each instance.
-	Held map[state.InstanceID]int `json:"held,omitempty"`
+	// InProgress is the number of requests in progress from all nodes at each instance.
+	InProgress map[state.InstanceID]int `json:"held,omitempty"`
 	// Avoid are the groups, each at one epoch, that must get no new requests.
-	Avoid []Formation `json:"avoid,omitempty"`
-	// Version is that of the configuration in force at the answering node, AgeMS the time since it
+	Avoid []GroupEpoch `json:"avoid,omitempty"`
+	// ConfigVersion is that of the configuration in force at the answering node, ConfigAgeMS the time since it
 	// was last confirmed to be current. Config is the configuration itself if the sender's is older.
-	Version int64  `json:"version"`
-	AgeMS   int64  `json:"age"`
-	Config  []byte `json:"config,omitempty"`
+	ConfigVersion int64  `json:"version"`
+	ConfigAgeMS   int64  `json:"age"`
+	Config        []byte `json:"config,omitempty"`
 	// Era is the newest era of the store that the node knows of.
 	Era int64 `json:"era,omitempty"`
-	// Changes are the instance changes that the sender lacks, up to the roster version Now of the
-	// node numbered Feed.
-	Changes []roster.Change `json:"changes,omitempty"`
-	Feed    int64           `json:"feed,omitempty"`
-	Now     uint64          `json:"now,omitempty"`
+	// Changes are the instance changes that the sender lacks, up to the roster version FeedVersion of
+	// the node numbered Feed.
+	Changes     []roster.Change `json:"changes,omitempty"`
+	Feed        int64           `json:"feed,omitempty"`
+	FeedVersion uint64          `json:"now,omitempty"`
 	// ListAgeMS is the maximum age of the leader's instance list.
 	ListAgeMS int64 `json:"list_age"`
 	// Demand is the recent demand of the callers of all nodes.
 	Demand []demand.Flow `json:"demand,omitempty"`
-	// Arrived reports whether any node has received requests.
-	Arrived bool `json:"arrived,omitempty"`
+	// HasRequests reports whether any node has received requests.
+	HasRequests bool `json:"arrived,omitempty"`
 	// Staging are the loads of models to hosts that are in progress, for the next leader.
 	Staging []Staging `json:"staging,omitempty"`
-	// Ledger reports which instances ended while they ran which requests, up to the version LedgerNow.
-	Ledger    *LedgerReport `json:"ledger,omitempty"`
-	LedgerNow uint64        `json:"ledger_now,omitempty"`
+	// Ledger reports which instances ended while they ran which requests, up to the version LedgerVersion.
+	Ledger        *LedgerReport `json:"ledger,omitempty"`
+	LedgerVersion uint64        `json:"ledger_now,omitempty"`
 	// Limits are the rate limits that have changed since the version that the status report names,
-	// up to the version LimitsNow.
-	Limits    []LimitReport `json:"limits,omitempty"`
-	LimitsNow uint64        `json:"limits_now,omitempty"`
-	// Grants are permissions for the sender to send requests to limited instances. Dealing reports
-	// whether the leader allocates their rates to all nodes that report to it.
-	Grants  []ratelimit.Grant `json:"grants,omitempty"`
-	Dealing bool              `json:"dealing,omitempty"`
-	// Possible is the number of nodes that may be running, if it differs from the number of nodes
+	// up to the version LimitsVersion.
+	Limits        []LimitReport `json:"limits,omitempty"`
+	LimitsVersion uint64        `json:"limits_now,omitempty"`
+	// Grants are permissions for the sender to send requests to limited instances. AllocatesRates
+	// reports whether the leader allocates their rates to all nodes that report to it.
+	Grants         []ratelimit.Grant `json:"grants,omitempty"`
+	AllocatesRates bool              `json:"dealing,omitempty"`
+	// PossibleNodes is the number of nodes that may be running, if it differs from the number of nodes
 	// that the sender knows.
-	Possible int `json:"possible,omitempty"`
+	PossibleNodes int `json:"possible,omitempty"`
 }
 
 // LimitReport is an instance's last announcement of its rate limit, which applies to all nodes together.
@@ -128,10 +128,10 @@
 	Instance  fleet.Incarnation `json:"n"`
 	PerSecond float64           `json:"r,omitempty"`
 	Ended     bool              `json:"e,omitempty"`
-	// AskedMS and AnsweredMS are the times since the request was sent and since the answer with
+	// RequestAgeMS and AnswerAgeMS are the times since the request was sent and since the answer with
 	// the announcement arrived.
-	AskedMS    int64 `json:"q"`
-	AnsweredMS int64 `json:"a"`
+	RequestAgeMS int64 `json:"q"`
+	AnswerAgeMS  int64 `json:"a"`
 }
 
 // Staging is a load of a model to an instance's host that the leader has ordered.
@@ -142,11 +142,11 @@
 	AgeMS    int64             `json:"a"`
 }
 
-// Formation identifies a group at one epoch.
-type Formation struct {
+// GroupEpoch identifies a group at one epoch.
+type GroupEpoch struct {
 	Group state.GroupName `json:"g"`
 	Epoch state.Epoch     `json:"e"`
 }
 
-// age returns a duration in whole milliseconds, rounded up so that nothing looks younger than it is.
-func age(d time.Duration) int64 { return int64((d + time.Millisecond - 1) / time.Millisecond) }
+// ceilMS returns a duration in whole milliseconds, rounded up so that nothing looks younger than it is.
+func ceilMS(d time.Duration) int64 { return int64((d + time.Millisecond - 1) / time.Millisecond) }
--- a/transport/entry/follow.go
+++ b/transport/entry/follow.go
@@ -18,7 +18,7 @@
 func (n *Node) followConfig(ctx context.Context) {
 	cursor, retryDelay := n.newCursor(), n.policy.StoreRetry
 	for {
-		if n.feed.configAge(n.clock.Now()) < n.policy.FeedAge && n.relies() {
+		if n.feed.configAge(n.clock.Now()) < n.policy.FeedAge && n.reliesOnLeader() {
 			cursor.Reset()
 			if !n.sleep(ctx, n.policy.FeedPause) {
 				return
@@ -26,7 +26,7 @@
 			continue
 		}
 		startedAt := n.clock.Now()
-		tail, reading, err := n.follow(ctx, source.Configuration, cursor, n.configWait())
+		tail, reading, err := n.readNew(ctx, source.Configuration, cursor, n.configWait())
 		if err != nil {
 			if errors.Is(err, source.ErrTrimmed) {
 				cursor.Reset()
@@ -39,22 +39,22 @@
 		}
 		retryDelay = n.policy.StoreRetry
 		for _, item := range tail.Items {
-			n.learnConfig(item.Value, "store")
+			n.applyConfig(item.Value, "store")
 		}
-		if tail.Whole && reading != source.Restored && n.eras.confirms(startedAt) {
-			n.know.Confirm(startedAt)
+		if tail.AtEnd && reading != source.ReadRestored && n.eras.isCurrent(startedAt) {
+			n.configState.RecordConfirmation(startedAt)
 		}
-		n.storeRead(startedAt)
+		n.recordStoreRead(startedAt)
 	}
 }
 
-// relies reports whether the node leaves reading the store to the leader. A standby still reads
+// reliesOnLeader reports whether the node leaves reading the store to the leader. A standby still reads
 // it at every StandbyRead, to know that it can.
-func (n *Node) relies() bool {
-	if leading, _ := n.peers.isPlacing(); leading || n.storeFailed.Load() {
+func (n *Node) reliesOnLeader() bool {
+	if leading, _ := n.peers.leadership(); leading || n.storeFailed.Load() {
 		return false
 	}
-	return n.ownStoreAge() < n.policy.StandbyRead || !n.peers.standby()
+	return n.ownStoreAge() < n.policy.StandbyRead || !n.peers.isStandby()
 }
 
 // configWait returns how long a read of the configuration waits for a newer one. The age of the
@@ -64,46 +64,46 @@
 func (n *Node) configWait() time.Duration {
 	now := n.clock.Now()
 	wait := n.policy.ConfigWait
-	if leading, _ := n.peers.isPlacing(); leading {
+	if leading, _ := n.peers.leadership(); leading {
 		wait = n.policy.ConfigWaitLeading
-	} else if n.set.StrictKeys {
-		wait = min(n.policy.ConfigWait, n.set.KeysWithin/4)
+	} else if n.settings.StrictKeys {
+		wait = min(n.policy.ConfigWait, n.settings.MaxKeyAge/4)
 	}
-	if unsettled := n.eras.unsettled(now); unsettled > 0 {
+	if unsettled := n.eras.settlingTime(now); unsettled > 0 {
 		return min(wait, unsettled)
 	}
 	// Keys that could not be confirmed while the store was being restored are about to expire: do not wait.
-	if age, ok := n.know.Age(); n.set.StrictKeys && ok && age > n.set.KeysWithin/2 {
+	if age, ok := n.configState.Age(); n.settings.StrictKeys && ok && age > n.settings.MaxKeyAge/2 {
 		return 0
 	}
 	return wait
 }
 
-// learnConfig applies a configuration. One that cannot be decoded leaves the previous one in force.
-func (n *Node) learnConfig(raw []byte, from string) {
+// applyConfig applies a configuration. One that cannot be decoded leaves the previous one in force.
+func (n *Node) applyConfig(raw []byte, from string) {
 	if len(raw) == 0 {
 		return
 	}
-	newer, err := n.know.Learn(raw)
+	newer, err := n.configState.Apply(raw)
 	if err != nil {
 		n.Count("config.unreadable")
 		n.log.WithError(err).WithField("from", from).Error("configuration cannot be decoded")
 		return
 	}
 	if newer {
-		_, version := n.know.Raw()
+		_, version := n.configState.Encoded()
 		n.log.WithFields(log.Fields{"version": version, "from": from}).Info("configuration in force")
-		n.touch()
+		n.requestRebuild()
 	}
 }
 
-// storeRead records that the store answered a read that began at startedAt. A read that waited long for
+// recordStoreRead records that the store answered a read that began at startedAt. A read that waited long for
 // its answer does not replace one that began later.
-func (n *Node) storeRead(startedAt time.Time) {
+func (n *Node) recordStoreRead(startedAt time.Time) {
 	at := int64(startedAt.Sub(n.started)) + 1
 	for {
-		old := n.storeAt.Load()
-		if at <= old || n.storeAt.CompareAndSwap(old, at) {
+		old := n.storeReadAt.Load()
+		if at <= old || n.storeReadAt.CompareAndSwap(old, at) {
 			return
 		}
 	}
@@ -121,7 +121,7 @@
 
 // ownStoreAge returns the time since the start of this node's last successful read of the store.
 func (n *Node) ownStoreAge() time.Duration {
-	at := n.storeAt.Load()
+	at := n.storeReadAt.Load()
 	if at == 0 {
 		return time.Hour
 	}
@@ -130,15 +130,15 @@
 
 // readTail reads the records of a topic from an offset on, or the newest record of each key if the
 // offset is negative. It logs only the first failure in a row.
-func (n *Node) readTail(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.Tail, error) {
+func (n *Node) readTail(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.ReadResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.policy.StoreTimeout+wait)
 	defer cancel()
 	n.Count("store." + string(topic))
 	startedAt := n.clock.Now()
-	tail, err := n.readOnce(ctx, topic, from, wait)
+	tail, err := n.readTopic(ctx, topic, from, wait)
 	if err == nil {
 		n.storeFailed.Store(false)
-		n.observeEra(tail.Era, "store")
+		n.recordEra(tail.Era, "store")
 		return tail, nil
 	}
 	n.Count("store." + string(topic) + ".failed")
@@ -150,13 +150,13 @@
 	return tail, err
 }
 
-// readOnce is readTail without a timeout, counters and logs.
-func (n *Node) readOnce(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.Tail, error) {
+// readTopic is readTail without a timeout, counters and logs.
+func (n *Node) readTopic(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.ReadResult, error) {
 	if from >= 0 {
 		return n.ports.Store.Read(ctx, topic, from, wait)
 	}
 	tail, err := n.ports.Store.Newest(ctx, topic)
-	tail.Whole = err == nil
+	tail.AtEnd = err == nil
 	return tail, err
 }
 
@@ -167,24 +167,24 @@
 	pause := n.policy.ListInterval
 	for {
 		startedAt := n.clock.Now()
-		if leading, _ := n.peers.isPlacing(); !leading && n.feed.listAge(startedAt) < n.policy.FeedAge {
+		if leading, _ := n.peers.leadership(); !leading && n.feed.listAge(startedAt) < n.policy.FeedAge {
 			cursor.Reset()
 			if !n.waitForList(ctx, n.policy.FeedPause) {
 				return
 			}
 			continue
 		}
-		tail, reading, err := n.follow(ctx, source.Instances, cursor, 0)
+		tail, reading, err := n.readNew(ctx, source.Instances, cursor, 0)
 		if errors.Is(err, source.ErrTrimmed) {
 			cursor.Reset()
 		}
 		if err == nil {
-			n.learnInstances(tail, reading, startedAt.Sub(lastStartedAt) < n.policy.RecentRead)
+			n.applyListRecords(tail, reading, startedAt.Sub(lastStartedAt) < n.policy.RecentRead)
 			lastStartedAt = startedAt
-			if tail.Whole {
+			if tail.AtEnd {
 				n.roster.RecordListRead(startedAt)
 			}
-			n.storeRead(startedAt)
+			n.recordStoreRead(startedAt)
 		}
 		pause = n.listPause(pause, tail, err)
 		if !n.waitForList(ctx, pause) {
@@ -195,16 +195,16 @@
 
 // listPause returns the pause before the next read of the list, given the pause before the last
 // read and its result.
-func (n *Node) listPause(previous time.Duration, tail source.Tail, err error) time.Duration {
-	leading, _ := n.peers.isPlacing()
+func (n *Node) listPause(previous time.Duration, tail source.ReadResult, err error) time.Duration {
+	leading, _ := n.peers.leadership()
 	switch {
-	case err != nil && (leading || n.peers.standby()):
+	case err != nil && (leading || n.peers.isStandby()):
 		return min(2*previous, n.policy.StoreRetryMax)
 	case err != nil:
-		return min(2*previous, n.policy.StoreRetryFed)
-	case !tail.Whole:
+		return min(2*previous, n.policy.StoreRetryRelayed)
+	case !tail.AtEnd:
 		return 0
-	case leading && n.listSoon.Load():
+	case leading && n.fastListPolling.Load():
 		return n.policy.ListIntervalBusy
 	}
 	return n.policy.ListInterval
@@ -216,32 +216,32 @@
 	case <-ctx.Done():
 		return false
 	case <-n.clock.After(pause):
-	case <-n.listNow:
+	case <-n.listRequested:
 		return n.sleep(ctx, min(pause, n.policy.ListIntervalBusy))
 	}
 	return true
 }
 
-// readListSoon turns frequent reads of the list on or off.
-func (n *Node) readListSoon(enabled bool) {
-	if n.listSoon.Swap(enabled) || !enabled {
+// setFrequentListReads turns frequent reads of the list on or off.
+func (n *Node) setFrequentListReads(enabled bool) {
+	if n.fastListPolling.Swap(enabled) || !enabled {
 		return
 	}
-	n.readListNow()
+	n.requestListRead()
 }
 
-// readListNow requests a read of the list at once.
-func (n *Node) readListNow() {
+// requestListRead requests a read of the list at once.
+func (n *Node) requestListRead() {
 	select {
-	case n.listNow <- struct{}{}:
+	case n.listRequested <- struct{}{}:
 	default:
 	}
 }
 
-// learnInstances applies records of the instance list to the roster. If recent is set, records that
+// applyListRecords applies records of the instance list to the roster. If recent is set, records that
 // follow the last read count as just written: that read was within RecentRead.
-func (n *Node) learnInstances(tail source.Tail, reading source.Reading, recent bool) {
-	isSnapshot := reading == source.All || reading == source.Restored
+func (n *Node) applyListRecords(tail source.ReadResult, reading source.ReadKind, recent bool) {
+	isSnapshot := reading == source.ReadFull || reading == source.ReadRestored
 	now := n.clock.Now()
 	oldVersion := n.roster.Version()
 	var entries []fleet.Instance
@@ -262,7 +262,7 @@
 			continue
 		}
 		in.Position = position
-		n.placer.observe(in.Membership.Epoch, false)
+		n.placement.observeEpoch(in.Membership.Epoch, false)
 		switch {
 		case isSnapshot:
 			entries = append(entries, in)
@@ -273,46 +273,46 @@
 		}
 	}
 	switch {
-	case isSnapshot && (reading == source.Restored || !n.eras.confirms(now)):
+	case isSnapshot && (reading == source.ReadRestored || !n.eras.isCurrent(now)):
 		n.roster.ApplyBackup(entries, now)
 		n.log.WithFields(log.Fields{"era": tail.Era, "entries": len(entries)}).Info("instance list read from a backup of the store")
 	case isSnapshot:
-		n.roster.ApplySnapshot(entries, source.Position(tail.Era, tail.End), now)
+		n.roster.ApplySnapshot(entries, source.Position(tail.Era, tail.NextOffset), now)
 	}
 	if n.roster.Version() != oldVersion {
-		n.touch()
-		n.placer.stir()
+		n.requestRebuild()
+		n.placement.wakePlanner()
 	}
 }
 
 // newCursor returns the cursor of a reader that has not read anything yet.
-func (n *Node) newCursor() *source.Cursor { return &source.Cursor{Settle: n.policy.RestoreSettle} }
+func (n *Node) newCursor() *source.Cursor { return &source.Cursor{SettleTime: n.policy.RestoreSettle} }
 
-// writeEntry appends the node's entry to the store and returns its place there, and whether it was written.
-func (n *Node) writeEntry(ctx context.Context) (source.Place, bool) {
+// writeNodeEntry appends the node's entry to the store and returns its position there, and whether it was written.
+func (n *Node) writeNodeEntry(ctx context.Context) (source.RecordPosition, bool) {
 	value, err := json.Marshal(n.peers.self())
 	if err != nil {
 		n.log.WithError(err).Error("node entry cannot be encoded")
-		return source.Place{}, false
+		return source.RecordPosition{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.policy.StoreTimeout)
 	defer cancel()
-	place, err := n.ports.Store.Append(ctx, source.Nodes, n.set.Name, value)
+	place, err := n.ports.Store.Append(ctx, source.Nodes, n.settings.Name, value)
 	if err != nil {
 		n.Count("store.nodes.not-written")
-		return source.Place{}, false
+		return source.RecordPosition{}, false
 	}
-	n.observeEra(place.Era, "store")
+	n.recordEra(place.Era, "store")
 	return place, true
 }
 
-// register writes the node's entry into the store and derives the node's number from its place
+// register writes the node's entry into the store and derives the node's number from its position
 // there. The store reuses an offset only in a later era, so no two incarnations have the same number.
 func (n *Node) register(ctx context.Context) {
 	for {
-		if place, ok := n.writeEntry(ctx); ok {
+		if place, ok := n.writeNodeEntry(ctx); ok {
 			number := source.Position(place.Era, place.Offset) + 1
-			n.number.Store(number)
+			n.incarnationNumber.Store(number)
 			n.log.WithFields(log.Fields{"number": number, "era": place.Era, "offset": place.Offset}).Info("registered")
 			return
 		}
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -21,41 +21,41 @@
 // RecordFailure implements gateway.FailureDetector.
 func (n *Node) RecordFailure(id state.InstanceID, at time.Time) {
 	n.roster.RecordFailure(id, at)
-	n.suspect(id, at)
-	n.touch()
+	n.recordSuspicion(id, at)
+	n.requestRebuild()
 }
 
 // RecordReplaced implements gateway.FailureDetector.
 func (n *Node) RecordReplaced(id state.InstanceID) {
 	n.roster.RecordReplaced(id, n.clock.Now())
-	n.touch()
+	n.requestRebuild()
 }
 
 // ProbeGroup implements gateway.FailureDetector. It probes all members of a group in the background
 // and cancels the group's requests if one does not answer.
 func (n *Node) ProbeGroup(c *dispatch.Candidate) {
 	go func() {
-		unresponsive := n.askAll(c.Members)
+		unresponsive := n.probeAll(c.Members)
 		if len(unresponsive) == 0 {
 			return
 		}
 		n.Count("group.stalled")
 		n.log.WithFields(log.Fields{
-			"group": c.Membership.Group, "epoch": c.Membership.Epoch, "head": c.ID, "silent": unresponsive, "held": c.Held(),
+			"group": c.Membership.Group, "epoch": c.Membership.Epoch, "head": c.ID, "silent": unresponsive, "held": c.InFlight(),
 		}).Warn("group stalled")
-		n.touch()
-		n.gate.StallDetector.CancelGroup(c.ID)
+		n.requestRebuild()
+		n.gateway.StallDetector.CancelGroup(c.ID)
 	}()
 }
 
-// askAll probes instances concurrently and returns those that did not answer.
-func (n *Node) askAll(members []fleet.Instance) []state.InstanceID {
+// probeAll probes instances concurrently and returns those that did not answer.
+func (n *Node) probeAll(members []fleet.Instance) []state.InstanceID {
 	var mu sync.Mutex
 	var unresponsive []state.InstanceID
 	var wg sync.WaitGroup
 	for _, m := range members {
 		wg.Go(func() {
-			if n.ask(context.Background(), m) {
+			if n.probeWithRetry(context.Background(), m) {
 				return
 			}
 			mu.Lock()
@@ -67,73 +67,73 @@
 	return unresponsive
 }
 
-// ask probes an instance, with one retry, and reports whether it answered.
-func (n *Node) ask(ctx context.Context, m fleet.Instance) bool {
+// probeWithRetry probes an instance, with one retry, and reports whether it answered.
+func (n *Node) probeWithRetry(ctx context.Context, m fleet.Instance) bool {
 	for range 2 {
 		probedAt := n.clock.Now()
-		if n.report(ctx, m, probedAt) {
+		if n.probeAndRecord(ctx, m, probedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// errNotAsked means that a probe was not sent because of a cooldown or a rate limit. An instance that
+// errProbeSkipped means that a probe was not sent because of a cooldown or a rate limit. An instance that
 // is cooling down is probed only as often as is needed to detect its loss, a rate-limited one seldom.
-var errNotAsked = errors.New("entry: probe skipped: instance is cooling down or rate limited")
+var errProbeSkipped = errors.New("entry: probe skipped: instance is cooling down or rate limited")
 
-// question sends one probe to an instance and returns its report.
-func (n *Node) question(ctx context.Context, m fleet.Instance, probedAt time.Time) (fleet.Report, error) {
+// probe sends one probe to an instance and returns its report.
+func (n *Node) probe(ctx context.Context, m fleet.Instance, probedAt time.Time) (fleet.Report, error) {
 	if !n.cooldowns.TryProbe(m.Incarnation(), probedAt) {
 		n.Count("probes.cooling-down")
-		return fleet.Report{}, errNotAsked
+		return fleet.Report{}, errProbeSkipped
 	}
-	if !n.limits.TryProbe(m.Incarnation(), n.asker(m.ID), probedAt) {
+	if !n.limits.TryProbe(m.Incarnation(), n.probeRequest(m.ID), probedAt) {
 		n.Count("probes.rate-limited")
-		return fleet.Report{}, errNotAsked
+		return fleet.Report{}, errProbeSkipped
 	}
 	n.Count("probes")
-	rep, err := n.ports.Targets.Report(ctx, m.Address, m.ID, n.connectionTo(m.ID))
+	rep, err := n.ports.Target.Report(ctx, m.Address, m.ID, n.connectionTo(m.ID))
 	rep.Asked = probedAt
 	return rep, err
 }
 
-// told records the notice in the answer to a probe.
-func (n *Node) told(m fleet.Instance, rep fleet.Report) {
+// recordProbeNotice records the notice in the answer to a probe.
+func (n *Node) recordProbeNotice(m fleet.Instance, rep fleet.Report) {
 	if !rep.Born.IsZero() {
 		m.Born = rep.Born
 	}
 	n.RecordNotice(&m, rep.Notice, "", rep.Asked)
 }
 
-// reported records the report of an instance and then its notice, so that the roster already knows
+// recordReport records the report of an instance and then its notice, so that the roster already knows
 // a later incarnation when the notice is recorded.
-func (n *Node) reported(m fleet.Instance, rep fleet.Report) {
+func (n *Node) recordReport(m fleet.Instance, rep fleet.Report) {
 	n.roster.RecordReport(m.ID, rep)
-	n.told(m, rep)
+	n.recordProbeNotice(m, rep)
 }
 
-// report sends one probe to an instance, records the result, and reports whether the instance may be
+// probeAndRecord sends one probe to an instance, records the result, and reports whether the instance may be
 // assumed alive: it answered, or the probe was skipped or inconclusive.
-func (n *Node) report(ctx context.Context, m fleet.Instance, probedAt time.Time) bool {
+func (n *Node) probeAndRecord(ctx context.Context, m fleet.Instance, probedAt time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.policy.ProbeTimeout)
 	defer cancel()
-	rep, err := n.question(ctx, m, probedAt)
-	if errors.Is(err, errNotAsked) {
+	rep, err := n.probe(ctx, m, probedAt)
+	if errors.Is(err, errProbeSkipped) {
 		return true
 	}
-	defer n.told(m, rep) // deferred until the roster knows a later incarnation
-	n.judgeReport(m.Incarnation(), probedAt, rep, err)
+	defer n.recordProbeNotice(m, rep) // deferred until the roster knows a later incarnation
+	n.evaluateProbe(m.Incarnation(), probedAt, rep, err)
 	if errors.Is(err, placement.ErrAddressReused) {
 		n.RecordReplaced(m.ID)
 		return false
 	}
 	if errors.Is(err, placement.ErrInvalidReport) {
-		n.unreadable(m.ID, probedAt, err)
+		n.recordUnreadableReport(m.ID, probedAt, err)
 		return true
 	}
-	inconclusive := err != nil && n.delayed(ctx, probedAt, n.policy.ProbeTimeout)
-	n.load.probe(err != nil, inconclusive)
+	inconclusive := err != nil && n.isInconclusive(ctx, probedAt, n.policy.ProbeTimeout)
+	n.leaderLoad.recordProbe(err != nil, inconclusive)
 	if inconclusive {
 		n.Count("probes.inconclusive")
 		return true
@@ -149,15 +149,15 @@
 
 // connectionTo returns the connection for the next call to an instance: a new one if the last
 // call failed.
-func (n *Node) connectionTo(id state.InstanceID) Connection {
-	return Connection(n.roster.ConsecutiveFailures(id) > 0)
+func (n *Node) connectionTo(id state.InstanceID) ConnectionReuse {
+	return ConnectionReuse(n.roster.ConsecutiveFailures(id) > 0)
 }
 
 // logFailedProbe logs a failed probe until the instance has failed often enough to be lost, so that
 // a dead instance is logged only a few times.
 func (n *Node) logFailedProbe(id state.InstanceID, probedAt time.Time, err error) {
 	failures := n.roster.ConsecutiveFailures(id)
-	if failures > n.set.Policy.Roster.LostFailures {
+	if failures > n.settings.Policy.Roster.LostFailures {
 		return
 	}
 	n.log.WithError(err).WithFields(log.Fields{
@@ -165,14 +165,14 @@
 	}).Info("probe failed")
 }
 
-// delayed reports whether a call that began at a time timed out while this process itself was
+// isInconclusive reports whether a call that began at a time timed out while this process itself was
 // delayed, so that the time-out is no evidence about the other side.
-func (n *Node) delayed(ctx context.Context, began time.Time, timeout time.Duration) bool {
+func (n *Node) isInconclusive(ctx context.Context, began time.Time, timeout time.Duration) bool {
 	if ctx.Err() == nil {
 		return false
 	}
 	now := n.clock.Now()
-	return n.health.DelayedSince(began, now) || localhealth.DetectedLate(began.Add(timeout), now)
+	return n.localHealth.DelayedSince(began, now) || localhealth.DetectedLate(began.Add(timeout), now)
 }
 
 // watchHealth measures how late the node's own timers fire, and runs the checks due at each interval.
@@ -184,61 +184,61 @@
 		}
 		now := n.clock.Now()
 		delay := now.Sub(began) - n.policy.HealthInterval
-		n.health.RecordDelay(delay, now)
-		n.load.timer(delay)
-		n.gate.StallDetector.Check()
-		n.dealLimits(now)
-		n.askDoubted()
+		n.localHealth.RecordDelay(delay, now)
+		n.leaderLoad.recordTimerDelay(delay)
+		n.gateway.StallDetector.Check()
+		n.allocateRates(now)
+		n.probeInterrupted()
 	}
 }
 
-// Woke records that the machine was suspended for d. All data that the node holds is older by d, so
+// RecordResume records that the machine was suspended for d. All data that the node holds is older by d, so
 // the node reads the instance list and sends a status report to the leader at once.
-func (n *Node) Woke(d time.Duration) {
+func (n *Node) RecordResume(d time.Duration) {
 	n.Count("wakeups")
 	n.log.WithField("ms", d.Milliseconds()).Warn("the machine was suspended")
-	n.readListNow()
-	n.tellSoon()
+	n.requestListRead()
+	n.requestStatusReport()
 }
 
-// unreadable records that an instance answered with an invalid report. The instance is alive, and
+// recordUnreadableReport records that an instance answered with an invalid report. The instance is alive, and
 // its last report stays in force. Only the first such answer of an instance is logged.
-func (n *Node) unreadable(id state.InstanceID, probedAt time.Time, err error) {
+func (n *Node) recordUnreadableReport(id state.InstanceID, probedAt time.Time, err error) {
 	n.Count("reports.unreadable")
 	n.roster.RecordResponse(id, probedAt)
-	if _, known := n.garbled.LoadOrStore(id, true); !known {
+	if _, known := n.loggedOnce.LoadOrStore(id, true); !known {
 		n.log.WithError(err).WithField("instance", id).Warn("invalid instance report")
 	}
 }
 
-// suspect records that an instance did not answer, and requests an immediate status report.
-func (n *Node) suspect(id state.InstanceID, at time.Time) {
+// recordSuspicion records that an instance did not answer, and requests an immediate status report.
+func (n *Node) recordSuspicion(id state.InstanceID, at time.Time) {
 	n.mu.Lock()
-	n.suspects[id] = at
+	n.suspectedAt[id] = at
 	n.mu.Unlock()
-	n.tellSoon()
+	n.requestStatusReport()
 }
 
-// tellSoon requests an immediate status report to the leader.
-func (n *Node) tellSoon() {
+// requestStatusReport requests an immediate status report to the leader.
+func (n *Node) requestStatusReport() {
 	select {
-	case n.news <- struct{}{}:
+	case n.statusRequested <- struct{}{}:
 	default:
 	}
 }
 
-// suspected returns the instances that did not answer this node within NodePolicy.SuspectFor, and
+// suspicions returns the instances that did not answer this node within NodePolicy.SuspectTTL, and
 // removes older suspicions.
-func (n *Node) suspected(now time.Time) []Suspicion {
+func (n *Node) suspicions(now time.Time) []Suspicion {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var list []Suspicion
-	for id, at := range n.suspects {
-		if now.Sub(at) > n.policy.SuspectFor {
-			delete(n.suspects, id)
+	for id, at := range n.suspectedAt {
+		if now.Sub(at) > n.policy.SuspectTTL {
+			delete(n.suspectedAt, id)
 			continue
 		}
-		list = append(list, Suspicion{Instance: id, AgeMS: age(now.Sub(at))})
+		list = append(list, Suspicion{Instance: id, AgeMS: ceilMS(now.Sub(at))})
 	}
 	return list
 }
--- a/transport/entry/leaderload.go
+++ b/transport/entry/leaderload.go
@@ -32,8 +32,8 @@
 	timerDelay time.Duration
 }
 
-// step records one planning step for all services.
-func (l *leaderLoad) step(duration time.Duration) {
+// recordStep records one planning step for all services.
+func (l *leaderLoad) recordStep(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.steps++
@@ -41,16 +41,16 @@
 	l.longestStep = max(l.longestStep, duration)
 }
 
-// statusReport records one answered status report.
-func (l *leaderLoad) statusReport(duration time.Duration) {
+// recordStatusReport records one answered status report.
+func (l *leaderLoad) recordStatusReport(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reports++
 	l.reportTime += duration
 }
 
-// probe records one probe. A late one is inconclusive because this node was overloaded.
-func (l *leaderLoad) probe(failed, late bool) {
+// recordProbe records one probe. A late one is inconclusive because this node was overloaded.
+func (l *leaderLoad) recordProbe(failed, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.probes++
@@ -62,8 +62,7 @@
 	}
 }
 
-// timer records the delay of a timer.
-func (l *leaderLoad) timer(delay time.Duration) {
+func (l *leaderLoad) recordTimerDelay(delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.timerDelay = max(l.timerDelay, delay)
@@ -76,8 +75,8 @@
 	l.leaderWork = leaderWork{}
 }
 
-// fields returns the work since the last call as fields of a log line, and starts anew.
-func (l *leaderLoad) fields() log.Fields {
+// takeFields returns the work since the last call as fields of a log line, and starts anew.
+func (l *leaderLoad) takeFields() log.Fields {
 	l.mu.Lock()
 	work := l.leaderWork
 	l.leaderWork = leaderWork{}
--- a/transport/entry/ledger.go
+++ b/transport/entry/ledger.go
@@ -71,37 +71,37 @@
 	return d
 }
 
-// giveLedger adds to the answer to a status report the changes to this node's ledger that the sender
+// addLedgerToAnswer adds to the answer to a status report the changes to this node's ledger that the sender
 // does not have yet.
-func (n *Node) giveLedger(a *Answer, w *Word, now time.Time) {
-	after := w.LedgerAfter
-	if w.Feed != n.number.Load() {
+func (n *Node) addLedgerToAnswer(a *StatusAnswer, w *StatusReport, now time.Time) {
+	after := w.LedgerVersion
+	if w.Feed != n.incarnationNumber.Load() {
 		after = 0
 	}
 	d, version := n.ledger.ChangesSince(after, quarantine.Source(w.From.Number))
-	a.Ledger, a.LedgerNow = newLedgerReport(d, now), version
+	a.Ledger, a.LedgerVersion = newLedgerReport(d, now), version
 }
 
 // addLedger adds to a status report the changes to this node's ledger that the leader does not have
 // yet, and returns the version that the leader has after it.
-func (p *peers) addLedger(w *Word, now time.Time) uint64 {
+func (p *peers) addLedger(w *StatusReport, now time.Time) uint64 {
 	p.mu.Lock()
-	sent, leader := p.ledgerSent, quarantine.Source(p.feedFrom)
-	w.LedgerAfter = p.ledgerHas
+	sent, leader := p.ownLedgerVersion, quarantine.Source(p.feedNode)
+	w.LedgerVersion = p.leaderLedgerVersion
 	p.mu.Unlock()
 	d, version := p.n.ledger.ChangesSince(sent, leader)
 	w.Ledger = newLedgerReport(d, now)
 	return version
 }
 
-// takeLedger merges the leader's ledger into this node's. sent is the version of this node's ledger
+// mergeLedger merges the leader's ledger into this node's. sent is the version of this node's ledger
 // that the leader has received. A new leader is sent the whole ledger.
-func (p *peers) takeLedger(a *Answer, sent uint64) {
+func (p *peers) mergeLedger(a *StatusAnswer, sent uint64) {
 	p.n.ledger.Merge(a.Ledger.delta(p.n.clock.Now()), quarantine.Source(a.Feed))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.feedFrom != a.Feed {
+	if p.feedNode != a.Feed {
 		sent = 0
 	}
-	p.ledgerSent, p.ledgerHas = sent, a.LedgerNow
+	p.ownLedgerVersion, p.leaderLedgerVersion = sent, a.LedgerVersion
 }
--- a/transport/entry/limited_test.go
+++ b/transport/entry/limited_test.go
@@ -85,16 +85,16 @@
 func (d limitDecoder) Catalog([]byte) (*catalog.Catalog, error) {
 	service := catalog.Service{Name: "lm"}
 	if d.groups {
-		service.Engine = &catalog.Engine{Slots: 64, Models: []catalog.Model{{Name: limitModel, Size: 1, Pace: 1, Share: 1}}}
+		service.Engine = &catalog.Engine{BatchSlots: 64, Models: []catalog.Model{{Name: limitModel, GroupSize: 1, TimeFactor: 1, ExpectedShare: 1}}}
 	}
-	route := catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Safe, MaxAttempts: 2, Shares: []catalog.Share{{Service: "lm", Weight: 1}}}
+	route := catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Safe, MaxAttempts: 2, Shares: []catalog.WeightedService{{Service: "lm", Weight: 1}}}
 	return catalog.New(1, []catalog.Route{route}, []catalog.Service{service}, map[string]*catalog.Team{"k": {Name: "t"}}, catalog.Limits{}), nil
 }
 
 // limitTargets probes instances over HTTP; the responses may carry limits.
 type limitTargets struct{ targets }
 
-func (limitTargets) Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, _ entry.Connection) (fleet.Report, error) {
+func (limitTargets) Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, _ entry.ConnectionReuse) (fleet.Report, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/report", nil)
 	if err != nil {
 		return fleet.Report{}, err
@@ -225,7 +225,7 @@
 	var callers sync.WaitGroup
 	end := time.Now().Add(d)
 	for n := 0; time.Now().Before(end); n++ {
-		at := nodes[choose(len(nodes))].set.Callers
+		at := nodes[choose(len(nodes))].set.CallerAddress
 		callers.Go(func() {
 			began := time.Now()
 			code, _ := post(client, at, fmt.Sprintf("r%d", n), "x")
@@ -309,6 +309,6 @@
 // startLimitNodes starts nodes whose instances may state limits, and waits until all nodes serve.
 func startLimitNodes(t *testing.T, s *store, count int, groups bool) []*running {
 	return startServing(t, s, count, func(name string) entry.Ports {
-		return entry.Ports{Decoder: limitDecoder{groups: groups}, Targets: limitTargets{}, Dialect: limitDialect{nodeCodec{id: name}}}
+		return entry.Ports{Decoder: limitDecoder{groups: groups}, Target: limitTargets{}, HeaderCodec: limitDialect{nodeCodec{id: name}}}
 	})
 }
--- a/transport/entry/limithistory_test.go
+++ b/transport/entry/limithistory_test.go
@@ -111,16 +111,16 @@
 func (h *limitHistory) join() *historyNode {
 	h.lastNumber++
 	name := fmt.Sprint("n", h.lastNumber)
-	set := &Settings{Name: name, Hall: "hall", Peer: testAddress(int(h.lastNumber)), Capacity: 1, Policy: DefaultPolicy()}
+	set := &Settings{Name: name, Hall: "hall", PeerAddress: testAddress(int(h.lastNumber)), Capacity: 1, Policy: DefaultPolicy()}
 	n := New(set, Ports{Decoder: anyConfiguration{}}, h.clock, &log.Logger{Handler: discard.New()})
-	n.number.Store(h.lastNumber)
-	n.dealer = ratelimit.NewAllocator(set.Policy.RateLimit, h.rng.Float64)
-	h.g.Expect(n.know.Learn([]byte("x"))).Error().NotTo(HaveOccurred())
+	n.incarnationNumber.Store(h.lastNumber)
+	n.rateAllocator = ratelimit.NewAllocator(set.Policy.RateLimit, h.rng.Float64)
+	h.g.Expect(n.configState.Apply([]byte("x"))).Error().NotTo(HaveOccurred())
 	n.roster.ApplyFreshEntry(h.in, h.clock.Now())
-	n.peers.setComplete()
+	n.peers.setNodesKnown()
 	for _, o := range h.nodes {
-		n.peers.learn(o.peers.self())
-		o.peers.learn(n.peers.self())
+		n.peers.recordNode(o.peers.self())
+		o.peers.recordNode(n.peers.self())
 	}
 	joined := &historyNode{Node: n, weight: h.rng.ExpFloat64(), nextReport: h.clock.Now().Add(h.randomDuration(250 * time.Millisecond))}
 	h.nodes = append(h.nodes, joined)
@@ -137,7 +137,7 @@
 func (h *limitHistory) setLeader(leader *historyNode) {
 	for _, n := range h.nodes {
 		if n.side == leader.side && !h.clock.Now().Before(n.frozenUntil) {
-			n.peers.setPlacing(n == leader)
+			n.peers.setLeader(n == leader)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 // leaderOf returns the leader of a side, or nil.
 func (h *limitHistory) leaderOf(side int) *historyNode {
 	for _, n := range h.nodes {
-		if placing, _ := n.peers.isPlacing(); placing && n.side == side && !h.clock.Now().Before(n.frozenUntil) {
+		if placing, _ := n.peers.leadership(); placing && n.side == side && !h.clock.Now().Before(n.frozenUntil) {
 			return n
 		}
 	}
@@ -174,9 +174,9 @@
 		if now.Before(n.frozenUntil) {
 			continue
 		}
-		n.storeRead(now)
+		n.recordStoreRead(now)
 		if now.UnixMilli()%50 == 0 {
-			n.dealLimits(now)
+			n.allocateRates(now)
 		}
 		if !now.Before(n.nextReport) {
 			h.sendReport(n, now)
@@ -194,10 +194,10 @@
 	if leader == nil || leader == n {
 		return
 	}
-	resp, err := leader.peers.answer(context.Background(), connect.NewRequest(n.peers.word()))
+	resp, err := leader.peers.handleStatusReport(context.Background(), connect.NewRequest(n.peers.statusReport()))
 	h.g.Expect(err).NotTo(HaveOccurred())
-	if resp.Msg.Placing {
-		n.peers.take(resp.Msg, now)
+	if resp.Msg.CanLead {
+		n.peers.applyAnswer(resp.Msg, now)
 	}
 }
 
@@ -273,7 +273,7 @@
 // kill ends a node, which restarts without state under a new number. If it led, another node
 // takes over.
 func (h *limitHistory) kill(n *historyNode) {
-	wasLeader, _ := n.peers.isPlacing()
+	wasLeader, _ := n.peers.leadership()
 	n.stoppedAt = h.clock.Now()
 	for i, o := range h.nodes {
 		if o == n {
@@ -308,12 +308,12 @@
 func (h *limitHistory) freeze(n *historyNode, d time.Duration) {
 	n.stoppedAt = h.clock.Now()
 	n.frozenUntil = n.stoppedAt.Add(d)
-	if wasLeader, _ := n.peers.isPlacing(); wasLeader {
+	if wasLeader, _ := n.peers.leadership(); wasLeader {
 		h.electLater(n.side)
 		h.schedule(d+300*time.Millisecond, func() {
 			for _, o := range h.nodes {
-				if placing, _ := o.peers.isPlacing(); placing && o != n && o.side == n.side {
-					n.peers.setPlacing(false)
+				if placing, _ := o.peers.leadership(); placing && o != n && o.side == n.side {
+					n.peers.setLeader(false)
 				}
 			}
 		})
--- a/transport/entry/past_test.go
+++ b/transport/entry/past_test.go
@@ -76,10 +76,10 @@
 		name     string
 		newValue func() any
 	}{
-		{"report", func() any { return &Word{} }},
-		{"answer", func() any { return &Answer{} }},
+		{"report", func() any { return &StatusReport{} }},
+		{"answer", func() any { return &StatusAnswer{} }},
 		{"node", func() any { return &NodeEntry{} }},
-		{"quarantine", func() any { return &[]keptEnding{} }},
+		{"quarantine", func() any { return &[]persistedEnding{} }},
 	} {
 		for commit, raw := range loadExamples(t, c.name) {
 			t.Run(c.name+" of "+commit, func(t *testing.T) {
@@ -105,16 +105,16 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var w Word
+		var w StatusReport
 		if json.Unmarshal(raw, &w) != nil {
 			return
 		}
 		n := ableNode(NewWithT(t))
-		n.peers.setPlacing(true)
-		if _, err := n.peers.answer(context.Background(), connect.NewRequest(&w)); err != nil {
+		n.peers.setLeader(true)
+		if _, err := n.peers.handleStatusReport(context.Background(), connect.NewRequest(&w)); err != nil {
 			t.Fatal(err)
 		}
-		n.dealLimits(n.clock.Now())
+		n.allocateRates(n.clock.Now())
 	})
 }
 
@@ -123,15 +123,15 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var a Answer
+		var a StatusAnswer
 		if json.Unmarshal(raw, &a) != nil {
 			return
 		}
 		n := ableNode(NewWithT(t))
-		n.peers.takeLedger(&a, 0)
-		n.peers.take(&a, n.clock.Now())
-		n.dealLimits(n.clock.Now())
-		n.peers.word()
+		n.peers.mergeLedger(&a, 0)
+		n.peers.applyAnswer(&a, n.clock.Now())
+		n.allocateRates(n.clock.Now())
+		n.peers.statusReport()
 	})
 }
 
@@ -145,9 +145,9 @@
 			return
 		}
 		n := ableNode(NewWithT(t))
-		n.peers.learn(e)
-		n.peers.candidates(n.clock.Now())
-		if got := n.peers.possible(n.clock.Now()); got < 1 {
+		n.peers.recordNode(e)
+		n.peers.leaderCandidates(n.clock.Now())
+		if got := n.peers.possibleNodes(n.clock.Now()); got < 1 {
 			t.Fatalf("possible() = %d nodes, want at least 1", got)
 		}
 	})
@@ -159,8 +159,8 @@
 	item source.Item
 }
 
-func (s singleRecordStore) Newest(context.Context, source.Topic) (source.Tail, error) {
-	return source.Tail{Items: []source.Item{s.item}, End: 1}, nil
+func (s singleRecordStore) Newest(context.Context, source.Topic) (source.ReadResult, error) {
+	return source.ReadResult{Items: []source.Item{s.item}, NextOffset: 1}, nil
 }
 
 func FuzzKeptQuarantine(f *testing.F) {
--- a/transport/entry/peers.go
+++ b/transport/entry/peers.go
@@ -19,8 +19,8 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// wordProcedure is the path of a node's status report to the leader.
-const wordProcedure = "/troutmast.Entry/Tell"
+// statusReportProcedure is the path of a node's status report to the leader.
+const statusReportProcedure = "/troutmast.Entry/Tell"
 
 // peers holds what a node knows of the other nodes, and elects the leader among them.
 type peers struct {
@@ -29,118 +29,118 @@
 
 	mu    sync.Mutex
 	known map[string]NodeEntry
-	// contact is when each node last sent a status report to this one, or first became known to it.
-	contact map[string]time.Time
-	passed  map[string]time.Time
-	words   map[string]heardWord
-	greeted map[string]time.Time
-	clients map[string]*connect.Client[Word, Answer]
-	placing bool
-	// since is when the node last became leader.
-	since time.Time
-	// arrived reports whether any node has received requests.
-	arrived bool
-	// version is that of the leader's configuration, as of its last answer.
-	version int64
-	// feedFrom and feedVersion identify the instance changes that this node has: those of the node
-	// numbered feedFrom, up to its roster version feedVersion.
-	feedFrom    int64
+	// lastContact is when each node last sent a status report to this one, or first became known to it.
+	lastContact   map[string]time.Time
+	backoffUntil  map[string]time.Time
+	statusReports map[string]receivedReport
+	greetedAt     map[string]time.Time
+	clients       map[string]*connect.Client[StatusReport, StatusAnswer]
+	isLeader      bool
+	// leaderSince is when the node last became leader.
+	leaderSince time.Time
+	// hasRequests reports whether any node has received requests.
+	hasRequests bool
+	// leaderConfigVersion is the version of the leader's configuration, as of its last answer.
+	leaderConfigVersion int64
+	// feedNode and feedVersion identify the instance changes that this node has: those of the node
+	// numbered feedNode, up to its roster version feedVersion.
+	feedNode    int64
 	feedVersion uint64
-	// ledgerSent is the version of this node's quarantine ledger up to which the leader has it,
-	// ledgerHas the version of the leader's ledger up to which this node has it.
-	ledgerSent uint64
-	ledgerHas  uint64
-	// limitsHas is the version up to which this node has the leader's rate limits. dealtAt is when
-	// it sent its last status report to a leader that allocates rates to it. told is the number of
-	// nodes that may be running, according to the leader; 0 if the leader named none.
-	limitsHas uint64
-	dealtAt   time.Time
-	told      int
-	// complete reports whether this node knows the other nodes, from the store or from a leader.
-	complete bool
-	// resting is the time until which this node does not lead because it was overloaded.
-	resting time.Time
-	// held is the number of requests in progress from all nodes at each instance, asked the demand
-	// at all nodes. Both were computed at totalAt.
-	held    map[state.InstanceID]int
-	asked   []demand.Flow
-	totalAt time.Time
+	// ownLedgerVersion is the version of this node's quarantine ledger up to which the leader has it,
+	// leaderLedgerVersion the version of the leader's ledger up to which this node has it.
+	ownLedgerVersion    uint64
+	leaderLedgerVersion uint64
+	// leaderLimitsVersion is the version up to which this node has the leader's rate limits. allocatedAt is when
+	// it sent its last status report to a leader that allocates rates to it. leaderNodeCount is
+	// the number of nodes that may be running, according to the leader; 0 if the leader named none.
+	leaderLimitsVersion uint64
+	allocatedAt         time.Time
+	leaderNodeCount     int
+	// nodesKnown reports whether this node knows the other nodes, from the store or from a leader.
+	nodesKnown bool
+	// noLeadUntil is the time until which this node does not lead because it was overloaded.
+	noLeadUntil time.Time
+	// inProgress is the number of requests in progress from all nodes at each instance, totalDemand the
+	// demand at all nodes. Both were computed at totalsAt.
+	inProgress  map[state.InstanceID]int
+	totalDemand []demand.Flow
+	totalsAt    time.Time
 }
 
-// heardWord is the last status report of a node and when it arrived.
-type heardWord struct {
-	word Word
-	at   time.Time
+// receivedReport is the last status report of a node and when it arrived.
+type receivedReport struct {
+	report     StatusReport
+	receivedAt time.Time
 }
 
 // newPeers returns the peers of a node, none of them known yet.
 func newPeers(n *Node) *peers {
-	dialer := direct.Dialer{Timeout: n.policy.StatusTimeout, Silence: silence}
+	dialer := direct.Dialer{Timeout: n.policy.StatusTimeout, AckTimeout: ackTimeout}
 	return &peers{
-		n:       n,
-		hc:      &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: 30 * time.Second}},
-		known:   map[string]NodeEntry{},
-		contact: map[string]time.Time{},
-		passed:  map[string]time.Time{},
-		words:   map[string]heardWord{},
-		greeted: map[string]time.Time{},
-		clients: map[string]*connect.Client[Word, Answer]{},
+		n:             n,
+		hc:            &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: 30 * time.Second}},
+		known:         map[string]NodeEntry{},
+		lastContact:   map[string]time.Time{},
+		backoffUntil:  map[string]time.Time{},
+		statusReports: map[string]receivedReport{},
+		greetedAt:     map[string]time.Time{},
+		clients:       map[string]*connect.Client[StatusReport, StatusAnswer]{},
 	}
 }
 
 // self returns the node's own entry.
 func (p *peers) self() NodeEntry {
-	return NodeEntry{Name: p.n.set.Name, Address: p.n.set.Peer.String(), Hall: p.n.set.Hall, Capacity: p.n.toldCapacity(), Number: p.n.number.Load()}
+	return NodeEntry{Name: p.n.settings.Name, Address: p.n.settings.PeerAddress.String(), Hall: p.n.settings.Hall, Capacity: p.n.reportedCapacity(), Number: p.n.incarnationNumber.Load()}
 }
 
 // run sends a status report to the leader at every interval, and at once when there is news.
 func (p *peers) run(ctx context.Context) {
-	p.seed()
+	p.addSeeds()
 	for {
-		p.round(ctx)
+		p.reportToLeader(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.n.clock.After(p.n.policy.StatusInterval):
-		case <-p.n.news:
+		case <-p.n.statusRequested:
 		}
 	}
 }
 
-// seed adds the nodes that the settings name. Their names are unknown until they register.
-func (p *peers) seed() {
+// addSeeds adds the nodes that the settings name. Their names are unknown until they register.
+func (p *peers) addSeeds() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.n.set.Seeds {
-		if s != p.n.set.Peer {
+	for _, s := range p.n.settings.Seeds {
+		if s != p.n.settings.PeerAddress {
 			p.known[s.String()] = NodeEntry{Address: s.String()}
 		}
 	}
 }
 
-// follow reads the nodes' entries from the store as they are written.
-func (p *peers) follow(ctx context.Context) {
+// followNodes reads the nodes' entries from the store as they are written.
+func (p *peers) followNodes(ctx context.Context) {
 	cursor := p.n.newCursor()
 	for {
-		if cursor.From(p.n.clock.Now()) >= 0 && p.n.feed.configAge(p.n.clock.Now()) < 2*p.n.policy.FeedAge {
+		if cursor.NextOffset(p.n.clock.Now()) >= 0 && p.n.feed.configAge(p.n.clock.Now()) < 2*p.n.policy.FeedAge {
 			// The leader's answers list new nodes.
 			if !p.n.sleep(ctx, p.n.policy.FeedAge) {
 				return
 			}
 			continue
 		}
-		tail, _, err := p.n.follow(ctx, source.Nodes, cursor, p.n.policy.NodesWait)
+		tail, _, err := p.n.readNew(ctx, source.Nodes, cursor, p.n.policy.NodesWait)
 		if errors.Is(err, source.ErrTrimmed) {
 			cursor.Reset()
 		}
 		for _, item := range tail.Items {
 			var e NodeEntry
 			if json.Unmarshal(item.Value, &e) == nil {
-				p.learn(e)
+				p.recordNode(e)
 			}
 		}
-		if err == nil && tail.Whole {
-			p.setComplete()
+		if err == nil && tail.AtEnd {
+			p.setNodesKnown()
 			p.shareBudgets()
 		}
 		// Each new entry completes all waiting reads. Without a pause, nodes that start
@@ -151,16 +151,16 @@
 	}
 }
 
-// learn records a node's entry. It ignores this node's own and those without a name or a valid address.
-func (p *peers) learn(e NodeEntry) {
-	if _, err := netip.ParseAddrPort(e.Address); err != nil || e.Name == "" || e.Name == p.n.set.Name {
+// recordNode records a node's entry. It ignores this node's own and those without a name or a valid address.
+func (p *peers) recordNode(e NodeEntry) {
+	if _, err := netip.ParseAddrPort(e.Address); err != nil || e.Name == "" || e.Name == p.n.settings.Name {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.known[e.Address] = e
-	if _, known := p.contact[e.Address]; !known {
-		p.contact[e.Address] = p.n.clock.Now()
+	if _, known := p.lastContact[e.Address]; !known {
+		p.lastContact[e.Address] = p.n.clock.Now()
 	}
 }
 
@@ -172,22 +172,22 @@
 	if a.Capacity != b.Capacity {
 		return a.Capacity > b.Capacity
 	}
-	return rank(a.Address) > rank(b.Address)
+	return rendezvousHash(a.Address) > rendezvousHash(b.Address)
 }
 
-// rank returns the rendezvous hash of a node's address.
-func rank(address string) uint64 { return xxhash.Sum64String("placing\x00" + address) }
+// rendezvousHash returns the rendezvous hash of a node's address.
+func rendezvousHash(address string) uint64 { return xxhash.Sum64String("placing\x00" + address) }
 
-// candidates returns the addresses of the nodes that precede this one, in order, without those
+// leaderCandidates returns the addresses of the nodes that precede this one, in order, without those
 // in backoff. If this node cannot lead, it returns all other nodes.
-func (p *peers) candidates(now time.Time) []string {
+func (p *peers) leaderCandidates(now time.Time) []string {
 	own := p.self()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	canLead := p.mayPlace(now)
+	canLead := p.canLead(now)
 	var list []NodeEntry
 	for a, e := range p.known {
-		if a == own.Address || (canLead && precedes(own, e)) || now.Before(p.passed[a]) {
+		if a == own.Address || (canLead && precedes(own, e)) || now.Before(p.backoffUntil[a]) {
 			continue
 		}
 		list = append(list, e)
@@ -205,8 +205,8 @@
 	return addresses
 }
 
-// standby reports whether this node is the leader or one of its standbys by the order of succession.
-func (p *peers) standby() bool {
+// isStandby reports whether this node is the leader or one of its standbys by the order of succession.
+func (p *peers) isStandby() bool {
 	own := p.self()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,25 +219,25 @@
 	return before <= p.n.policy.Standbys
 }
 
-// mayPlace reports whether this node can lead, now or once LeadAfter has passed since its
+// canLead reports whether this node can lead, now or once LeadAfter has passed since its
 // start. The nodes that it precedes wait for it during that time instead of leading
 // themselves. The caller holds p.mu.
-func (p *peers) mayPlace(now time.Time) bool {
-	return !p.n.stopping.Load() && p.n.number.Load() > 0 && p.n.know.Catalog() != nil && !p.behindOthers() && !p.slowerThanOthers(now)
+func (p *peers) canLead(now time.Time) bool {
+	return !p.n.stopping.Load() && p.n.incarnationNumber.Load() > 0 && p.n.configState.Catalog() != nil && !p.isBehindOthers() && !p.isSlowerThanOthers(now)
 }
 
-// slowerThanOthers reports whether this node is overloaded and another one is not, or was so
-// within LateRest. The caller holds p.mu.
-func (p *peers) slowerThanOthers(now time.Time) bool {
-	if now.Before(p.resting) {
+// isSlowerThanOthers reports whether this node is overloaded and another one is not, or was so
+// within OverloadBackoff. The caller holds p.mu.
+func (p *peers) isSlowerThanOthers(now time.Time) bool {
+	if now.Before(p.noLeadUntil) {
 		return true
 	}
-	if !p.n.health.Overloaded(now) {
+	if !p.n.localHealth.Overloaded(now) {
 		return false
 	}
-	for _, h := range p.words {
-		if now.Sub(h.at) < p.n.policy.NodeTimeout && !h.word.Late {
-			p.resting = now.Add(p.n.policy.LateRest)
+	for _, h := range p.statusReports {
+		if now.Sub(h.receivedAt) < p.n.policy.NodeTimeout && !h.report.IsOverloaded {
+			p.noLeadUntil = now.Add(p.n.policy.OverloadBackoff)
 			p.n.Count("placing.rested")
 			return true
 		}
@@ -245,120 +245,120 @@
 	return false
 }
 
-// behindOthers reports whether this node cannot read the store while another one recently could.
+// isBehindOthers reports whether this node cannot read the store while another one recently could.
 // The caller holds p.mu.
-func (p *peers) behindOthers() bool {
-	stale := p.n.storeStale()
+func (p *peers) isBehindOthers() bool {
+	stale := p.n.staleStoreAge()
 	if p.n.storeAge() < stale {
 		return false
 	}
-	for _, h := range p.words {
-		if p.n.clock.Since(h.at) < p.n.policy.NodeTimeout && time.Duration(h.word.StoreMS)*time.Millisecond < stale {
+	for _, h := range p.statusReports {
+		if p.n.clock.Since(h.receivedAt) < p.n.policy.NodeTimeout && time.Duration(h.report.StoreAgeMS)*time.Millisecond < stale {
 			return true
 		}
 	}
 	return false
 }
 
-// storeStale returns the age of its last read of the store from which on a node counts as cut
+// staleStoreAge returns the age of its last read of the store from which on a node counts as cut
 // off from the store. Where keys are trusted only for a limited time, another node must take
 // over and relay the configuration well before that time ends.
-func (n *Node) storeStale() time.Duration {
-	if n.set.StrictKeys {
-		return min(n.policy.StoreStale, n.set.KeysWithin/3)
+func (n *Node) staleStoreAge() time.Duration {
+	if n.settings.StrictKeys {
+		return min(n.policy.StoreStale, n.settings.MaxKeyAge/3)
 	}
 	return n.policy.StoreStale
 }
 
-// round sends a status report to the preceding nodes in order until one answers as leader. If
+// reportToLeader sends a status report to the preceding nodes in order until one answers as leader. If
 // none does, this node leads, provided that it can.
-func (p *peers) round(ctx context.Context) {
+func (p *peers) reportToLeader(ctx context.Context) {
 	p.shareBudgets()
-	for _, address := range p.candidates(p.n.clock.Now()) {
+	for _, address := range p.leaderCandidates(p.n.clock.Now()) {
 		sentAt := p.n.clock.Now()
-		ans, err := p.tell(ctx, address)
-		if err == nil && ans.Placing {
-			p.setPlacing(false)
-			p.take(ans, sentAt)
+		ans, err := p.sendStatusReport(ctx, address)
+		if err == nil && ans.CanLead {
+			p.setLeader(false)
+			p.applyAnswer(ans, sentAt)
 			return
 		}
 		if err == nil {
 			// A node that does not lead still relays a valid configuration.
-			p.takeConfig(ans, sentAt)
+			p.applyConfig(ans, sentAt)
 		}
-		p.pass(address, err == nil)
+		p.startBackoff(address, err == nil)
 	}
 	p.mu.Lock()
-	canLead := p.mayPlace(p.n.clock.Now()) && p.n.clock.Since(p.n.started) > p.n.policy.LeadAfter
+	canLead := p.canLead(p.n.clock.Now()) && p.n.clock.Since(p.n.started) > p.n.policy.LeadAfter
 	p.mu.Unlock()
-	p.setPlacing(canLead)
+	p.setLeader(canLead)
 	if canLead {
-		p.greet(ctx)
-		p.n.setLoads(p.total())
+		p.greetSilentNodes(ctx)
+		p.n.setLoads(p.totals())
 	}
 }
 
-// greet sends status reports to a few nodes from which none arrived within NodeTimeout. A node
+// greetSilentNodes sends status reports to a few nodes from which none arrived within NodeTimeout. A node
 // that has not read the store since this one registered does not know of it otherwise.
-func (p *peers) greet(ctx context.Context) {
+func (p *peers) greetSilentNodes(ctx context.Context) {
 	now := p.n.clock.Now()
-	own := p.n.set.Peer.String()
+	own := p.n.settings.PeerAddress.String()
 	var silent []string
 	p.mu.Lock()
 	reporting := map[string]bool{}
-	for _, h := range p.words {
-		reporting[h.word.From.Address] = now.Sub(h.at) < p.n.policy.NodeTimeout
+	for _, h := range p.statusReports {
+		reporting[h.report.From.Address] = now.Sub(h.receivedAt) < p.n.policy.NodeTimeout
 	}
 	for a := range p.known {
-		if a != own && !reporting[a] && now.Sub(p.greeted[a]) > p.n.policy.GreetInterval && len(silent) < p.n.policy.GreetAtOnce {
-			p.greeted[a] = now
+		if a != own && !reporting[a] && now.Sub(p.greetedAt[a]) > p.n.policy.GreetInterval && len(silent) < p.n.policy.MaxGreetings {
+			p.greetedAt[a] = now
 			silent = append(silent, a)
 		}
 	}
 	p.mu.Unlock()
 	for _, a := range silent {
-		go func() { _, _ = p.tell(ctx, a) }()
+		go func() { _, _ = p.sendStatusReport(ctx, a) }()
 	}
 }
 
-// pass starts the backoff of a node that cannot be used as leader. It is shorter for a node that
+// startBackoff starts the backoff of a node that cannot be used as leader. It is shorter for a node that
 // answered and does not lead.
-func (p *peers) pass(address string, answered bool) {
+func (p *peers) startBackoff(address string, answered bool) {
 	until := p.n.clock.Now().Add(p.n.policy.UnreachableBackoff)
 	if answered {
 		until = p.n.clock.Now().Add(p.n.policy.NotLeadingBackoff)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.passed[address] = until
+	p.backoffUntil[address] = until
 }
 
-// setPlacing records whether this node leads. A new leader reads the instance list at once.
-func (p *peers) setPlacing(leading bool) {
+// setLeader records whether this node leads. A new leader reads the instance list at once.
+func (p *peers) setLeader(leading bool) {
 	p.mu.Lock()
-	wasLeading := p.placing
-	p.placing = leading
+	wasLeading := p.isLeader
+	p.isLeader = leading
 	if leading && !wasLeading {
-		p.since = p.n.clock.Now()
+		p.leaderSince = p.n.clock.Now()
 	}
 	p.mu.Unlock()
 	if leading && !wasLeading {
-		p.n.readListNow()
+		p.n.requestListRead()
 	}
 	if leading != wasLeading {
 		p.n.log.WithField("placing", leading).Info("leadership changed")
 	}
 }
 
-// isPlacing reports whether this node leads, and when it last became leader.
-func (p *peers) isPlacing() (bool, time.Time) {
+// leadership reports whether this node leads, and when it last became leader.
+func (p *peers) leadership() (bool, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.placing, p.since
+	return p.isLeader, p.leaderSince
 }
 
-// named returns all nodes whose names are known, including this one.
-func (p *peers) named() []NodeEntry {
+// namedNodes returns all nodes whose names are known, including this one.
+func (p *peers) namedNodes() []NodeEntry {
 	list := []NodeEntry{p.self()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -370,34 +370,34 @@
 	return list
 }
 
-// total returns the number of requests in progress from all nodes at each instance, and the
+// totals returns the number of requests in progress from all nodes at each instance, and the
 // demand at all nodes. Both are cached for SumInterval and must not be modified.
-func (p *peers) total() (map[state.InstanceID]int, []demand.Flow) {
+func (p *peers) totals() (map[state.InstanceID]int, []demand.Flow) {
 	now := p.n.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.held != nil && now.Sub(p.totalAt) < p.n.policy.SumInterval {
-		return p.held, p.asked
+	if p.inProgress != nil && now.Sub(p.totalsAt) < p.n.policy.SumInterval {
+		return p.inProgress, p.totalDemand
 	}
-	inProgress := p.n.table.Held()
+	inProgress := p.n.table.InFlight()
 	flows := [][]demand.Flow{p.n.demand.Flows(now)}
-	for name, h := range p.words {
-		if now.Sub(h.at) > p.n.policy.NodeTimeout {
-			delete(p.words, name)
+	for name, h := range p.statusReports {
+		if now.Sub(h.receivedAt) > p.n.policy.NodeTimeout {
+			delete(p.statusReports, name)
 			continue
 		}
-		for id, n := range h.word.Held {
+		for id, n := range h.report.InProgress {
 			inProgress[id] += n
 		}
-		flows = append(flows, h.word.Demand)
+		flows = append(flows, h.report.Demand)
 	}
-	p.held, p.asked, p.totalAt = inProgress, demand.Sum(flows...), now
-	return p.held, p.asked
+	p.inProgress, p.totalDemand, p.totalsAt = inProgress, demand.Sum(flows...), now
+	return p.inProgress, p.totalDemand
 }
 
-// anyArrived reports whether any node has received requests.
-func (p *peers) anyArrived() bool {
+// anyRequests reports whether any node has received requests.
+func (p *peers) anyRequests() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.arrived || p.n.gate.RequestCount() > 0
+	return p.hasRequests || p.n.gateway.RequestCount() > 0
 }
--- a/transport/entry/peers_test.go
+++ b/transport/entry/peers_test.go
@@ -35,16 +35,16 @@
 
 // newTestNode returns a node with a capacity of one core that is not running.
 func newTestNode() *Node {
-	set := &Settings{Name: "own", Hall: "hall", Peer: testAddress(1), Capacity: 1, KeysWithin: time.Second, Policy: DefaultPolicy()}
+	set := &Settings{Name: "own", Hall: "hall", PeerAddress: testAddress(1), Capacity: 1, MaxKeyAge: time.Second, Policy: DefaultPolicy()}
 	return New(set, Ports{Decoder: anyConfiguration{}}, clockwork.NewFakeClock(), &log.Logger{Handler: discard.New()})
 }
 
 // ableNode returns a node that is not running, but knows all that a leader needs.
 func ableNode(g *WithT) *Node {
 	n := newTestNode()
-	n.number.Store(1)
-	g.Expect(n.know.Learn([]byte("x"))).Error().NotTo(HaveOccurred())
-	n.storeRead(n.clock.Now())
+	n.incarnationNumber.Store(1)
+	g.Expect(n.configState.Apply([]byte("x"))).Error().NotTo(HaveOccurred())
+	n.recordStoreRead(n.clock.Now())
 	return n
 }
 
@@ -54,11 +54,11 @@
 	var all []NodeEntry
 	for i, capacity := range []float64{0.2, 0.8, 0, 0.8, 0.2} {
 		e := NodeEntry{Name: string(rune('a' + i)), Address: testAddress(2 + i).String(), Capacity: capacity}
-		n.peers.learn(e)
+		n.peers.recordNode(e)
 		all = append(all, e)
 	}
 	var order []float64
-	for _, address := range n.peers.candidates(n.clock.Now()) {
+	for _, address := range n.peers.leaderCandidates(n.clock.Now()) {
 		i := slices.IndexFunc(all, func(e NodeEntry) bool { return e.Address == address })
 		order = append(order, all[i].Capacity)
 	}
@@ -78,11 +78,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			n := ableNode(g)
-			n.peers.learn(NodeEntry{Name: "a", Address: testAddress(2).String()})
-			report := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}, Nodes: c.knownNodes}
-			resp, err := n.peers.answer(context.Background(), connect.NewRequest(report))
+			n.peers.recordNode(NodeEntry{Name: "a", Address: testAddress(2).String()})
+			report := &StatusReport{From: NodeEntry{Name: "b", Address: testAddress(3).String()}, NodeCount: c.knownNodes}
+			resp, err := n.peers.handleStatusReport(context.Background(), connect.NewRequest(report))
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(resp.Msg.Placing).To(BeTrue())
+			g.Expect(resp.Msg.CanLead).To(BeTrue())
 			g.Expect(len(resp.Msg.Nodes) > 0).To(Equal(c.listed))
 		})
 	}
@@ -91,14 +91,14 @@
 func TestLateNodeDoesNotLeadIfAnotherIsOnTime(t *testing.T) {
 	g := NewWithT(t)
 	n := ableNode(g)
-	canLead := func() bool { return n.peers.mayPlace(n.clock.Now()) }
+	canLead := func() bool { return n.peers.canLead(n.clock.Now()) }
 	for range 8 {
-		n.health.RecordDelay(100*time.Millisecond, n.clock.Now())
+		n.localHealth.RecordDelay(100*time.Millisecond, n.clock.Now())
 	}
 	g.Expect(canLead()).To(BeTrue(), "no other node is known to run on time")
-	n.peers.words["b"] = heardWord{word: Word{Late: true}, at: n.clock.Now()}
+	n.peers.statusReports["b"] = receivedReport{report: StatusReport{IsOverloaded: true}, receivedAt: n.clock.Now()}
 	g.Expect(canLead()).To(BeTrue())
-	n.peers.words["c"] = heardWord{word: Word{}, at: n.clock.Now()}
+	n.peers.statusReports["c"] = receivedReport{report: StatusReport{}, receivedAt: n.clock.Now()}
 	g.Expect(canLead()).To(BeFalse())
 }
 
@@ -107,12 +107,12 @@
 func TestNonLeaderAnswersWithConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	n := ableNode(g)
-	n.know.Confirm(n.clock.Now())
-	n.peers.resting = n.clock.Now().Add(time.Second)
-	report := &Word{From: NodeEntry{Name: "b", Address: testAddress(3).String()}}
-	resp, err := n.peers.answer(context.Background(), connect.NewRequest(report))
+	n.configState.RecordConfirmation(n.clock.Now())
+	n.peers.noLeadUntil = n.clock.Now().Add(time.Second)
+	report := &StatusReport{From: NodeEntry{Name: "b", Address: testAddress(3).String()}}
+	resp, err := n.peers.handleStatusReport(context.Background(), connect.NewRequest(report))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(resp.Msg.Placing).To(BeFalse())
+	g.Expect(resp.Msg.CanLead).To(BeFalse())
 	g.Expect(resp.Msg.Config).NotTo(BeEmpty())
-	g.Expect(resp.Msg.AgeMS).To(BeZero())
+	g.Expect(resp.Msg.ConfigAgeMS).To(BeZero())
 }
--- a/transport/entry/placer.go
+++ b/transport/entry/placer.go
@@ -17,128 +17,127 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// placer forms and repairs the groups of all engine services while this node is the leader.
-type placer struct {
-	n *Node
+// placementController forms and repairs the groups of all engine services while this node is the leader.
+type placementController struct {
+	node *Node
 
-	mu       sync.Mutex
-	planners map[state.ServiceName]*placement.Planner
-	epochs   *placement.EpochGenerator
-	avoid    []Formation
-	asking   map[state.InstanceID]bool
-	asked    map[state.InstanceID]time.Time
-	wake     chan struct{}
-	// staging holds the loads of models to hosts that are in progress, by service. They come from
+	mu             sync.Mutex
+	planners       map[state.ServiceName]*placement.Planner
+	epochs         *placement.EpochGenerator
+	excludedGroups []GroupEpoch
+	probing        map[state.InstanceID]bool
+	probedAt       map[state.InstanceID]time.Time
+	wakeup         chan struct{}
+	// stagingsByService holds the loads of models to hosts that are in progress, by service. They come from
 	// this node's planners while it is the leader, otherwise from the leader.
-	staging map[state.ServiceName][]placement.Staging
-	// told is when the supply of instances was last logged.
-	told time.Time
+	stagingsByService map[state.ServiceName][]placement.Staging
+	// supplyLoggedAt is when the supply of instances was last logged.
+	supplyLoggedAt time.Time
 }
 
-// newPlacer returns the placer of a node.
-func newPlacer(n *Node) *placer {
-	return &placer{
-		n:        n,
+func newPlacementController(n *Node) *placementController {
+	return &placementController{
+		node:     n,
 		planners: map[state.ServiceName]*placement.Planner{},
-		asking:   map[state.InstanceID]bool{},
-		asked:    map[state.InstanceID]time.Time{},
-		wake:     make(chan struct{}, 1),
+		probing:  map[state.InstanceID]bool{},
+		probedAt: map[state.InstanceID]time.Time{},
+		wakeup:   make(chan struct{}, 1),
 	}
 }
 
 // run steps the planners while this node is the leader.
-func (p *placer) run(ctx context.Context) {
+func (p *placementController) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.n.clock.After(p.n.policy.PlanInterval):
-		case <-p.wake:
+		case <-p.node.clock.After(p.node.policy.PlanInterval):
+		case <-p.wakeup:
 		}
-		leading, since := p.n.peers.isPlacing()
-		c := p.n.know.Catalog()
+		leading, since := p.node.peers.leadership()
+		c := p.node.configState.Catalog()
 		if !leading || c == nil {
-			p.rest()
+			p.reset()
 			continue
 		}
-		if !p.n.sleep(ctx, p.pause(p.step(ctx, c, since))) {
+		if !p.node.sleep(ctx, p.pauseAfter(p.step(ctx, c, since))) {
 			return
 		}
 	}
 }
 
-// pause returns the time to wait after a step that took the given time. Each answer of an instance
+// pauseAfter returns the time to wait after a step that took the given time. Each answer of an instance
 // requests a step: without a pause, a leader of 296 instances ran 250 to 420 steps per second, which
 // used all of its CPU and made its own probes time out.
-func (p *placer) pause(took time.Duration) time.Duration {
-	rest := time.Duration(float64(took) * (1/p.n.policy.PlanPart - 1))
-	return max(rest, p.n.policy.PlanPause)
+func (p *placementController) pauseAfter(took time.Duration) time.Duration {
+	rest := time.Duration(float64(took) * (1/p.node.policy.MaxPlanFraction - 1))
+	return max(rest, p.node.policy.PlanPause)
 }
 
-// rest discards all planning state, since another node is the leader.
-func (p *placer) rest() {
-	p.n.load.reset()
+// reset discards all planning state, since another node is the leader.
+func (p *placementController) reset() {
+	p.node.leaderLoad.reset()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.planners)
-	p.avoid = nil
+	p.excludedGroups = nil
 }
 
 // step runs each engine service's planner once and returns the time that took.
-func (p *placer) step(ctx context.Context, c *catalog.Catalog, since time.Time) time.Duration {
-	now := p.n.clock.Now()
-	var excluded []Formation
+func (p *placementController) step(ctx context.Context, c *catalog.Catalog, since time.Time) time.Duration {
+	now := p.node.clock.Now()
+	var excluded []GroupEpoch
 	staging := map[state.ServiceName][]placement.Staging{}
 	inTransition := false
-	_, flows := p.n.peers.total()
+	_, flows := p.node.peers.totals()
 	for _, s := range c.Services {
 		if s.Engine == nil {
 			continue
 		}
 		planner := p.planner(s)
-		planner.BeforeTraffic = p.n.set.FirstStart && !p.n.peers.anyArrived()
-		planner.Demand = p.n.set.Policy.Demand.WorkOf(s.Name, s.Engine, flows)
-		members := p.n.roster.Members(s.Name, since, now)
+		planner.BeforeTraffic = p.node.settings.IsFirstStart && !p.node.peers.anyRequests()
+		planner.Demand = p.node.settings.Policy.Demand.OccupiedSlots(s.Name, s.Engine, flows)
+		members := p.node.roster.Members(s.Name, since, now)
 		plan := planner.Step(now, members)
 		staging[s.Name] = planner.Stagings()
 		for key := range plan.ExcludedGroups {
-			excluded = append(excluded, Formation{Group: key.Group, Epoch: key.Epoch})
+			excluded = append(excluded, GroupEpoch{Group: key.Group, Epoch: key.Epoch})
 		}
 		inTransition = inTransition || plan.InTransition
-		p.tell(now, s.Name, plan, len(members))
-		p.n.roster.SetMaxReportLag(s.Engine.ReportLag + p.n.policy.ReportMargin)
-		p.carryOut(ctx, members, plan)
+		p.logSupply(now, s.Name, plan, len(members))
+		p.node.roster.SetMaxReportLag(s.Engine.MaxReportAge + p.node.policy.ReportMargin)
+		p.executePlan(ctx, members, plan)
 	}
-	for _, m := range p.n.roster.ProbeCandidates(now) {
+	for _, m := range p.node.roster.ProbeCandidates(now) {
 		if s := c.Services[m.Service]; s != nil && s.Engine != nil {
-			p.askEvery(ctx, m, p.n.policy.DoubtInterval)
+			p.probeAtInterval(ctx, m, p.node.policy.SuspectProbeInterval)
 		}
 	}
 	p.mu.Lock()
-	p.avoid, p.staging = excluded, staging
+	p.excludedGroups, p.stagingsByService = excluded, staging
 	p.mu.Unlock()
-	p.n.setAvoid(excluded)
-	p.n.readListSoon(inTransition)
-	took := p.n.clock.Since(now)
-	p.n.load.step(took)
+	p.node.setExcluded(excluded)
+	p.node.setFrequentListReads(inTransition)
+	took := p.node.clock.Since(now)
+	p.node.leaderLoad.recordStep(took)
 	return took
 }
 
-// tell logs the groups and instances of a service, at most once per NodePolicy.SupplyLogInterval
+// logSupply logs the groups and instances of a service, at most once per NodePolicy.SupplyLogInterval
 // for all services together.
-func (p *placer) tell(now time.Time, service state.ServiceName, plan placement.Plan, instances int) {
-	if now.Sub(p.told) < p.n.policy.SupplyLogInterval {
+func (p *placementController) logSupply(now time.Time, service state.ServiceName, plan placement.Plan, instances int) {
+	if now.Sub(p.supplyLoggedAt) < p.node.policy.SupplyLogInterval {
 		return
 	}
-	p.told = now
-	p.n.log.WithFields(log.Fields{
-		"service": service, "groups": plan.OpenGroups, "wanted": plan.DesiredInstances, "kept": plan.Skipped, "free": plan.FreeInstances, "spares": plan.SpareDescriptions, "instances": instances, "failing": avoidedText(plan.ExcludedGroups),
+	p.supplyLoggedAt = now
+	p.node.log.WithFields(log.Fields{
+		"service": service, "groups": plan.OpenGroups, "wanted": plan.DesiredInstances, "kept": plan.Skipped, "free": plan.FreeInstances, "spares": plan.SpareDescriptions, "instances": instances, "failing": describeExcluded(plan.ExcludedGroups),
 	}).Info("supply")
-	p.n.log.WithFields(p.n.load.fields()).Info("leader load")
+	p.node.log.WithFields(p.node.leaderLoad.takeFields()).Info("leader load")
 }
 
-// avoidedText describes groups that receive no requests, with the reasons.
-func avoidedText(excluded map[fleet.GroupKey]string) []string {
+// describeExcluded describes groups that receive no requests, with the reasons.
+func describeExcluded(excluded map[fleet.GroupKey]string) []string {
 	list := make([]string, 0, len(excluded))
 	for key, reason := range excluded {
 		list = append(list, string(key.Group)+": "+reason)
@@ -148,13 +147,13 @@
 }
 
 // planner returns the planner of a service, and creates it if there is none.
-func (p *placer) planner(s *catalog.Service) *placement.Planner {
+func (p *placementController) planner(s *catalog.Service) *placement.Planner {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pl := p.planners[s.Name]
 	if pl == nil {
-		pl = placement.NewPlanner(s.Engine, p.n.set.Policy.Placement, p.nextEpoch)
-		pl.RecordStagings(p.staging[s.Name])
+		pl = placement.NewPlanner(s.Engine, p.node.settings.Policy.Placement, p.nextEpoch)
+		pl.RecordStagings(p.stagingsByService[s.Name])
 		p.planners[s.Name] = pl
 	}
 	pl.SetEngine(s.Engine)
@@ -162,21 +161,21 @@
 }
 
 // stagings returns the loads of models to hosts that are in progress, in the form sent to other nodes.
-func (p *placer) stagings(now time.Time) []Staging {
+func (p *placementController) stagings(now time.Time) []Staging {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []Staging
-	for service, stagings := range p.staging {
+	for service, stagings := range p.stagingsByService {
 		for _, st := range stagings {
-			list = append(list, Staging{Service: service, Instance: st.Instance, Model: st.Model, AgeMS: age(now.Sub(st.StartedAt))})
+			list = append(list, Staging{Service: service, Instance: st.Instance, Model: st.Model, AgeMS: ceilMS(now.Sub(st.StartedAt))})
 		}
 	}
 	return list
 }
 
-// handOver records the loads in progress from the leader's answer to a status report sent at a time,
+// recordStagings records the loads in progress from the leader's answer to a status report sent at a time,
 // in case this node becomes the next leader.
-func (p *placer) handOver(list []Staging, sentAt time.Time) {
+func (p *placementController) recordStagings(list []Staging, sentAt time.Time) {
 	byService := map[state.ServiceName][]placement.Staging{}
 	for _, st := range list {
 		since := sentAt.Add(-time.Duration(st.AgeMS) * time.Millisecond)
@@ -184,33 +183,33 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.staging = byService
+	p.stagingsByService = byService
 }
 
 // nextEpoch returns an epoch above seen that no other incarnation of a node generates.
-func (p *placer) nextEpoch(seen state.Epoch) state.Epoch {
+func (p *placementController) nextEpoch(seen state.Epoch) state.Epoch {
 	p.mu.Lock()
-	epochs := p.makeEpochs()
+	epochs := p.epochGeneratorLocked()
 	p.mu.Unlock()
 	return epochs.Next(seen)
 }
 
-// makeEpochs returns the node's epoch generator, and creates it if there is none. p.mu is held.
-func (p *placer) makeEpochs() *placement.EpochGenerator {
+// epochGeneratorLocked returns the node's epoch generator, and creates it if there is none. p.mu is held.
+func (p *placementController) epochGeneratorLocked() *placement.EpochGenerator {
 	if p.epochs == nil {
-		p.epochs = placement.NewEpochGenerator(source.Era(p.n.number.Load()), source.Offset(p.n.number.Load()))
+		p.epochs = placement.NewEpochGenerator(source.Era(p.node.incarnationNumber.Load()), source.Offset(p.node.incarnationNumber.Load()))
 	}
 	return p.epochs
 }
 
-// observe records the newest epoch that instances reported. If behind is set, an instance has seen an
+// observeEpoch records the newest epoch that instances reported. If behind is set, an instance has seen an
 // epoch unknown to this node, and the generator skips ahead.
-func (p *placer) observe(seen state.Epoch, behind bool) {
-	if p.n.number.Load() == 0 {
+func (p *placementController) observeEpoch(seen state.Epoch, behind bool) {
+	if p.node.incarnationNumber.Load() == 0 {
 		return
 	}
 	p.mu.Lock()
-	epochs := p.makeEpochs()
+	epochs := p.epochGeneratorLocked()
 	p.mu.Unlock()
 	epochs.Observe(seen)
 	if behind {
@@ -218,40 +217,40 @@
 	}
 }
 
-// carryOut sends the orders and probes of a plan.
-func (p *placer) carryOut(ctx context.Context, members []placement.Member, plan placement.Plan) {
+// executePlan sends the orders and probes of a plan.
+func (p *placementController) executePlan(ctx context.Context, members []placement.Member, plan placement.Plan) {
 	byID := make(map[state.InstanceID]*placement.Member, len(members))
 	for i := range members {
 		byID[members[i].ID] = &members[i]
 	}
 	for _, o := range plan.Orders {
-		incarnation := p.n.roster.BeginOrder(o.Instance)
-		go p.order(ctx, o, incarnation)
+		incarnation := p.node.roster.BeginOrder(o.Instance)
+		go p.sendOrder(ctx, o, incarnation)
 	}
 	for _, id := range plan.Probes {
 		if m := byID[id]; m != nil {
-			p.askOnce(ctx, m.Instance)
+			p.probeOnce(ctx, m.Instance)
 		}
 	}
 }
 
-// order sends an order to an incarnation of an instance and records the reply.
-func (p *placer) order(ctx context.Context, o placement.Order, incarnation roster.IncarnationNumber) {
-	callCtx, cancel := context.WithTimeout(ctx, p.n.policy.OrderTimeout)
+// sendOrder sends an order to an incarnation of an instance and records the reply.
+func (p *placementController) sendOrder(ctx context.Context, o placement.Order, incarnation roster.IncarnationNumber) {
+	callCtx, cancel := context.WithTimeout(ctx, p.node.policy.OrderTimeout)
 	defer cancel()
-	began := p.n.clock.Now()
-	in := p.n.instance(o.Instance)
-	p.n.cooldowns.RecordOrder(in.Incarnation(), began)
-	p.n.limits.RecordOrder(in.Incarnation(), began)
-	ans, err := p.n.ports.Targets.Order(callCtx, o, p.n.connectionTo(o.Instance))
-	p.n.RecordNotice(&in, ans.Notice, "", began)
+	began := p.node.clock.Now()
+	in := p.node.instance(o.Instance)
+	p.node.cooldowns.RecordOrder(in.Incarnation(), began)
+	p.node.limits.RecordOrder(in.Incarnation(), began)
+	ans, err := p.node.ports.Target.Order(callCtx, o, p.node.connectionTo(o.Instance))
+	p.node.RecordNotice(&in, ans.Notice, "", began)
 	reply := ans.Reply
-	p.n.roster.RecordOrderReply(o, incarnation, reply, p.n.clock.Now())
-	p.observe(0, reply == placement.Superseded)
-	p.n.Count("order." + string(o.Action) + "." + string(reply))
+	p.node.roster.RecordOrderReply(o, incarnation, reply, p.node.clock.Now())
+	p.observeEpoch(0, reply == placement.Superseded)
+	p.node.Count("order." + string(o.Action) + "." + string(reply))
 	fields := log.Fields{
 		"action": o.Action, "instance": o.Instance, "group": o.Key.Group, "epoch": o.Key.Epoch, "model": o.Model,
-		"why": o.Reason, "reply": reply, "ms": p.n.clock.Since(began).Milliseconds(),
+		"why": o.Reason, "reply": reply, "ms": p.node.clock.Since(began).Milliseconds(),
 	}
 	if err != nil {
 		fields["error"] = err.Error()
@@ -259,80 +258,80 @@
 	if o.ExpectedOrders != nil {
 		fields["expect"] = *o.ExpectedOrders
 	}
-	p.n.log.WithFields(fields).Info("order")
+	p.node.log.WithFields(fields).Info("order")
 	switch {
 	case errors.Is(err, placement.ErrAddressReused):
-		p.n.RecordReplaced(o.Instance)
-	case reply == placement.Unanswered && !p.n.delayed(callCtx, began, p.n.policy.OrderTimeout):
-		p.n.roster.RecordFailure(o.Instance, began)
+		p.node.RecordReplaced(o.Instance)
+	case reply == placement.Unanswered && !p.node.isInconclusive(callCtx, began, p.node.policy.OrderTimeout):
+		p.node.roster.RecordFailure(o.Instance, began)
 	}
-	p.stir()
+	p.wakePlanner()
 }
 
-// stir requests a step of the planners as soon as the pause after the last one has elapsed.
-func (p *placer) stir() {
+// wakePlanner requests a step of the planners as soon as the pause after the last one has elapsed.
+func (p *placementController) wakePlanner() {
 	select {
-	case p.wake <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// askOnce probes an instance unless a probe is in flight or was sent within NodePolicy.ProbeInterval.
-func (p *placer) askOnce(ctx context.Context, m fleet.Instance) {
-	p.askEvery(ctx, m, p.n.policy.ProbeInterval)
+// probeOnce probes an instance unless a probe is in flight or was sent within NodePolicy.ProbeInterval.
+func (p *placementController) probeOnce(ctx context.Context, m fleet.Instance) {
+	p.probeAtInterval(ctx, m, p.node.policy.ProbeInterval)
 }
 
-// askEvery probes an instance in the background unless a probe to it is in flight or was sent within
+// probeAtInterval probes an instance in the background unless a probe to it is in flight or was sent within
 // an interval, too many probes are in flight, or the instance's rate limit forbids it.
-func (p *placer) askEvery(ctx context.Context, m fleet.Instance, interval time.Duration) {
-	now := p.n.clock.Now()
+func (p *placementController) probeAtInterval(ctx context.Context, m fleet.Instance, interval time.Duration) {
+	now := p.node.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.asking) >= p.n.policy.ProbesAtOnce || p.asking[m.ID] || now.Sub(p.asked[m.ID]) < interval {
+	if len(p.probing) >= p.node.policy.MaxProbes || p.probing[m.ID] || now.Sub(p.probedAt[m.ID]) < interval {
 		return
 	}
-	if !p.n.limits.CanProbe(m.Incarnation(), p.n.asker(m.ID), now) {
+	if !p.node.limits.CanProbe(m.Incarnation(), p.node.probeRequest(m.ID), now) {
 		return
 	}
-	p.asking[m.ID], p.asked[m.ID] = true, now
+	p.probing[m.ID], p.probedAt[m.ID] = true, now
 	go func() {
-		p.askAround(ctx, m, now)
+		p.probeWithPeers(ctx, m, now)
 		p.mu.Lock()
-		delete(p.asking, m.ID)
+		delete(p.probing, m.ID)
 		p.mu.Unlock()
-		p.stir()
+		p.wakePlanner()
 	}()
 }
 
-// askAround probes an instance. If an indirect probe is due because earlier probes failed, it asks
+// probeWithPeers probes an instance. If an indirect probe is due because earlier probes failed, it asks
 // other nodes at the same time whether they reach it: an instance that only one node cannot reach is
 // not lost.
-func (p *placer) askAround(ctx context.Context, m fleet.Instance, now time.Time) {
+func (p *placementController) probeWithPeers(ctx context.Context, m fleet.Instance, now time.Time) {
 	var wg sync.WaitGroup
-	if p.n.roster.IndirectProbeDue(m.ID, now) {
-		wg.Go(func() { p.n.peers.askAbout(ctx, m, now) })
+	if p.node.roster.IndirectProbeDue(m.ID, now) {
+		wg.Go(func() { p.node.peers.probeIndirectly(ctx, m, now) })
 	}
-	p.n.report(ctx, m, now)
+	p.node.probeAndRecord(ctx, m, now)
 	wg.Wait()
 }
 
-// suspect records that an instance did not answer another node, and probes it from this node. It
+// recordPeerSuspicion records that an instance did not answer another node, and probes it from this node. It
 // does nothing unless this node is the leader.
-func (p *placer) suspect(id state.InstanceID, failedAt time.Time) {
-	if leading, _ := p.n.peers.isPlacing(); !leading {
+func (p *placementController) recordPeerSuspicion(id state.InstanceID, failedAt time.Time) {
+	if leading, _ := p.node.peers.leadership(); !leading {
 		return
 	}
-	v, ok := p.n.roster.Get(id, p.n.clock.Now())
+	v, ok := p.node.roster.Get(id, p.node.clock.Now())
 	if !ok || v.Unreachable {
 		return
 	}
-	p.n.roster.RecordFailure(id, failedAt)
-	p.askOnce(context.Background(), v.Instance)
+	p.node.roster.RecordFailure(id, failedAt)
+	p.probeOnce(context.Background(), v.Instance)
 }
 
-// avoiding returns the groups, each at one epoch, that must not receive new requests.
-func (p *placer) avoiding() []Formation {
+// excluded returns the groups, each at one epoch, that must not receive new requests.
+func (p *placementController) excluded() []GroupEpoch {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.avoid
+	return p.excludedGroups
 }
--- a/transport/entry/policy.go
+++ b/transport/entry/policy.go
@@ -35,31 +35,31 @@
 	// PlanInterval is the time between two steps of the planner.
 	PlanInterval time.Duration `flag:"plan-interval" help:"time between two steps of the planner" min:"10ms" max:"1m"`
 	// PlanPause is the minimum time between two steps of the planner, also when answers of
-	// instances trigger one. PlanPart is the maximum fraction of the leader's time that steps may
+	// instances trigger one. MaxPlanFraction is the maximum fraction of the leader's time that steps may
 	// take. A step for 296 instances takes up to 5 ms on 0.8 of a core, so that steps take at
 	// most a sixth of the time.
-	PlanPause time.Duration `flag:"plan-pause" help:"minimum time between two steps of the planner" min:"0s" max:"10s"`
-	PlanPart  float64       `flag:"plan-part" help:"maximum fraction of the leader's time that steps of the planner may take" min:"0.01" max:"1"`
+	PlanPause       time.Duration `flag:"plan-pause" help:"minimum time between two steps of the planner" min:"0s" max:"10s"`
+	MaxPlanFraction float64       `flag:"plan-part" help:"maximum fraction of the leader's time that steps of the planner may take" min:"0.01" max:"1"`
 	// OrderTimeout is the timeout of an order to an instance.
 	OrderTimeout time.Duration `flag:"order-timeout" help:"timeout of an order to an instance" min:"10ms" max:"1m"`
-	// DoubtInterval is the minimum time between two probes of an instance that may have ended.
-	DoubtInterval time.Duration `flag:"doubt-interval" help:"minimum time between two probes of an instance that may have ended" min:"10ms" max:"1m"`
+	// SuspectProbeInterval is the minimum time between two probes of an instance that may have ended.
+	SuspectProbeInterval time.Duration `flag:"doubt-interval" help:"minimum time between two probes of an instance that may have ended" min:"10ms" max:"1m"`
 	// ProbeInterval is the minimum time between two probes of one instance.
 	ProbeInterval time.Duration `flag:"probe-interval" help:"minimum time between two probes of one instance" min:"10ms" max:"1m"`
-	// ProbesAtOnce is the maximum number of the leader's probes in flight. More would only wait for the
+	// MaxProbes is the maximum number of the leader's probes in flight. More would only wait for the
 	// node's own processor.
-	ProbesAtOnce int `flag:"probes-at-once" help:"maximum number of the leader's probes in flight" min:"1" max:"10000"`
+	MaxProbes int `flag:"probes-at-once" help:"maximum number of the leader's probes in flight" min:"1" max:"10000"`
 	// ProbeTimeout is the timeout of a probe.
 	ProbeTimeout time.Duration `flag:"probe-timeout" help:"timeout of a probe of an instance" min:"10ms" max:"1m"`
 	// ReportMargin is added to the report lag that the configuration states.
 	ReportMargin time.Duration `flag:"report-margin" help:"time added to the report lag that the configuration states" min:"0s" max:"10s"`
 	// HealthInterval is the time between two checks for stalled requests and for delays of the node itself.
 	HealthInterval time.Duration `flag:"health-interval" help:"time between two checks for stalled requests and for delays of the node itself" min:"5ms" max:"10s"`
-	// SuspectFor is how long status reports name an instance after it did not answer.
-	SuspectFor time.Duration `flag:"suspect-for" help:"how long status reports name an instance after it did not answer" min:"0s" max:"1m"`
-	// LeavingFor is how long status reports name an instance after it announced that it will end
+	// SuspectTTL is how long status reports name an instance after it did not answer.
+	SuspectTTL time.Duration `flag:"suspect-for" help:"how long status reports name an instance after it did not answer" min:"0s" max:"1m"`
+	// LeavingTTL is how long status reports name an instance after it announced that it will end
 	// soon. By then, the list shows it as leaving or no longer contains it.
-	LeavingFor time.Duration `flag:"leaving-for" help:"how long status reports name an instance after it announced that it will end soon" min:"0s" max:"10m"`
+	LeavingTTL time.Duration `flag:"leaving-for" help:"how long status reports name an instance after it announced that it will end soon" min:"0s" max:"10m"`
 
 	// StatusInterval is the time between two status reports of a node to the leader.
 	StatusInterval time.Duration `flag:"status-interval" help:"time between two status reports of a node to the leader" min:"10ms" max:"1m"`
@@ -71,9 +71,9 @@
 	NotLeadingBackoff  time.Duration `flag:"not-leading-backoff" help:"how long a node that does not lead is skipped as a possible leader" min:"0s" max:"1m"`
 	// NodeTimeout is how long after its last status report a node counts as alive.
 	NodeTimeout time.Duration `flag:"node-timeout" help:"how long after its last status report a node counts as alive" min:"10ms" max:"1m"`
-	// ForgetNode is how long after its last status report a node keeps its share of the common
+	// NodeRetention is how long after its last status report a node keeps its share of the common
 	// budgets, since it may still be running behind a network partition.
-	ForgetNode time.Duration `flag:"forget-node" help:"how long after its last status report a node keeps its share of the common budgets" min:"1s" max:"24h"`
+	NodeRetention time.Duration `flag:"forget-node" help:"how long after its last status report a node keeps its share of the common budgets" min:"1s" max:"24h"`
 	// NodesWait is how long a read of the nodes' entries waits for a new one, NodesPause the pause
 	// between two such reads.
 	NodesWait  time.Duration `flag:"nodes-wait" help:"how long a read of the nodes' entries waits for a new one" min:"0s" max:"30s"`
@@ -89,12 +89,12 @@
 	// domain of 37 instances that fails causes 74 changes at a small node within a third of a
 	// second. The default is a tenth of the time between two requests at such a node.
 	RebuildPause time.Duration `flag:"rebuild-pause" help:"minimum time between two rebuilds of the candidates for requests" min:"0s" max:"1s"`
-	// LateRest is how long a node does not lead after it was overloaded.
-	LateRest time.Duration `flag:"late-rest" help:"how long a node does not lead after it was overloaded" min:"0s" max:"10m"`
+	// OverloadBackoff is how long a node does not lead after it was overloaded.
+	OverloadBackoff time.Duration `flag:"late-rest" help:"how long a node does not lead after it was overloaded" min:"0s" max:"10m"`
 	// GreetInterval is the minimum time between two status reports of the leader to a node that
-	// sends none itself. GreetAtOnce is the maximum number of these in one round.
+	// sends none itself. MaxGreetings is the maximum number of these in one round.
 	GreetInterval time.Duration `flag:"greet-interval" help:"minimum time between two status reports of the leader to a node that sends none itself" min:"0s" max:"1m"`
-	GreetAtOnce   int           `flag:"greet-at-once" help:"maximum number of status reports of the leader to nodes that send none themselves, in one round" min:"0" max:"1000"`
+	MaxGreetings  int           `flag:"greet-at-once" help:"maximum number of status reports of the leader to nodes that send none themselves, in one round" min:"0" max:"1000"`
 	// SumInterval is the minimum time between two sums of the requests in progress and the demand at all nodes.
 	SumInterval time.Duration `flag:"sum-interval" help:"minimum time between two sums of the requests in progress and the demand at all nodes" min:"0s" max:"10s"`
 
@@ -125,10 +125,10 @@
 	// StoreTimeout is the timeout of a call to the store, in addition to the time for which it may wait.
 	StoreTimeout time.Duration `flag:"store-timeout" help:"timeout of a call to the store" min:"10ms" max:"1m"`
 	// StoreRetry is the initial retry delay after a failed call to the store. StoreRetryMax is the
-	// maximum delay, StoreRetryFed the maximum while the leader relays the store.
-	StoreRetry    time.Duration `flag:"store-retry" help:"initial retry delay after a failed call to the store" min:"1ms" max:"1m"`
-	StoreRetryMax time.Duration `flag:"store-retry-max" help:"maximum retry delay after a failed call to the store" min:"1ms" max:"1m"`
-	StoreRetryFed time.Duration `flag:"store-retry-fed" help:"maximum such delay while the leader relays the store" min:"1ms" max:"1m"`
+	// maximum delay, StoreRetryRelayed the maximum while the leader relays the store.
+	StoreRetry        time.Duration `flag:"store-retry" help:"initial retry delay after a failed call to the store" min:"1ms" max:"1m"`
+	StoreRetryMax     time.Duration `flag:"store-retry-max" help:"maximum retry delay after a failed call to the store" min:"1ms" max:"1m"`
+	StoreRetryRelayed time.Duration `flag:"store-retry-fed" help:"maximum such delay while the leader relays the store" min:"1ms" max:"1m"`
 
 	// SupplyLogInterval is the minimum time between two log lines on the groups that serve.
 	SupplyLogInterval time.Duration `flag:"supply-log-interval" help:"minimum time between two log lines on the groups that serve" min:"0s" max:"1h"`
@@ -150,51 +150,51 @@
 		Cooldown:   cooldown.DefaultPolicy(),
 		RateLimit:  ratelimit.DefaultPolicy(),
 		Node: NodePolicy{
-			PlanInterval:       100 * time.Millisecond,
-			PlanPause:          25 * time.Millisecond,
-			PlanPart:           0.2,
-			OrderTimeout:       800 * time.Millisecond,
-			DoubtInterval:      400 * time.Millisecond,
-			ProbeInterval:      90 * time.Millisecond,
-			ProbesAtOnce:       32,
-			ProbeTimeout:       160 * time.Millisecond,
-			ReportMargin:       80 * time.Millisecond,
-			HealthInterval:     50 * time.Millisecond,
-			SuspectFor:         2 * time.Second,
-			LeavingFor:         10 * time.Second,
-			StatusInterval:     250 * time.Millisecond,
-			StatusTimeout:      400 * time.Millisecond,
-			UnreachableBackoff: 1500 * time.Millisecond,
-			NotLeadingBackoff:  400 * time.Millisecond,
-			NodeTimeout:        1500 * time.Millisecond,
-			ForgetNode:         10 * time.Minute,
-			NodesWait:          8 * time.Second,
-			NodesPause:         600 * time.Millisecond,
-			LeadAfter:          1300 * time.Millisecond,
-			StoreStale:         2500 * time.Millisecond,
-			Standbys:           3,
-			RebuildPause:       20 * time.Millisecond,
-			LateRest:           5 * time.Second,
-			GreetInterval:      2 * time.Second,
-			GreetAtOnce:        3,
-			SumInterval:        100 * time.Millisecond,
-			ConfigWait:         3 * time.Second,
-			ConfigWaitLeading:  250 * time.Millisecond,
-			ListInterval:       300 * time.Millisecond,
-			ListIntervalBusy:   80 * time.Millisecond,
-			RecentRead:         time.Second,
-			FeedAge:            800 * time.Millisecond,
-			FeedPause:          100 * time.Millisecond,
-			RestoreSettle:      2200 * time.Millisecond,
-			RewriteSpread:      2 * time.Second,
-			StandbyRead:        2 * time.Second,
-			StoreTimeout:       time.Second,
-			StoreRetry:         150 * time.Millisecond,
-			StoreRetryMax:      700 * time.Millisecond,
-			StoreRetryFed:      1500 * time.Millisecond,
-			SupplyLogInterval:  time.Second,
-			LogInterval:        200 * time.Millisecond,
-			StoreLostAfter:     2 * time.Second,
+			PlanInterval:         100 * time.Millisecond,
+			PlanPause:            25 * time.Millisecond,
+			MaxPlanFraction:      0.2,
+			OrderTimeout:         800 * time.Millisecond,
+			SuspectProbeInterval: 400 * time.Millisecond,
+			ProbeInterval:        90 * time.Millisecond,
+			MaxProbes:            32,
+			ProbeTimeout:         160 * time.Millisecond,
+			ReportMargin:         80 * time.Millisecond,
+			HealthInterval:       50 * time.Millisecond,
+			SuspectTTL:           2 * time.Second,
+			LeavingTTL:           10 * time.Second,
+			StatusInterval:       250 * time.Millisecond,
+			StatusTimeout:        400 * time.Millisecond,
+			UnreachableBackoff:   1500 * time.Millisecond,
+			NotLeadingBackoff:    400 * time.Millisecond,
+			NodeTimeout:          1500 * time.Millisecond,
+			NodeRetention:        10 * time.Minute,
+			NodesWait:            8 * time.Second,
+			NodesPause:           600 * time.Millisecond,
+			LeadAfter:            1300 * time.Millisecond,
+			StoreStale:           2500 * time.Millisecond,
+			Standbys:             3,
+			RebuildPause:         20 * time.Millisecond,
+			OverloadBackoff:      5 * time.Second,
+			GreetInterval:        2 * time.Second,
+			MaxGreetings:         3,
+			SumInterval:          100 * time.Millisecond,
+			ConfigWait:           3 * time.Second,
+			ConfigWaitLeading:    250 * time.Millisecond,
+			ListInterval:         300 * time.Millisecond,
+			ListIntervalBusy:     80 * time.Millisecond,
+			RecentRead:           time.Second,
+			FeedAge:              800 * time.Millisecond,
+			FeedPause:            100 * time.Millisecond,
+			RestoreSettle:        2200 * time.Millisecond,
+			RewriteSpread:        2 * time.Second,
+			StandbyRead:          2 * time.Second,
+			StoreTimeout:         time.Second,
+			StoreRetry:           150 * time.Millisecond,
+			StoreRetryMax:        700 * time.Millisecond,
+			StoreRetryRelayed:    1500 * time.Millisecond,
+			SupplyLogInterval:    time.Second,
+			LogInterval:          200 * time.Millisecond,
+			StoreLostAfter:       2 * time.Second,
 		},
 	}
 }
--- a/transport/entry/port.go
+++ b/transport/entry/port.go
@@ -15,9 +15,9 @@
 
 // Store reads and appends to the platform's topics.
 type Store interface {
-	Newest(ctx context.Context, topic source.Topic) (source.Tail, error)
-	Read(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.Tail, error)
-	Append(ctx context.Context, topic source.Topic, key string, value []byte) (source.Place, error)
+	Newest(ctx context.Context, topic source.Topic) (source.ReadResult, error)
+	Read(ctx context.Context, topic source.Topic, from int64, wait time.Duration) (source.ReadResult, error)
+	Append(ctx context.Context, topic source.Topic, key string, value []byte) (source.RecordPosition, error)
 }
 
 // Decoder reads the platform's records.
@@ -26,33 +26,33 @@
 	Instance(id string, raw []byte) (fleet.Instance, error)
 }
 
-// Connection selects the connection over which an instance is called.
-type Connection bool
+// ConnectionReuse selects the connection over which an instance is called.
+type ConnectionReuse bool
 
 // The connections. A reused connection may be broken without notice, so a call that decides
 // whether an instance is lost uses a new one.
 const (
-	AnyConnection Connection = false
-	NewConnection Connection = true
+	AnyConnection ConnectionReuse = false
+	NewConnection ConnectionReuse = true
 )
 
-// OrderAnswer is an instance's answer to an order.
-type OrderAnswer struct {
+// OrderResult is an instance's answer to an order.
+type OrderResult struct {
 	fleet.Notice
 	Reply placement.Reply
 }
 
-// Targets sends probes and orders to instances. If the answer carries a notice, such as a cooldown
+// TargetClient sends probes and orders to instances. If the answer carries a notice, such as a cooldown
 // or a rate limit, it is returned together with an error too.
-type Targets interface {
-	Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, by Connection) (fleet.Report, error)
-	Order(ctx context.Context, o placement.Order, by Connection) (OrderAnswer, error)
+type TargetClient interface {
+	Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, by ConnectionReuse) (fleet.Report, error)
+	Order(ctx context.Context, o placement.Order, by ConnectionReuse) (OrderResult, error)
 }
 
 // Ports are the adapters through which a node uses the platform.
 type Ports struct {
-	Store   Store
-	Decoder Decoder
-	Targets Targets
-	Dialect gateway.HeaderCodec
+	Store       Store
+	Decoder     Decoder
+	Target      TargetClient
+	HeaderCodec gateway.HeaderCodec
 }
--- a/transport/entry/quarantine.go
+++ b/transport/entry/quarantine.go
@@ -25,7 +25,7 @@
 
 // IsSuspected implements gateway.Quarantine.
 func (n *Node) IsSuspected(f quarantine.Fingerprint) bool {
-	return n.ledger.Verdict(f, n.clock.Now()).IndependentEndings >= n.set.Policy.Quarantine.Endings-1
+	return n.ledger.Verdict(f, n.clock.Now()).IndependentEndings >= n.settings.Policy.Quarantine.Endings-1
 }
 
 // RecordComplete implements gateway.Quarantine.
@@ -33,50 +33,50 @@
 
 // Bounds of persisting the quarantine in the store.
 const (
-	// keepInterval is the time between two checks for quarantined requests that are not yet stored.
-	keepInterval = 500 * time.Millisecond
-	// restoreTries is the maximum number of attempts to read the stored quarantine. A node that
+	// persistInterval is the time between two checks for quarantined requests that are not yet stored.
+	persistInterval = 500 * time.Millisecond
+	// maxRestoreAttempts is the maximum number of attempts to read the stored quarantine. A node that
 	// cannot read the store at startup receives the same records from the leader.
-	restoreTries = 20
+	maxRestoreAttempts = 20
 )
 
-// keptEnding is an ending in its stored form.
-type keptEnding struct {
+// persistedEnding is an ending in its stored form.
+type persistedEnding struct {
 	Instance fleet.Incarnation `json:"instance"`
 	UnixMS   int64             `json:"unix_ms"`
 	// Apart reports whether the request had been interrupted elsewhere just before, as in quarantine.Ending.
 	Apart bool `json:"apart,omitempty"`
 }
 
-// keepQuarantine writes the quarantined requests to the store while this node is the leader, so that
+// persistQuarantine writes the quarantined requests to the store while this node is the leader, so that
 // the quarantine survives the simultaneous loss of all nodes. It writes one record per request, and
 // another for each further independent ending.
-func (n *Node) keepQuarantine(ctx context.Context) {
+func (n *Node) persistQuarantine(ctx context.Context) {
 	n.restoreQuarantine(ctx)
 	storedEndings := map[quarantine.Fingerprint]int{}
 	era := n.eras.current()
-	for n.sleep(ctx, keepInterval) {
+	for n.sleep(ctx, persistInterval) {
 		if now := n.eras.current(); now != era {
 			era = now
 			clear(storedEndings) // the store was restored from a backup that may lack these records
 		}
-		if leading, _ := n.peers.isPlacing(); !leading {
+		if leading, _ := n.peers.leadership(); !leading {
 			continue
 		}
 		now := n.clock.Now()
 		for f, v := range n.ledger.Verdicts(now) {
-			if v.Quarantined(now) && storedEndings[f] < v.IndependentEndings && n.keep(ctx, f, v, now) {
+			if v.Quarantined(now) && storedEndings[f] < v.IndependentEndings && n.persistVerdict(ctx, f, v, now) {
 				storedEndings[f] = v.IndependentEndings
 			}
 		}
 	}
 }
 
-// keep writes a quarantined request to the store and reports whether it succeeded.
-func (n *Node) keep(ctx context.Context, f quarantine.Fingerprint, v quarantine.Verdict, now time.Time) bool {
-	var list []keptEnding
+// persistVerdict writes a quarantined request to the store and reports whether it succeeded.
+func (n *Node) persistVerdict(ctx context.Context, f quarantine.Fingerprint, v quarantine.Verdict, now time.Time) bool {
+	var list []persistedEnding
 	for _, e := range v.Evidence {
-		list = append(list, keptEnding{Instance: e.Instance, UnixMS: n.clock.Now().Add(-now.Sub(e.At)).UnixMilli(), Apart: len(e.Apart) > 0})
+		list = append(list, persistedEnding{Instance: e.Instance, UnixMS: n.clock.Now().Add(-now.Sub(e.At)).UnixMilli(), Apart: len(e.Apart) > 0})
 	}
 	value, err := json.Marshal(list)
 	if err != nil {
@@ -96,10 +96,10 @@
 // restoreQuarantine reads the stored quarantine, with backoff, and merges it into the ledger.
 func (n *Node) restoreQuarantine(ctx context.Context) {
 	pause := n.policy.StoreRetry
-	for range restoreTries {
+	for range maxRestoreAttempts {
 		tail, err := n.readTail(ctx, source.Quarantine, -1, 0)
 		if err == nil {
-			n.takeKept(tail.Items)
+			n.mergePersisted(tail.Items)
 			return
 		}
 		if !n.sleep(ctx, pause) {
@@ -110,15 +110,15 @@
 	n.log.Warn("failed to read quarantine from the store")
 }
 
-// takeKept merges stored records into the ledger. It skips records that it cannot decode.
-func (n *Node) takeKept(items []source.Item) {
+// mergePersisted merges stored records into the ledger. It skips records that it cannot decode.
+func (n *Node) mergePersisted(items []source.Item) {
 	now := n.clock.Now()
 	for _, item := range items {
 		if len(item.Value) == 0 {
 			continue
 		}
 		var f quarantine.Fingerprint
-		var list []keptEnding
+		var list []persistedEnding
 		if err := errors.Join(f.UnmarshalText([]byte(item.Key)), json.Unmarshal(item.Value, &list)); err != nil {
 			n.Count("quarantine.unreadable")
 			n.log.WithError(err).WithField("key", item.Key).Warn("failed to decode stored quarantine record")
@@ -162,8 +162,8 @@
 	}
 }
 
-// quarantined is a quarantined request in the response to an operator.
-type quarantined struct {
+// quarantineState is a quarantined request in the response to an operator.
+type quarantineState struct {
 	Fingerprint quarantine.Fingerprint `json:"fingerprint"`
 	Endings     int                    `json:"endings"`
 	Instances   []string               `json:"instances"`
@@ -173,18 +173,18 @@
 // serveQuarantine lists the quarantined requests.
 func (n *Node) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	now := n.clock.Now()
-	list := []quarantined{}
+	list := []quarantineState{}
 	for f, v := range n.ledger.Verdicts(now) {
 		if !v.Quarantined(now) {
 			continue
 		}
-		q := quarantined{Fingerprint: f, Endings: v.IndependentEndings, HoldMS: v.Until.Sub(now).Milliseconds()}
+		q := quarantineState{Fingerprint: f, Endings: v.IndependentEndings, HoldMS: v.Until.Sub(now).Milliseconds()}
 		for _, id := range v.Instances() {
 			q.Instances = append(q.Instances, string(id))
 		}
 		list = append(list, q)
 	}
-	slices.SortFunc(list, func(a, b quarantined) int { return strings.Compare(a.Fingerprint.String(), b.Fingerprint.String()) })
+	slices.SortFunc(list, func(a, b quarantineState) int { return strings.Compare(a.Fingerprint.String(), b.Fingerprint.String()) })
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(list); err != nil {
 		n.log.WithError(err).Info("failed to write quarantine response")
@@ -201,6 +201,6 @@
 	n.ledger.Clear(f, n.clock.Now())
 	n.Count("quarantine.cleared")
 	n.log.WithField("fingerprint", f).Info("request cleared by an operator")
-	n.tellSoon()
+	n.requestStatusReport()
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -31,7 +31,7 @@
 // recordEndings has a node record that three instances ended while they ran a request.
 func recordEndings(n *Node, f quarantine.Fingerprint) {
 	for i := range 3 {
-		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprintf("%s-i%d", n.set.Name, i)), Life: "1"}
+		in := fleet.Incarnation{ID: state.InstanceID(fmt.Sprintf("%s-i%d", n.settings.Name, i)), Life: "1"}
 		at := n.clock.Now().Add(time.Duration(i-5) * time.Second)
 		n.ledger.RecordInterruption(f, []fleet.Incarnation{in}, at.Add(-time.Second), at)
 		n.ledger.RecordEnding(in, at)
@@ -46,20 +46,20 @@
 
 // exchangeReport sends a status report of a node to the leader and applies the answer.
 func exchangeReport(g *WithT, from, leader *Node) {
-	w := from.peers.word()
+	w := from.peers.statusReport()
 	sent := from.peers.addLedger(w, from.clock.Now())
-	resp, err := leader.peers.answer(context.Background(), connect.NewRequest(w))
+	resp, err := leader.peers.handleStatusReport(context.Background(), connect.NewRequest(w))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(resp.Msg.Placing).To(BeTrue())
-	from.peers.takeLedger(resp.Msg, sent)
-	from.peers.take(resp.Msg, from.clock.Now())
+	g.Expect(resp.Msg.CanLead).To(BeTrue())
+	from.peers.mergeLedger(resp.Msg, sent)
+	from.peers.applyAnswer(resp.Msg, from.clock.Now())
 }
 
 // numbered returns a node that can lead, with the given name and node number.
 func numbered(g *WithT, name string, number int64) *Node {
 	n := ableNode(g)
-	n.set.Name = name
-	n.number.Store(number)
+	n.settings.Name = name
+	n.incarnationNumber.Store(number)
 	return n
 }
 
@@ -70,18 +70,18 @@
 	exchangeReport(g, a, leader)
 	exchangeReport(g, b, leader)
 	for _, n := range []*Node{leader, a, b} {
-		g.Expect(isQuarantined(n, deadlyRequest)).To(BeTrue(), n.set.Name)
+		g.Expect(isQuarantined(n, deadlyRequest)).To(BeTrue(), n.settings.Name)
 	}
 	// Ledger changes that were exchanged are not sent again.
 	exchangeReport(g, a, leader)
 	exchangeReport(g, b, leader)
 	for _, n := range []*Node{a, b} {
-		w := n.peers.word()
+		w := n.peers.statusReport()
 		n.peers.addLedger(w, n.clock.Now())
-		g.Expect(w.Ledger).To(BeNil(), n.set.Name)
-		resp, err := leader.peers.answer(context.Background(), connect.NewRequest(w))
+		g.Expect(w.Ledger).To(BeNil(), n.settings.Name)
+		resp, err := leader.peers.handleStatusReport(context.Background(), connect.NewRequest(w))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(resp.Msg.Ledger).To(BeNil(), n.set.Name)
+		g.Expect(resp.Msg.Ledger).To(BeNil(), n.settings.Name)
 	}
 	// A new leader with an empty ledger receives all of it from any node.
 	next := numbered(g, "next", 4)
@@ -105,7 +105,7 @@
 		}
 	}
 	for _, n := range nodes {
-		g.Expect(isQuarantined(n, deadlyRequest)).To(BeTrue(), n.set.Name)
+		g.Expect(isQuarantined(n, deadlyRequest)).To(BeTrue(), n.settings.Name)
 	}
 }
 
@@ -118,7 +118,7 @@
 	before.ports.Store = store
 	now := before.clock.Now()
 	for f, v := range before.ledger.Verdicts(now) {
-		g.Expect(before.keep(t.Context(), f, v, now)).To(BeTrue())
+		g.Expect(before.persistVerdict(t.Context(), f, v, now)).To(BeTrue())
 	}
 	after := numbered(g, "b", 2)
 	after.ports.Store = store
@@ -132,7 +132,7 @@
 	now := n.clock.Now()
 	good := fmt.Sprintf(`[{"instance":{"i":"x"},"unix_ms":%d},{"instance":{"i":"y"},"unix_ms":%d},{"instance":{"i":"z"},"unix_ms":%d}]`,
 		now.UnixMilli()-3000, now.UnixMilli()-2000, now.UnixMilli()-1000)
-	n.takeKept([]source.Item{
+	n.mergePersisted([]source.Item{
 		{Key: "no fingerprint", Value: []byte(good)},
 		{Key: deadlyRequest.String(), Value: []byte("{")},
 		{Key: deadlyRequest.String()},
@@ -147,13 +147,13 @@
 	items []source.Item
 }
 
-func (s *recordStore) Append(_ context.Context, _ source.Topic, key string, value []byte) (source.Place, error) {
+func (s *recordStore) Append(_ context.Context, _ source.Topic, key string, value []byte) (source.RecordPosition, error) {
 	s.items = append(s.items, source.Item{Key: key, Value: value})
-	return source.Place{Offset: int64(len(s.items) - 1)}, nil
+	return source.RecordPosition{Offset: int64(len(s.items) - 1)}, nil
 }
 
-func (s *recordStore) Newest(context.Context, source.Topic) (source.Tail, error) {
-	return source.Tail{Items: s.items}, nil
+func (s *recordStore) Newest(context.Context, source.Topic) (source.ReadResult, error) {
+	return source.ReadResult{Items: s.items}, nil
 }
 
 // proofs answers every probe with the same report and error.
@@ -162,12 +162,12 @@
 	err error
 }
 
-func (p proofs) Report(context.Context, netip.AddrPort, state.InstanceID, Connection) (fleet.Report, error) {
+func (p proofs) Report(context.Context, netip.AddrPort, state.InstanceID, ConnectionReuse) (fleet.Report, error) {
 	return p.rep, p.err
 }
 
-func (proofs) Order(context.Context, placement.Order, Connection) (OrderAnswer, error) {
-	return OrderAnswer{Reply: placement.Unanswered}, nil
+func (proofs) Order(context.Context, placement.Order, ConnectionReuse) (OrderResult, error) {
+	return OrderResult{Reply: placement.Unanswered}, nil
 }
 
 func TestProofsThatInstanceEnded(t *testing.T) {
@@ -190,13 +190,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			clock := clockwork.NewFakeClock()
-			set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
-			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: proofs{c.rep, c.err}}, clock, &log.Logger{Handler: discard.New()})
+			set := &Settings{Name: "own", PeerAddress: testAddress(1), HeartbeatInterval: time.Second, Policy: DefaultPolicy()}
+			n := New(set, Ports{Decoder: anyConfiguration{}, Target: proofs{c.rep, c.err}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "i", Born: born, Service: "lm", Address: testAddress(9)}
 			n.roster.ApplyFreshEntry(in, clock.Now())
 			n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
 			clock.Advance(time.Millisecond)
-			n.report(t.Context(), in, clock.Now())
+			n.probeAndRecord(t.Context(), in, clock.Now())
 			d, _ := n.ledger.ChangesSince(0, 0)
 			g.Expect(d.Endings).To(HaveLen(map[bool]int{true: 1}[c.ended]))
 		})
@@ -209,7 +209,7 @@
 	answering []state.InstanceID
 }
 
-func (h halls) Report(_ context.Context, _ netip.AddrPort, id state.InstanceID, _ Connection) (fleet.Report, error) {
+func (h halls) Report(_ context.Context, _ netip.AddrPort, id state.InstanceID, _ ConnectionReuse) (fleet.Report, error) {
 	if slices.Contains(h.answering, id) {
 		return h.rep, nil
 	}
@@ -234,8 +234,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			clock := clockwork.NewFakeClock()
-			set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
-			n := New(set, Ports{Decoder: anyConfiguration{}, Targets: halls{answering: c.answering}}, clock, &log.Logger{Handler: discard.New()})
+			set := &Settings{Name: "own", PeerAddress: testAddress(1), HeartbeatInterval: time.Second, Policy: DefaultPolicy()}
+			n := New(set, Ports{Decoder: anyConfiguration{}, Target: halls{answering: c.answering}}, clock, &log.Logger{Handler: discard.New()})
 			in := fleet.Instance{ID: "a0", Service: "lm", Address: testAddress(9), Hall: "near", Domain: "a"}
 			n.roster.ApplyFreshEntry(in, clock.Now())
 			for i, id := range near {
@@ -244,7 +244,7 @@
 			n.roster.ApplyFreshEntry(fleet.Instance{ID: "far", Service: "lm", Address: testAddress(20), Hall: "far", Domain: "c"}, clock.Now())
 			n.ledger.RecordInterruption(deadlyRequest, []fleet.Incarnation{in.Incarnation()}, clock.Now().Add(-time.Second), clock.Now())
 			clock.Advance(time.Millisecond)
-			n.report(t.Context(), in, clock.Now())
+			n.probeAndRecord(t.Context(), in, clock.Now())
 			d, _ := n.ledger.ChangesSince(0, 0)
 			g.Expect(d.Endings).To(HaveLen(map[bool]int{true: 1}[c.ended]))
 		})
@@ -255,7 +255,7 @@
 // connection had gone silent for good.
 type silentKeepAlive struct{ proofs }
 
-func (s silentKeepAlive) Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, by Connection) (fleet.Report, error) {
+func (s silentKeepAlive) Report(ctx context.Context, at netip.AddrPort, id state.InstanceID, by ConnectionReuse) (fleet.Report, error) {
 	if by == AnyConnection {
 		return fleet.Report{}, context.DeadlineExceeded
 	}
@@ -267,13 +267,13 @@
 func TestSilentKeepAliveConnectionAloneDoesNotMakeInstanceUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
-	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
-	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: silentKeepAlive{}}, clock, &log.Logger{Handler: discard.New()})
+	set := &Settings{Name: "own", PeerAddress: testAddress(1), HeartbeatInterval: time.Second, Policy: DefaultPolicy()}
+	n := New(set, Ports{Decoder: anyConfiguration{}, Target: silentKeepAlive{}}, clock, &log.Logger{Handler: discard.New()})
 	in := fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9)}
 	n.roster.ApplyFreshEntry(in, clock.Now())
 	for range 2 { // twice in a row
 		clock.Advance(time.Second)
-		g.Expect(n.ask(t.Context(), in)).To(BeTrue())
+		g.Expect(n.probeWithRetry(t.Context(), in)).To(BeTrue())
 		v, known := n.roster.Get(in.ID, clock.Now())
 		g.Expect(known).To(BeTrue())
 		g.Expect(v.Unreachable).To(BeFalse())
@@ -285,7 +285,7 @@
 	n := numbered(g, "a", 1)
 	recordEndings(n, deadlyRequest)
 	mux := http.NewServeMux()
-	n.handleOperators(mux)
+	n.registerOperatorHandlers(mux)
 	request := func(method, path string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(method, path, nil))
--- a/transport/entry/querydeath_test.go
+++ b/transport/entry/querydeath_test.go
@@ -184,14 +184,14 @@
 type crashDecoder struct{ decoder }
 
 func (crashDecoder) Catalog([]byte) (*catalog.Catalog, error) {
-	route := catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Safe, MaxAttempts: 2, Shares: []catalog.Share{{Service: "plain", Weight: 1}}}
+	route := catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Safe, MaxAttempts: 2, Shares: []catalog.WeightedService{{Service: "plain", Weight: 1}}}
 	return catalog.New(1, []catalog.Route{route}, []catalog.Service{{Name: "plain"}}, map[string]*catalog.Team{"k": {Name: "t"}}, catalog.Limits{}), nil
 }
 
 // dialTargets probes only whether the address of an instance accepts connections.
 type dialTargets struct{ targets }
 
-func (dialTargets) Report(ctx context.Context, at netip.AddrPort, _ state.InstanceID, _ entry.Connection) (fleet.Report, error) {
+func (dialTargets) Report(ctx context.Context, at netip.AddrPort, _ state.InstanceID, _ entry.ConnectionReuse) (fleet.Report, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp4", at.String())
 	if err != nil {
@@ -242,7 +242,7 @@
 	var callers sync.WaitGroup
 	end := time.Now().Add(propagationTime + 3*time.Second)
 	for n := 0; time.Now().Before(end); n++ {
-		at := nodes[rand.N(len(nodes))].set.Callers
+		at := nodes[rand.N(len(nodes))].set.CallerAddress
 		callers.Go(func() { post(client, at, fmt.Sprintf("d%d", n), deadly) })
 		time.Sleep(deadlyInterval)
 	}
@@ -255,7 +255,7 @@
 	// All nodes still serve harmless requests.
 	time.Sleep(2 * restartAfter)
 	for i := range 30 {
-		code, text := post(client, nodes[i%len(nodes)].set.Callers, fmt.Sprintf("s%d", i), fmt.Sprintf("sound %d", i))
+		code, text := post(client, nodes[i%len(nodes)].set.CallerAddress, fmt.Sprintf("s%d", i), fmt.Sprintf("sound %d", i))
 		g.Expect(code).To(Equal(http.StatusOK), text)
 	}
 }
@@ -263,6 +263,6 @@
 // startCrashNodes starts nodes that know each other, and waits until all of them serve.
 func startCrashNodes(t *testing.T, s *store, count int) []*running {
 	return startServing(t, s, count, func(string) entry.Ports {
-		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: codec{}}
+		return entry.Ports{Decoder: crashDecoder{}, Target: dialTargets{}, HeaderCodec: codec{}}
 	})
 }
--- a/transport/entry/ratelimit.go
+++ b/transport/entry/ratelimit.go
@@ -27,17 +27,17 @@
 // TrySend implements gateway.Backpressure.
 func (n *Node) TrySend(i *fleet.Instance) bool { return n.limits.Take(i.Incarnation(), n.clock.Now()) }
 
-// asker describes this node as the sender of a probe to an instance.
-func (n *Node) asker(id state.InstanceID) ratelimit.ProbeRequest {
-	leading, _ := n.peers.isPlacing()
+// probeRequest describes this node as the sender of a probe to an instance.
+func (n *Node) probeRequest(id state.InstanceID) ratelimit.ProbeRequest {
+	leading, _ := n.peers.leadership()
 	return ratelimit.ProbeRequest{IsLeader: leading, LastProbeFailed: n.roster.ConsecutiveFailures(id) > 0}
 }
 
-// toldLimit records the rate limit in an instance's answer to a request, probe or order sent at a time.
-func (n *Node) toldLimit(in *fleet.Instance, limit fleet.RateLimit, request string, sent time.Time) {
+// recordLimit records the rate limit in an instance's answer to a request, probe or order sent at a time.
+func (n *Node) recordLimit(in *fleet.Instance, limit fleet.RateLimit, request string, sent time.Time) {
 	if limit.Fault != nil {
 		n.Count("rate-limit.unreadable")
-		if _, known := n.garbled.LoadOrStore(badLimit(in.Incarnation()), true); !known {
+		if _, known := n.loggedOnce.LoadOrStore(unreadableLimitKey(in.Incarnation()), true); !known {
 			n.log.WithError(limit.Fault).WithField("instance", in.ID).Warn("rate limit not read")
 		}
 	}
@@ -45,17 +45,17 @@
 		n.Count("rate-limit.named")
 	}
 	change := n.limits.Observe(in.Incarnation(), limit, sent, n.clock.Now())
-	n.limitChanged(change, in, limit.PerSecond, log.Fields{"request": request})
+	n.logLimitChange(change, in, limit.PerSecond, log.Fields{"request": request})
 	if change == ratelimit.LimitBegan {
-		n.tellSoon()
+		n.requestStatusReport()
 	}
 }
 
-// badLimit is the key in Node.garbled for an incarnation whose rate limit cannot be read.
-type badLimit fleet.Incarnation
+// unreadableLimitKey is the key in Node.loggedOnce for an incarnation whose rate limit cannot be read.
+type unreadableLimitKey fleet.Incarnation
 
-// learnLimits merges the rate limits that another node reported.
-func (n *Node) learnLimits(list []LimitReport, reportedBy string, now time.Time) {
+// mergeLimits merges the rate limits that another node reported.
+func (n *Node) mergeLimits(list []LimitReport, reportedBy string, now time.Time) {
 	for i := range list {
 		r := &list[i]
 		change := n.limits.Merge(r.limit(now), now)
@@ -63,13 +63,13 @@
 			continue
 		}
 		in := n.instance(r.Instance.ID)
-		n.limitChanged(change, &in, r.PerSecond, log.Fields{"told_by": reportedBy})
+		n.logLimitChange(change, &in, r.PerSecond, log.Fields{"told_by": reportedBy})
 	}
 }
 
-// limitChanged logs and counts a change of an instance's rate limit. source holds log fields that name
+// logLimitChange logs and counts a change of an instance's rate limit. source holds log fields that name
 // the origin of the change.
-func (n *Node) limitChanged(change ratelimit.Change, in *fleet.Instance, perSecond float64, source log.Fields) {
+func (n *Node) logLimitChange(change ratelimit.Change, in *fleet.Instance, perSecond float64, source log.Fields) {
 	if change == ratelimit.LimitUnchanged {
 		return
 	}
@@ -86,7 +86,7 @@
 	var out []LimitReport
 	for _, l := range list {
 		out = append(out, LimitReport{
-			Instance: l.Instance, PerSecond: l.PerSecond, Ended: l.Ended, AskedMS: age(now.Sub(l.SentAt)), AnsweredMS: age(now.Sub(l.AnsweredAt)),
+			Instance: l.Instance, PerSecond: l.PerSecond, Ended: l.Ended, RequestAgeMS: ceilMS(now.Sub(l.SentAt)), AnswerAgeMS: ceilMS(now.Sub(l.AnsweredAt)),
 		})
 	}
 	return out
@@ -95,111 +95,111 @@
 // limit converts a report to a limit with times by the receiver's clock, where now is the time of receipt.
 func (r *LimitReport) limit(now time.Time) ratelimit.Limit {
 	at := func(ageMS int64) time.Time { return now.Add(-time.Duration(max(ageMS, 0)) * time.Millisecond) }
-	return ratelimit.Limit{Instance: r.Instance, PerSecond: r.PerSecond, Ended: r.Ended, SentAt: at(r.AskedMS), AnsweredAt: at(r.AnsweredMS)}
+	return ratelimit.Limit{Instance: r.Instance, PerSecond: r.PerSecond, Ended: r.Ended, SentAt: at(r.RequestAgeMS), AnsweredAt: at(r.AnswerAgeMS)}
 }
 
 // addLimits adds to a status report the limits and usage from which the leader allocates rates.
-func (p *peers) addLimits(w *Word, now time.Time) {
+func (p *peers) addLimits(w *StatusReport, now time.Time) {
 	n := p.n
 	w.Limits = limitReports(n.limits.RecentlyObserved(now), now)
 	w.Usage = n.limits.Usage(now)
-	w.ByGrants = n.limits.HasActive()
+	w.UsesGrants = n.limits.HasActive()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w.LimitsAfter = p.limitsHas
+	w.LimitsVersion = p.leaderLimitsVersion
 }
 
-// giveLimits adds to the answer to a status report the limits that the sender does not have yet, and
+// addLimitsToAnswer adds to the answer to a status report the limits that the sender does not have yet, and
 // the sender's grants.
-func (p *peers) giveLimits(a *Answer, w *Word, now time.Time) {
+func (p *peers) addLimitsToAnswer(a *StatusAnswer, w *StatusReport, now time.Time) {
 	n := p.n
-	after := w.LimitsAfter
-	if w.Feed != n.number.Load() {
+	after := w.LimitsVersion
+	if w.Feed != n.incarnationNumber.Load() {
 		after = 0
 	}
 	list, version := n.limits.ChangedSince(after)
-	a.Limits, a.LimitsNow = limitReports(list, now), version
-	if nodes := p.possible(now); nodes != w.Nodes {
-		a.Possible = nodes
+	a.Limits, a.LimitsVersion = limitReports(list, now), version
+	if nodes := p.possibleNodes(now); nodes != w.NodeCount {
+		a.PossibleNodes = nodes
 	}
-	if w.Protocol < protocolLimits {
-		n.shieldLimited(a)
+	if w.Protocol < protocolRateLimits {
+		n.hideLimited(a)
 	}
-	if leading, _ := p.isPlacing(); leading && w.ByGrants {
-		a.Dealing = true
-		a.Grants = n.dealer.Collect(w.From.Name, now)
+	if leading, _ := p.leadership(); leading && w.UsesGrants {
+		a.AllocatesRates = true
+		a.Grants = n.rateAllocator.Collect(w.From.Name, now)
 	}
 }
 
-// takeLimits records the limits and grants in the leader's answer to a status report sent at a time.
-func (p *peers) takeLimits(a *Answer, sentAt time.Time) {
+// mergeLimits records the limits and grants in the leader's answer to a status report sent at a time.
+func (p *peers) mergeLimits(a *StatusAnswer, sentAt time.Time) {
 	n := p.n
-	n.learnLimits(a.Limits, "leader", n.clock.Now())
-	n.limits.AddGrants(a.Grants, sentAt.Add(n.set.Policy.RateLimit.GrantTTL))
+	n.mergeLimits(a.Limits, "leader", n.clock.Now())
+	n.limits.AddGrants(a.Grants, sentAt.Add(n.settings.Policy.RateLimit.GrantTTL))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limitsHas, p.told, p.complete = a.LimitsNow, a.Possible, true
-	if a.Dealing {
-		p.dealtAt = sentAt
+	p.leaderLimitsVersion, p.leaderNodeCount, p.nodesKnown = a.LimitsVersion, a.PossibleNodes, true
+	if a.AllocatesRates {
+		p.allocatedAt = sentAt
 	}
 }
 
-// dealLimits allocates the rates of limited instances. A leader allocates to all nodes that report to
+// allocateRates allocates the rates of limited instances. A leader allocates to all nodes that report to
 // it. Another node allocates only to itself, and only while no leader allocates to it: there is no
 // leader, or the leader is of an earlier version. Either allocates no more than the share that the
 // nodes it allocates for have of all nodes.
-func (n *Node) dealLimits(now time.Time) {
+func (n *Node) allocateRates(now time.Time) {
 	if !n.limits.HasActive() {
 		return
 	}
 	r := ratelimit.AllocationInput{Limits: n.limits.Active()}
-	knownNodes, countedNodes := n.peers.possible(now), 1
-	leading, _ := n.peers.isPlacing()
+	knownNodes, countedNodes := n.peers.possibleNodes(now), 1
+	leading, _ := n.peers.leadership()
 	switch {
-	case !n.peers.knowsAll():
+	case !n.peers.hasAllNodes():
 		return
 	case leading:
-		countedNodes = n.peers.addReporting(&r, now)
-	case n.peers.dealtFor(now):
+		countedNodes = n.peers.addReportingNodes(&r, now)
+	case n.peers.hasAllocation(now):
 		return
 	default:
-		r.Nodes = []ratelimit.NodeUsage{{Name: n.set.Name, Usage: n.limits.Usage(now)}}
+		r.Nodes = []ratelimit.NodeUsage{{Name: n.settings.Name, Usage: n.limits.Usage(now)}}
 		r.Weight = func(string, *ratelimit.Limit) float64 { return 1 }
 	}
 	r.Share = min(float64(countedNodes)/float64(knownNodes), 1)
-	n.dealer.Allocate(r, now)
-	n.limits.AddGrants(n.dealer.Collect(n.set.Name, now), now.Add(n.set.Policy.RateLimit.GrantTTL))
+	n.rateAllocator.Allocate(r, now)
+	n.limits.AddGrants(n.rateAllocator.Collect(n.settings.Name, now), now.Add(n.settings.Policy.RateLimit.GrantTTL))
 }
 
-// dealtFor reports whether a leader allocated rates for this node within NodePolicy.NodeTimeout.
-func (p *peers) dealtFor(now time.Time) bool {
+// hasAllocation reports whether a leader allocated rates for this node within NodePolicy.NodeTimeout.
+func (p *peers) hasAllocation(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.dealtAt.IsZero() && now.Sub(p.dealtAt) < p.n.policy.NodeTimeout
+	return !p.allocatedAt.IsZero() && now.Sub(p.allocatedAt) < p.n.policy.NodeTimeout
 }
 
-// leastWeight is the weight of a node without recent requests, in requests per second.
-const leastWeight = 0.01
+// minWeight is the weight of a node without recent requests, in requests per second.
+const minWeight = 0.01
 
-// addReporting adds to an allocation round the nodes that send by grants: this one and those that
+// addReportingNodes adds to an allocation round the nodes that send by grants: this one and those that
 // report to it, each with its demand. It returns the number of nodes whose share of the rate may be
 // allocated. Nodes of earlier builds count too, since they are kept away from limited instances.
-func (p *peers) addReporting(r *ratelimit.AllocationInput, now time.Time) (counted int) {
+func (p *peers) addReportingNodes(r *ratelimit.AllocationInput, now time.Time) (counted int) {
 	n := p.n
-	requestRates := map[string]map[servedModel]float64{n.set.Name: byModel(n.demand.Flows(now))}
-	r.Nodes = []ratelimit.NodeUsage{{Name: n.set.Name, Usage: n.limits.Usage(now)}}
+	requestRates := map[string]map[servedModel]float64{n.settings.Name: byModel(n.demand.Flows(now))}
+	r.Nodes = []ratelimit.NodeUsage{{Name: n.settings.Name, Usage: n.limits.Usage(now)}}
 	counted = 1
 	p.mu.Lock()
-	for name, h := range p.words {
-		if now.Sub(h.at) >= n.policy.NodeTimeout || h.word.Protocol >= protocolLimits && !h.word.ByGrants {
+	for name, h := range p.statusReports {
+		if now.Sub(h.receivedAt) >= n.policy.NodeTimeout || h.report.Protocol >= protocolRateLimits && !h.report.UsesGrants {
 			continue
 		}
 		counted++
-		if h.word.Protocol < protocolLimits {
+		if h.report.Protocol < protocolRateLimits {
 			continue
 		}
-		r.Nodes = append(r.Nodes, ratelimit.NodeUsage{Name: name, Usage: h.word.Usage})
-		requestRates[name] = byModel(h.word.Demand)
+		r.Nodes = append(r.Nodes, ratelimit.NodeUsage{Name: name, Usage: h.report.Usage})
+		requestRates[name] = byModel(h.report.Demand)
 	}
 	p.mu.Unlock()
 	slices.SortFunc(r.Nodes, func(a, b ratelimit.NodeUsage) int { return strings.Compare(a.Name, b.Name) })
@@ -209,7 +209,7 @@
 		models[id] = n.servedModel(id)
 	}
 	r.Weight = func(node string, l *ratelimit.Limit) float64 {
-		return requestRates[node][models[l.Instance.ID]] + leastWeight
+		return requestRates[node][models[l.Instance.ID]] + minWeight
 	}
 	return counted
 }
@@ -223,7 +223,7 @@
 // servedModel returns the service and model under which requests for an instance are counted.
 func (n *Node) servedModel(id state.InstanceID) servedModel {
 	in := n.instance(id)
-	if c := n.know.Catalog(); c != nil && c.Services[in.Service] != nil && c.Services[in.Service].Engine != nil {
+	if c := n.configState.Catalog(); c != nil && c.Services[in.Service] != nil && c.Services[in.Service].Engine != nil {
 		return servedModel{in.Service, in.Model}
 	}
 	return servedModel{in.Service, ""}
@@ -243,7 +243,7 @@
 	now := n.clock.Now()
 	n.limits.Sweep(now, func(in fleet.Incarnation) bool {
 		v, known := n.roster.Get(in.ID, now)
-		return known && !v.Incarnation().LaterThan(in)
+		return known && !v.Incarnation().StartedAfter(in)
 	})
 	metrics.GetOrRegisterGauge("rate-limit.active", n.metrics).Update(int64(len(n.limits.Active())))
 }
@@ -253,9 +253,9 @@
 	Instance  state.InstanceID `json:"instance"`
 	PerSecond float64          `json:"per_second"`
 	SinceMS   int64            `json:"since_ms"`
-	// SaidMS is how long ago the instance last announced the limit to this node or, when the limit last
+	// AnsweredMS is how long ago the instance last announced the limit to this node or, when the limit last
 	// changed, to another node.
-	SaidMS int64 `json:"said_ms"`
+	AnsweredMS int64 `json:"said_ms"`
 	// Usage is this node's usage of the limit.
 	Usage ratelimit.Usage `json:"usage"`
 }
@@ -267,7 +267,7 @@
 	list := []limitState{}
 	for _, l := range n.limits.Active() {
 		list = append(list, limitState{
-			Instance: l.Instance.ID, PerSecond: l.PerSecond, SinceMS: now.Sub(l.KnownSince).Milliseconds(), SaidMS: now.Sub(l.AnsweredAt).Milliseconds(),
+			Instance: l.Instance.ID, PerSecond: l.PerSecond, SinceMS: now.Sub(l.KnownSince).Milliseconds(), AnsweredMS: now.Sub(l.AnsweredAt).Milliseconds(),
 			Usage: usage[l.Instance.ID],
 		})
 	}
--- a/transport/entry/ratelimit_test.go
+++ b/transport/entry/ratelimit_test.go
@@ -69,12 +69,12 @@
 	n.RecordNotice(&n.in, limitedTo(2.5), "r1", n.clock.Now())
 	n.clock.Advance(time.Second)
 	mux := http.NewServeMux()
-	n.handleOperators(mux)
+	n.registerOperatorHandlers(mux)
 	w := httptest.NewRecorder()
 	mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/limits", nil))
 	var list []limitState
 	g.Expect(json.Unmarshal(w.Body.Bytes(), &list)).To(Succeed())
-	g.Expect(list).To(Equal([]limitState{{Instance: "i", PerSecond: 2.5, SinceMS: 1000, SaidMS: 1000}}))
+	g.Expect(list).To(Equal([]limitState{{Instance: "i", PerSecond: 2.5, SinceMS: 1000, AnsweredMS: 1000}}))
 }
 
 // spend takes all tokens of a node for an instance and returns how many there were.
@@ -105,8 +105,8 @@
 	for range d / (100 * time.Millisecond) {
 		r.clock.Advance(100 * time.Millisecond)
 		for _, n := range []*Node{r.leader, r.a, r.b} {
-			n.storeRead(r.clock.Now())
-			n.dealLimits(r.clock.Now())
+			n.recordStoreRead(r.clock.Now())
+			n.allocateRates(r.clock.Now())
 		}
 		exchangeReport(g, r.a, r.leader)
 		exchangeReport(g, r.b, r.leader)
@@ -124,8 +124,8 @@
 		r.advance(g, 200*time.Millisecond)
 		for _, n := range all {
 			got, limited := n.RateLimit(&r.in)
-			g.Expect(limited).To(BeTrue(), n.set.Name)
-			g.Expect(got).To(Equal(perSecond), n.set.Name)
+			g.Expect(limited).To(BeTrue(), n.settings.Name)
+			g.Expect(got).To(Equal(perSecond), n.settings.Name)
 		}
 	}
 	r.advance(g, 2*time.Second)
@@ -137,8 +137,8 @@
 	r.b.RecordNotice(&r.in, fleet.Notice{RateLimit: fleet.Unlimited()}, "r", r.clock.Now())
 	r.advance(g, 200*time.Millisecond)
 	for _, n := range all {
-		g.Expect(n.CanSend(&r.in)).To(BeTrue(), n.set.Name)
-		g.Expect(n.peers.word().ByGrants).To(BeFalse(), "no node reports use of grants without a rate limit")
+		g.Expect(n.CanSend(&r.in)).To(BeTrue(), n.settings.Name)
+		g.Expect(n.peers.statusReport().UsesGrants).To(BeFalse(), "no node reports use of grants without a rate limit")
 	}
 }
 
@@ -151,13 +151,13 @@
 	}{
 		{"no leader", func(*WithT, *reportingNodes) {}},
 		{"leader of an earlier version", func(g *WithT, r *reportingNodes) {
-			resp, err := r.leader.peers.answer(context.Background(), connect.NewRequest(r.a.peers.word()))
+			resp, err := r.leader.peers.handleStatusReport(context.Background(), connect.NewRequest(r.a.peers.statusReport()))
 			g.Expect(err).NotTo(HaveOccurred())
 			a := resp.Msg
-			a.Limits, a.LimitsNow, a.Grants, a.Dealing, a.Possible = nil, 0, nil, false, 0
-			r.a.peers.take(a, r.clock.Now())
+			a.Limits, a.LimitsVersion, a.Grants, a.AllocatesRates, a.PossibleNodes = nil, 0, nil, false, 0
+			r.a.peers.applyAnswer(a, r.clock.Now())
 		}},
-		{"node leads alone", func(_ *WithT, r *reportingNodes) { r.a.peers.setPlacing(true) }},
+		{"node leads alone", func(_ *WithT, r *reportingNodes) { r.a.peers.setLeader(true) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -170,7 +170,7 @@
 			for range 200 {
 				r.clock.Advance(100 * time.Millisecond)
 				c.leaderAnswers(g, r)
-				r.a.dealLimits(r.clock.Now())
+				r.a.allocateRates(r.clock.Now())
 				sent += spend(r.a, &r.in)
 			}
 			g.Expect(sent).To(BeNumerically("~", 20, 3), "a third of 3 requests per second, for 20 s")
@@ -179,25 +179,25 @@
 }
 
 // Rate limits are divided by the number of nodes that may be running. A node that was replaced by
-// one at another address is no longer counted after ForgetNode. A node behind a network partition
+// one at another address is no longer counted after NodeRetention. A node behind a network partition
 // is counted until then, and again once it reports.
 func TestNodesSilentForLongLoseTheirShare(t *testing.T) {
 	g := NewWithT(t)
 	r := newReporting(g)
-	forgetNode := r.leader.policy.ForgetNode
+	forgetNode := r.leader.policy.NodeRetention
 	r.clock.Advance(forgetNode - time.Second)
 	exchangeReport(g, r.a, r.leader)
-	g.Expect(r.leader.peers.possible(r.clock.Now())).To(Equal(3))
+	g.Expect(r.leader.peers.possibleNodes(r.clock.Now())).To(Equal(3))
 	r.clock.Advance(2 * time.Second)
 	exchangeReport(g, r.a, r.leader)
-	g.Expect(r.leader.peers.possible(r.clock.Now())).To(Equal(2))
-	g.Expect(r.a.peers.possible(r.clock.Now())).To(Equal(2), "as the leader answered")
+	g.Expect(r.leader.peers.possibleNodes(r.clock.Now())).To(Equal(2))
+	g.Expect(r.a.peers.possibleNodes(r.clock.Now())).To(Equal(2), "as the leader answered")
 	exchangeReport(g, r.b, r.leader)
-	g.Expect(r.leader.peers.possible(r.clock.Now())).To(Equal(3))
-	// A new leader has no report of any node yet, and counts all of them until ForgetNode has passed.
-	r.leader.peers.setPlacing(false)
-	r.a.peers.setPlacing(true)
-	g.Expect(r.a.peers.possible(r.clock.Now())).To(Equal(3))
+	g.Expect(r.leader.peers.possibleNodes(r.clock.Now())).To(Equal(3))
+	// A new leader has no report of any node yet, and counts all of them until NodeRetention has passed.
+	r.leader.peers.setLeader(false)
+	r.a.peers.setLeader(true)
+	g.Expect(r.a.peers.possibleNodes(r.clock.Now())).To(Equal(3))
 }
 
 func TestRateLimitedInstanceIsProbedRarely(t *testing.T) {
@@ -217,10 +217,10 @@
 			targets := &noticing{notice: limitedTo(2), err: c.err}
 			n := observe(targets)
 			n.RecordNotice(&n.in, limitedTo(2), "r", n.clock.Now())
-			n.peers.setPlacing(c.leading)
+			n.peers.setLeader(c.leading)
 			for range 100 {
 				n.clock.Advance(100 * time.Millisecond)
-				n.report(context.Background(), n.in, n.clock.Now())
+				n.probeAndRecord(context.Background(), n.in, n.clock.Now())
 			}
 			g.Expect(targets.asked).To(And(BeNumerically("<=", c.maxProbes), BeNumerically(">=", c.maxProbes/2)))
 			v, _ := n.roster.Get("i", n.clock.Now())
