--- a/transport/entry/reach.go
+++ b/transport/entry/reach.go
@@ -13,55 +13,55 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// reachProcedure is the path of an indirect probe: a request to another node to probe an instance.
-const reachProcedure = "/troutmast.Entry/Reach"
+// indirectProbeProcedure is the path of an indirect probe: a request to another node to probe an instance.
+const indirectProbeProcedure = "/troutmast.Entry/Reach"
 
-// ReachRequest asks a node to probe an instance that does not answer the sender.
-type ReachRequest struct {
+// IndirectProbeRequest asks a node to probe an instance that does not answer the sender.
+type IndirectProbeRequest struct {
 	Instance state.InstanceID `json:"i"`
 }
 
-// ReachAnswer is the result of an indirect probe: the instance's report if it answered.
-type ReachAnswer struct {
+// IndirectProbeAnswer is the result of an indirect probe: the instance's report if it answered.
+type IndirectProbeAnswer struct {
 	Reached bool         `json:"r,omitempty"`
 	Report  fleet.Report `json:"report,omitzero"`
 }
 
-// reach handles an indirect probe: it probes an instance on behalf of another node.
-func (p *peers) reach(ctx context.Context, req *connect.Request[ReachRequest]) (*connect.Response[ReachAnswer], error) {
+// handleIndirectProbe probes an instance on behalf of another node.
+func (p *peers) handleIndirectProbe(ctx context.Context, req *connect.Request[IndirectProbeRequest]) (*connect.Response[IndirectProbeAnswer], error) {
 	n := p.n
 	startedAt := n.clock.Now()
 	v, known := n.roster.Get(req.Msg.Instance, startedAt)
 	if !known {
-		return connect.NewResponse(&ReachAnswer{}), nil
+		return connect.NewResponse(&IndirectProbeAnswer{}), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.policy.ProbeTimeout)
 	defer cancel()
 	n.Count("probes.indirect")
-	rep, err := n.question(ctx, v.Instance, startedAt)
+	rep, err := n.probe(ctx, v.Instance, startedAt)
 	if err != nil {
-		return connect.NewResponse(&ReachAnswer{}), nil
+		return connect.NewResponse(&IndirectProbeAnswer{}), nil
 	}
-	n.reported(v.Instance, rep)
-	return connect.NewResponse(&ReachAnswer{Reached: true, Report: rep}), nil
+	n.recordReport(v.Instance, rep)
+	return connect.NewResponse(&IndirectProbeAnswer{Reached: true, Report: rep}), nil
 }
 
-// indirectNodes is the number of other nodes that probe an instance on this node's behalf at once.
-const indirectNodes = 3
+// maxIndirectProbers is the number of other nodes that probe an instance on this node's behalf at once.
+const maxIndirectProbers = 3
 
-// askAbout has other nodes probe an instance and records the first report that one of them gets, or
+// probeIndirectly has other nodes probe an instance and records the first report that one of them gets, or
 // the failure of all.
-func (p *peers) askAbout(ctx context.Context, m fleet.Instance, startedAt time.Time) {
+func (p *peers) probeIndirectly(ctx context.Context, m fleet.Instance, startedAt time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, 2*p.n.policy.ProbeTimeout)
 	defer cancel()
-	nodes := p.witnesses(m, startedAt)
+	nodes := p.indirectProbers(m, startedAt)
 	type indirectReport struct {
 		prober string
 		report *fleet.Report
 	}
 	reports := make(chan indirectReport, len(nodes))
 	for _, node := range nodes {
-		go func() { reports <- indirectReport{node.Name, p.reportBy(ctx, node, m.ID)} }()
+		go func() { reports <- indirectReport{node.Name, p.probeVia(ctx, node, m.ID)} }()
 	}
 	for range nodes {
 		if w := <-reports; w.report != nil {
@@ -74,32 +74,32 @@
 	p.n.roster.RecordIndirectFailure(m.ID, startedAt)
 }
 
-// reportBy has another node probe an instance and returns the report, or nil if there is none.
-func (p *peers) reportBy(ctx context.Context, node NodeEntry, id state.InstanceID) *fleet.Report {
-	c := connect.NewClient[ReachRequest, ReachAnswer](p.hc, "http://"+node.Address+reachProcedure, connect.WithCodec(peer.JSONCodec{}))
-	resp, err := c.CallUnary(ctx, connect.NewRequest(&ReachRequest{Instance: id}))
+// probeVia has another node probe an instance and returns the report, or nil if there is none.
+func (p *peers) probeVia(ctx context.Context, node NodeEntry, id state.InstanceID) *fleet.Report {
+	c := connect.NewClient[IndirectProbeRequest, IndirectProbeAnswer](p.hc, "http://"+node.Address+indirectProbeProcedure, connect.WithCodec(peer.JSONCodec{}))
+	resp, err := c.CallUnary(ctx, connect.NewRequest(&IndirectProbeRequest{Instance: id}))
 	if err != nil || !resp.Msg.Reached {
 		return nil // a node that is down, or of a version without indirect probes, counts as not reaching the instance
 	}
 	return &resp.Msg.Report
 }
 
-// witnesses returns the nodes to use for indirect probes of an instance, out of those that recently
+// indirectProbers returns the nodes to use for indirect probes of an instance, out of those that recently
 // sent this node a status report. The one that last reached the instance comes first, then others
 // in random order.
-func (p *peers) witnesses(m fleet.Instance, now time.Time) []NodeEntry {
+func (p *peers) indirectProbers(m fleet.Instance, now time.Time) []NodeEntry {
 	lastProber := p.n.roster.LastIndirectProber(m.ID)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []NodeEntry
-	for _, r := range p.words {
-		if now.Sub(r.at) < p.n.policy.NodeTimeout {
-			list = append(list, r.word.From)
+	for _, r := range p.statusReports {
+		if now.Sub(r.receivedAt) < p.n.policy.NodeTimeout {
+			list = append(list, r.report.From)
 		}
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	if i := slices.IndexFunc(list, func(e NodeEntry) bool { return e.Name == lastProber }); i > 0 {
 		list[0], list[i] = list[i], list[0]
 	}
-	return list[:min(len(list), indirectNodes)]
+	return list[:min(len(list), maxIndirectProbers)]
 }
--- a/transport/entry/reach_test.go
+++ b/transport/entry/reach_test.go
@@ -18,9 +18,9 @@
 )
 
 // newProbingNode returns a node that knows one instance and probes it through targets.
-func newProbingNode(name string, clock clockwork.Clock, targets Targets) *Node {
-	set := &Settings{Name: name, Hall: "hall", Peer: testAddress(1), Policy: DefaultPolicy()}
-	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: discard.New()})
+func newProbingNode(name string, clock clockwork.Clock, targets TargetClient) *Node {
+	set := &Settings{Name: name, Hall: "hall", PeerAddress: testAddress(1), Policy: DefaultPolicy()}
+	n := New(set, Ports{Decoder: anyConfiguration{}, Target: targets}, clock, &log.Logger{Handler: discard.New()})
 	n.roster.ApplyFreshEntry(fleet.Instance{ID: "i", Service: "lm", Address: testAddress(9), Hall: "far"}, clock.Now())
 	return n
 }
@@ -47,16 +47,16 @@
 			other := newProbingNode("other", clock, halls{answering: c.answering, proofs: proofs{rep: fleet.Report{Membership: group}}})
 			mux := http.NewServeMux()
 			if c.supportsIndirect {
-				mux.Handle(reachProcedure, connect.NewUnaryHandler(reachProcedure, other.peers.reach, connect.WithCodec(peer.JSONCodec{})))
+				mux.Handle(indirectProbeProcedure, connect.NewUnaryHandler(indirectProbeProcedure, other.peers.handleIndirectProbe, connect.WithCodec(peer.JSONCodec{})))
 			}
 			srv := httptest.NewServer(mux)
 			defer srv.Close()
 			entry := NodeEntry{Name: "other", Address: strings.TrimPrefix(srv.URL, "http://")}
-			leader.peers.words["other"] = heardWord{word: Word{From: entry}, at: clock.Now()}
+			leader.peers.statusReports["other"] = receivedReport{report: StatusReport{From: entry}, receivedAt: clock.Now()}
 			in := leader.instance("i")
 			for range 3 {
 				clock.Advance(leader.policy.ProbeInterval)
-				leader.placer.askAround(t.Context(), in, clock.Now())
+				leader.placement.probeWithPeers(t.Context(), in, clock.Now())
 			}
 			m := leader.roster.Members("lm", clock.Now(), clock.Now())[0]
 			g.Expect(m.Lost).To(Equal(c.lost))
--- a/transport/entry/restore_test.go
+++ b/transport/entry/restore_test.go
@@ -44,7 +44,7 @@
 	for key := range strings.SplitSeq(keys, ",") {
 		teams[key] = &catalog.Team{Name: "t"}
 	}
-	route := catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Safe, MaxAttempts: 2, Shares: []catalog.Share{{Service: "plain", Weight: 1}}}
+	route := catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Safe, MaxAttempts: 2, Shares: []catalog.WeightedService{{Service: "plain", Weight: 1}}}
 	return catalog.New(version, []catalog.Route{route}, []catalog.Service{{Name: "plain"}}, teams, catalog.Limits{}), nil
 }
 
@@ -80,10 +80,10 @@
 func (r *deployment) startNode() *running {
 	var seeds []netip.AddrPort
 	for _, n := range r.nodes {
-		seeds = append(seeds, n.set.Peer)
+		seeds = append(seeds, n.set.PeerAddress)
 	}
-	ports := entry.Ports{Decoder: keyDecoder{}, Targets: dialTargets{}, Dialect: codec{}}
-	tune := func(set *entry.Settings) { set.KeysWithin = 10 * time.Second }
+	ports := entry.Ports{Decoder: keyDecoder{}, Target: dialTargets{}, HeaderCodec: codec{}}
+	tune := func(set *entry.Settings) { set.MaxKeyAge = 10 * time.Second }
 	n := startTuned(r.t, r.s, ports, fmt.Sprint("n", len(r.nodes)), tune, seeds...)
 	r.nodes = append(r.nodes, n)
 	return n
@@ -114,7 +114,7 @@
 }
 
 // statusCode sends a request with a key to a node and returns the status code.
-func (r *deployment) statusCode(n *running, key string) int { return status(n.set.Callers, key) }
+func (r *deployment) statusCode(n *running, key string) int { return status(n.set.CallerAddress, key) }
 
 // waitForStatus waits until a node answers requests with a key with the given status code.
 func (r *deployment) waitForStatus(n *running, key string, code int) {
--- a/transport/entry/serve.go
+++ b/transport/entry/serve.go
@@ -16,20 +16,20 @@
 
 // Timing of a graceful shutdown.
 const (
-	// leaveTime is how long new connections may still arrive after the node is no longer ready.
-	leaveTime = 2900 * time.Millisecond
-	// stopMargin is the part of Settings.StopWithin that is reserved for the end of the shutdown.
+	// unreadyPeriod is how long new connections may still arrive after the node is no longer ready.
+	unreadyPeriod = 2900 * time.Millisecond
+	// stopMargin is the part of Settings.StopTimeout that is reserved for the end of the shutdown.
 	stopMargin = 400 * time.Millisecond
 )
 
 // Reload applies changed settings. The name and the addresses can change only with a restart: if
 // one of them differs, Reload returns ErrNeedsRestart and applies nothing.
 func (n *Node) Reload(set *Settings) error {
-	if set.Name != n.set.Name || set.Callers != n.set.Callers || set.Ready != n.set.Ready || set.Peer != n.set.Peer || set.Store != n.set.Store {
+	if set.Name != n.settings.Name || set.CallerAddress != n.settings.CallerAddress || set.ReadyAddress != n.settings.ReadyAddress || set.PeerAddress != n.settings.PeerAddress || set.StoreAddress != n.settings.StoreAddress {
 		return ErrNeedsRestart
 	}
-	n.know.SetBound(set.StrictKeys, set.KeysWithin)
-	n.gate.SetRetryBounds(set.Retry)
+	n.configState.SetMaxKeyAge(set.StrictKeys, set.MaxKeyAge)
+	n.gateway.SetRetryBounds(set.Retry)
 	n.log.Info("settings reloaded")
 	return nil
 }
@@ -43,15 +43,15 @@
 		n.followConfig,
 		n.followInstances,
 		n.register,
-		n.rewrite,
-		n.rebuild,
-		n.watchBeliefs,
+		n.rewriteEntries,
+		n.rebuildCandidates,
+		n.logStateChanges,
 		n.peers.run,
-		n.peers.follow,
-		n.placer.run,
+		n.peers.followNodes,
+		n.placement.run,
 		n.watchHealth,
-		n.keepQuarantine,
-		n.every(time.Second, func(context.Context) { n.pool.Sweep() }),
+		n.persistQuarantine,
+		n.every(time.Second, func(context.Context) { n.pool.CloseExpired() }),
 	}
 }
 
@@ -64,20 +64,20 @@
 // listen opens all listeners and starts their servers. The server for callers is the first.
 func (n *Node) listen() ([]*http.Server, error) {
 	peerMux := http.NewServeMux()
-	peerMux.Handle(wordProcedure, connect.NewUnaryHandler(wordProcedure, n.peers.answer, connect.WithCodec(peer.JSONCodec{})))
-	peerMux.Handle(reachProcedure, connect.NewUnaryHandler(reachProcedure, n.peers.reach, connect.WithCodec(peer.JSONCodec{})))
+	peerMux.Handle(statusReportProcedure, connect.NewUnaryHandler(statusReportProcedure, n.peers.handleStatusReport, connect.WithCodec(peer.JSONCodec{})))
+	peerMux.Handle(indirectProbeProcedure, connect.NewUnaryHandler(indirectProbeProcedure, n.peers.handleIndirectProbe, connect.WithCodec(peer.JSONCodec{})))
 	readyMux := http.NewServeMux()
 	readyMux.HandleFunc("/", n.serveReady)
 	operatorMux := http.NewServeMux()
-	n.handleOperators(operatorMux)
+	n.registerOperatorHandlers(operatorMux)
 	endpoints := []struct {
 		at string
 		h  http.Handler
 	}{
-		{n.set.Callers.String(), n.gate},
-		{n.set.Ready.String(), readyMux},
-		{n.set.Peer.String(), peerMux},
-		{n.set.Metrics.String(), operatorMux},
+		{n.settings.CallerAddress.String(), n.gateway},
+		{n.settings.ReadyAddress.String(), readyMux},
+		{n.settings.PeerAddress.String(), peerMux},
+		{n.settings.MetricsAddress.String(), operatorMux},
 	}
 	var listeners []*listener
 	for _, p := range endpoints {
@@ -85,7 +85,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("entry: listen on %s: %w", p.at, err)
 		}
-		srv := &http.Server{Handler: p.h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ErrorLog: nil}
+		srv := &http.Server{Handler: p.h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: nil}
 		listeners = append(listeners, &listener{srv: srv, ln: ln})
 	}
 	var servers []*http.Server
@@ -110,10 +110,9 @@
 }
 
 // isReady reports whether the node can answer callers.
-func (n *Node) isReady() bool { return !n.stopping.Load() && n.know.Catalog() != nil }
+func (n *Node) isReady() bool { return !n.stopping.Load() && n.configState.Catalog() != nil }
 
-// handleOperators registers the handlers for operators.
-func (n *Node) handleOperators(mux *http.ServeMux) {
+func (n *Node) registerOperatorHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("/metrics", n.serveMetrics)
 	mux.HandleFunc("GET /quarantine", n.serveQuarantine)
 	mux.HandleFunc("GET /cooldowns", n.serveCooldowns)
@@ -130,12 +129,12 @@
 	began := n.clock.Now()
 	n.log.Info("stopping")
 	n.stopping.Store(true)
-	n.gate.CloseConnections()
-	n.clock.Sleep(min(leaveTime, n.set.StopWithin/2))
-	n.gate.RefuseNew()
-	ctx, cancel := context.WithTimeout(context.Background(), n.set.StopWithin-stopMargin-n.clock.Since(began))
+	n.gateway.CloseConnections()
+	n.clock.Sleep(min(unreadyPeriod, n.settings.StopTimeout/2))
+	n.gateway.RefuseNew()
+	ctx, cancel := context.WithTimeout(context.Background(), n.settings.StopTimeout-stopMargin-n.clock.Since(began))
 	defer cancel()
 	if err := servers[0].Shutdown(ctx); err != nil {
-		n.log.WithError(err).WithField("held", n.gate.StallDetector.ActiveCount()).Warn("requests interrupted by shutdown")
+		n.log.WithError(err).WithField("held", n.gateway.StallDetector.ActiveCount()).Warn("requests interrupted by shutdown")
 	}
 }
--- a/transport/entry/settings.go
+++ b/transport/entry/settings.go
@@ -16,33 +16,32 @@
 type Settings struct {
 	Name string
 	Hall state.HallName
-	// Callers, Ready, Peer and Metrics are the addresses that the node listens on for requests,
-	// readiness checks, other nodes, and operators.
-	Callers netip.AddrPort
-	Ready   netip.AddrPort
-	Peer    netip.AddrPort
-	Metrics netip.AddrPort
+	// CallerAddress, ReadyAddress, PeerAddress and MetricsAddress are the addresses that the node
+	// listens on for requests, readiness checks, other nodes, and operators.
+	CallerAddress  netip.AddrPort
+	ReadyAddress   netip.AddrPort
+	PeerAddress    netip.AddrPort
+	MetricsAddress netip.AddrPort
 	// Capacity is the node's share of a processor, in cores. Larger nodes are preferred as leader.
 	Capacity float64
-	// Store is the address of the platform's store.
-	Store netip.AddrPort
+	// StoreAddress is the address of the platform's store.
+	StoreAddress netip.AddrPort
 	// Seeds are the addresses of nodes to contact before any node is known from the store.
 	Seeds []netip.AddrPort
-	// FirstStart reports whether the whole system starts for the first time.
-	FirstStart bool
-	// BeatInterval is the heartbeat interval: the time between two entries that an instance writes
-	// into the list.
-	BeatInterval time.Duration
-	// StopWithin bounds the duration of a planned stop.
-	StopWithin time.Duration
-	// LeaveWithin bounds the time until a leaving instance gets no new requests.
-	LeaveWithin time.Duration
+	// IsFirstStart reports whether the whole system starts for the first time.
+	IsFirstStart bool
+	// HeartbeatInterval is the time between two entries that an instance writes into the list.
+	HeartbeatInterval time.Duration
+	// StopTimeout bounds the duration of a planned stop.
+	StopTimeout time.Duration
+	// LeaveTimeout bounds the time until a leaving instance gets no new requests.
+	LeaveTimeout time.Duration
 	// StrictKeys makes the node refuse keyed requests if the configuration has not been confirmed
-	// within KeysWithin, since a key may have been revoked in the meantime.
+	// within MaxKeyAge, since a key may have been revoked in the meantime.
 	StrictKeys bool
-	KeysWithin time.Duration
-	// StallTime is the time for which a group with a dead member stalls before it reports an error.
-	StallTime time.Duration
+	MaxKeyAge  time.Duration
+	// StallTimeout is the time for which a group with a dead member stalls before it reports an error.
+	StallTimeout time.Duration
 	// Retry bounds the retries that all nodes together send to one service.
 	Retry retry.SharedBudgetConfig
 	// Policy holds the tunable parameters of the node.
--- a/transport/entry/tell.go
+++ b/transport/entry/tell.go
@@ -12,18 +12,18 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// tell sends this node's status report to another node and returns the answer.
-func (p *peers) tell(ctx context.Context, address string) (*Answer, error) {
+// sendStatusReport sends this node's status report to another node and returns the answer.
+func (p *peers) sendStatusReport(ctx context.Context, address string) (*StatusAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.n.policy.StatusTimeout)
 	defer cancel()
 	p.mu.Lock()
 	c := p.clients[address]
 	if c == nil {
-		c = connect.NewClient[Word, Answer](p.hc, "http://"+address+wordProcedure, connect.WithCodec(peer.JSONCodec{}))
+		c = connect.NewClient[StatusReport, StatusAnswer](p.hc, "http://"+address+statusReportProcedure, connect.WithCodec(peer.JSONCodec{}))
 		p.clients[address] = c
 	}
 	p.mu.Unlock()
-	w := p.word()
+	w := p.statusReport()
 	ledgerVersion := p.addLedger(w, p.n.clock.Now())
 	resp, err := c.CallUnary(ctx, connect.NewRequest(w))
 	if err != nil {
@@ -32,131 +32,131 @@
 		}
 		return nil, err
 	}
-	p.n.observeEra(resp.Msg.Era, address)
-	p.n.heedVersion(resp.Msg.Protocol, address)
-	if resp.Msg.Placing {
-		p.takeLedger(resp.Msg, ledgerVersion)
+	p.n.recordEra(resp.Msg.Era, address)
+	p.n.recordPeerVersion(resp.Msg.Protocol, address)
+	if resp.Msg.CanLead {
+		p.mergeLedger(resp.Msg, ledgerVersion)
 	}
 	return resp.Msg, nil
 }
 
-// word returns this node's status report.
-func (p *peers) word() *Word {
+func (p *peers) statusReport() *StatusReport {
 	n := p.n
 	now := n.clock.Now()
-	w := &Word{
-		From:     p.self(),
-		Protocol: protocolVersion,
-		Held:     n.table.Held(),
-		Suspects: n.suspected(now),
-		Leaving:  n.leavingTold(now),
-		StoreMS:  age(n.storeAge()),
-		Era:      n.eras.current(),
-		Nodes:    p.count(),
-		Late:     n.health.Overloaded(now),
-		AgeMS:    age(never),
-	}
-	w.Feed, w.After = p.hasFeed()
-	w.Arrived = n.gate.RequestCount() > 0
+	w := &StatusReport{
+		From:         p.self(),
+		Protocol:     protocolVersion,
+		InProgress:   n.table.InFlight(),
+		Suspects:     n.suspicions(now),
+		Leaving:      n.recentlyLeaving(now),
+		StoreAgeMS:   ceilMS(n.storeAge()),
+		Era:          n.eras.current(),
+		NodeCount:    p.nodeCount(),
+		IsOverloaded: n.localHealth.Overloaded(now),
+		ConfigAgeMS:  ceilMS(unknownAge),
+	}
+	w.Feed, w.FeedVersion = p.feedPosition()
+	w.HasRequests = n.gateway.RequestCount() > 0
 	w.Demand = n.demand.Flows(now)
-	raw, version := n.know.Raw()
-	w.Version = version
-	if leaderVersion := p.heardVersion(); leaderVersion > 0 && version > leaderVersion {
+	raw, version := n.configState.Encoded()
+	w.ConfigVersion = version
+	if leaderVersion := p.lastLeaderVersion(); leaderVersion > 0 && version > leaderVersion {
 		w.Config = raw
 	}
-	if a, ok := n.know.Age(); ok {
-		w.AgeMS = age(a)
+	if a, ok := n.configState.Age(); ok {
+		w.ConfigAgeMS = ceilMS(a)
 	}
 	p.addLimits(w, now)
 	return w
 }
 
-// heardVersion returns the version of the leader's configuration, as of its last answer.
-func (p *peers) heardVersion() int64 {
+// lastLeaderVersion returns the version of the leader's configuration, as of its last answer.
+func (p *peers) lastLeaderVersion() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.version
+	return p.leaderConfigVersion
 }
 
-// takeConfig applies the configuration in an answer to a status report sent at sentAt. The answer
+// applyConfig applies the configuration in an answer to a status report sent at sentAt. The answer
 // names the age of the configuration when it was written, which is after the status report was
 // sent: subtracting the age from the time of sending never makes the configuration look younger.
-func (p *peers) takeConfig(a *Answer, sentAt time.Time) {
+func (p *peers) applyConfig(a *StatusAnswer, sentAt time.Time) {
 	n := p.n
 	p.mu.Lock()
-	p.version = a.Version
+	p.leaderConfigVersion = a.ConfigVersion
 	p.mu.Unlock()
 	if len(a.Config) > 0 {
-		n.learnConfig(a.Config, "peer")
+		n.applyConfig(a.Config, "peer")
 	}
-	if _, version := n.know.Raw(); version == a.Version && version > 0 {
-		n.know.Confirm(sentAt.Add(-time.Duration(a.AgeMS) * time.Millisecond))
+	if _, version := n.configState.Encoded(); version == a.ConfigVersion && version > 0 {
+		n.configState.RecordConfirmation(sentAt.Add(-time.Duration(a.ConfigAgeMS) * time.Millisecond))
 	}
 }
 
-// hasFeed returns which instance changes this node has: the number of the node that sent them, and its roster version.
-func (p *peers) hasFeed() (int64, uint64) {
+// feedPosition returns which instance changes this node has: the number of the node that sent
+// them, and its roster version.
+func (p *peers) feedPosition() (int64, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.feedFrom, p.feedVersion
+	return p.feedNode, p.feedVersion
 }
 
-// takeChanges applies the instance changes in the leader's answer.
-func (p *peers) takeChanges(a *Answer) {
+// applyChanges applies the instance changes in the leader's answer.
+func (p *peers) applyChanges(a *StatusAnswer) {
 	now := p.n.clock.Now()
 	for _, c := range a.Changes {
 		p.n.roster.ApplyRelayed(c, now)
 	}
 	p.mu.Lock()
-	p.feedFrom, p.feedVersion = a.Feed, a.Now
+	p.feedNode, p.feedVersion = a.Feed, a.FeedVersion
 	p.mu.Unlock()
 	if len(a.Changes) > 0 {
-		p.n.touch()
+		p.n.requestRebuild()
 	}
 }
 
-// giveChanges adds to an answer the instance changes that the sender of a status report lacks.
-func (p *peers) giveChanges(a *Answer, w *Word) {
+// addChanges adds to an answer the instance changes that the sender of a status report lacks.
+func (p *peers) addChanges(a *StatusAnswer, w *StatusReport) {
 	n := p.n
-	a.Feed = n.number.Load()
-	after := w.After
+	a.Feed = n.incarnationNumber.Load()
+	after := w.FeedVersion
 	if w.Feed != a.Feed {
 		after = 0
 	}
-	a.ListAgeMS = age(n.roster.ListAge(n.clock.Now()))
-	a.Changes, a.Now = n.roster.ChangesSince(after)
+	a.ListAgeMS = ceilMS(n.roster.ListAge(n.clock.Now()))
+	a.Changes, a.FeedVersion = n.roster.ChangesSince(after)
 }
 
-// take applies the leader's answer to a status report that was sent at sentAt.
-func (p *peers) take(a *Answer, sentAt time.Time) {
+// applyAnswer applies the leader's answer to a status report that was sent at sentAt.
+func (p *peers) applyAnswer(a *StatusAnswer, sentAt time.Time) {
 	n := p.n
-	p.takeConfig(a, sentAt)
-	p.takeChanges(a)
-	configAsOf := sentAt.Add(-time.Duration(a.AgeMS) * time.Millisecond)
+	p.applyConfig(a, sentAt)
+	p.applyChanges(a)
+	configAsOf := sentAt.Add(-time.Duration(a.ConfigAgeMS) * time.Millisecond)
 	listAsOf := sentAt.Add(-time.Duration(a.ListAgeMS) * time.Millisecond)
 	n.roster.RecordRelayedList(listAsOf)
-	n.feed.take(configAsOf, listAsOf)
+	n.feed.record(configAsOf, listAsOf)
 	for _, e := range a.Nodes {
-		p.learn(e)
+		p.recordNode(e)
 	}
 	p.mu.Lock()
-	p.arrived = p.arrived || a.Arrived
+	p.hasRequests = p.hasRequests || a.HasRequests
 	p.mu.Unlock()
-	n.setAvoid(a.Avoid)
-	n.placer.handOver(a.Staging, sentAt)
-	n.setLoads(a.Held, a.Demand)
-	p.takeLimits(a, sentAt)
+	n.setExcluded(a.Avoid)
+	n.placement.recordStagings(a.Staging, sentAt)
+	n.setLoads(a.InProgress, a.Demand)
+	p.mergeLimits(a, sentAt)
 }
 
 // setLoads updates the dispatch table with the requests in progress at each instance and the
 // demand, both summed over all nodes.
 func (n *Node) setLoads(inProgress map[state.InstanceID]int, flows []demand.Flow) {
-	n.table.SetOthers(minus(inProgress, n.table.Held()), flows, n.demand.Flows(n.clock.Now()))
+	n.table.UpdateLoad(subtractOwn(inProgress, n.table.InFlight()), flows, n.demand.Flows(n.clock.Now()))
 }
 
-// minus returns the number of requests in progress from other nodes at each instance, given
+// subtractOwn returns the number of requests in progress from other nodes at each instance, given
 // those from all nodes and those from this one.
-func minus(all, own map[state.InstanceID]int) map[state.InstanceID]int {
+func subtractOwn(all, own map[state.InstanceID]int) map[state.InstanceID]int {
 	others := make(map[state.InstanceID]int, len(all))
 	for id, n := range all {
 		others[id] = max(n-own[id], 0)
@@ -164,55 +164,54 @@
 	return others
 }
 
-// answer handles the status report of another node.
-func (p *peers) answer(_ context.Context, req *connect.Request[Word]) (*connect.Response[Answer], error) {
+func (p *peers) handleStatusReport(_ context.Context, req *connect.Request[StatusReport]) (*connect.Response[StatusAnswer], error) {
 	n := p.n
 	now := n.clock.Now()
-	defer func() { n.load.statusReport(n.clock.Since(now)) }()
+	defer func() { n.leaderLoad.recordStatusReport(n.clock.Since(now)) }()
 	w := req.Msg
-	p.learn(w.From)
-	n.observeEra(w.Era, w.From.Name)
-	n.heedVersion(w.Protocol, w.From.Name)
+	p.recordNode(w.From)
+	n.recordEra(w.Era, w.From.Name)
+	n.recordPeerVersion(w.Protocol, w.From.Name)
 	p.mu.Lock()
-	p.words[w.From.Name] = heardWord{word: *w, at: now}
-	p.contact[w.From.Address] = now
-	p.arrived = p.arrived || w.Arrived
-	a := &Answer{Placing: p.mayPlace(now), Protocol: protocolVersion, Era: n.eras.current()}
+	p.statusReports[w.From.Name] = receivedReport{report: *w, receivedAt: now}
+	p.lastContact[w.From.Address] = now
+	p.hasRequests = p.hasRequests || w.HasRequests
+	a := &StatusAnswer{CanLead: p.canLead(now), Protocol: protocolVersion, Era: n.eras.current()}
 	p.mu.Unlock()
-	n.learnConfig(w.Config, "peer")
+	n.applyConfig(w.Config, "peer")
 	n.ledger.Merge(w.Ledger.delta(now), quarantine.Source(w.From.Number))
 	for _, s := range w.Suspects {
-		n.placer.suspect(s.Instance, now.Add(-time.Duration(s.AgeMS)*time.Millisecond))
+		n.placement.recordPeerSuspicion(s.Instance, now.Add(-time.Duration(s.AgeMS)*time.Millisecond))
 	}
 	for _, in := range w.Leaving {
-		n.leaving(in, w.From.Name)
+		n.recordLeaving(in, w.From.Name)
 	}
-	n.learnLimits(w.Limits, w.From.Name, now)
-	p.giveConfig(a, w)
-	if a.Placing {
-		if w.Nodes != p.count() {
-			a.Nodes = p.named()
+	n.mergeLimits(w.Limits, w.From.Name, now)
+	p.addConfig(a, w)
+	if a.CanLead {
+		if w.NodeCount != p.nodeCount() {
+			a.Nodes = p.namedNodes()
 		}
-		a.Held, a.Demand = p.total()
-		a.Avoid = n.placer.avoiding()
-		a.Staging = n.placer.stagings(now)
-		a.Arrived = p.anyArrived()
-		p.giveChanges(a, w)
-		n.giveLedger(a, w, now)
-		p.giveLimits(a, w, now)
+		a.InProgress, a.Demand = p.totals()
+		a.Avoid = n.placement.excluded()
+		a.Staging = n.placement.stagings(now)
+		a.HasRequests = p.anyRequests()
+		p.addChanges(a, w)
+		n.addLedgerToAnswer(a, w, now)
+		p.addLimitsToAnswer(a, w, now)
 	}
 	return connect.NewResponse(a), nil
 }
 
-// giveConfig adds to an answer the version and age of this node's configuration, and the
+// addConfig adds to an answer the version and age of this node's configuration, and the
 // configuration itself if the sender has an older one.
-func (p *peers) giveConfig(a *Answer, w *Word) {
-	raw, version := p.n.know.Raw()
-	a.Version, a.AgeMS = version, age(never)
-	if d, ok := p.n.know.Age(); ok {
-		a.AgeMS = age(d)
+func (p *peers) addConfig(a *StatusAnswer, w *StatusReport) {
+	raw, version := p.n.configState.Encoded()
+	a.ConfigVersion, a.ConfigAgeMS = version, ceilMS(unknownAge)
+	if d, ok := p.n.configState.Age(); ok {
+		a.ConfigAgeMS = ceilMS(d)
 	}
-	if w.Version < version {
+	if w.ConfigVersion < version {
 		a.Config = raw
 	}
 }
--- a/transport/entry/upgradesize_test.go
+++ b/transport/entry/upgradesize_test.go
@@ -50,7 +50,7 @@
 	for i := range all {
 		updateLeader(i)
 		if newestFirst {
-			all[i].Capacity += leadingBonus
+			all[i].Capacity += versionBonus
 		}
 		updateLeader(-1)
 	}
@@ -72,9 +72,9 @@
 // firstAnswerSize returns the size in bytes of a leader's answer to a node that knows nothing.
 func firstAnswerSize(g *WithT, nodes, instances int) int {
 	leader := numbered(g, "leader", 1)
-	leader.peers.setPlacing(true)
+	leader.peers.setLeader(true)
 	for i := range nodes - 1 {
-		leader.peers.learn(NodeEntry{Name: fmt.Sprint("front-hall-", i), Address: fmt.Sprintf("10.1.%d.%d:8229", i/250, i%250), Hall: "hall", Number: int64(i)})
+		leader.peers.recordNode(NodeEntry{Name: fmt.Sprint("front-hall-", i), Address: fmt.Sprintf("10.1.%d.%d:8229", i/250, i%250), Hall: "hall", Number: int64(i)})
 	}
 	for i := range instances {
 		leader.roster.ApplyFreshEntry(fleet.Instance{
@@ -83,7 +83,7 @@
 			Membership: fleet.Membership{Group: "g1234567890", Epoch: 1234567890, Rank: i % 16, State: fleet.Ready},
 		}, leader.clock.Now())
 	}
-	resp, err := leader.peers.answer(context.Background(), connect.NewRequest(&Word{From: NodeEntry{Name: "new", Address: "10.9.9.9:8229"}, Protocol: protocolVersion}))
+	resp, err := leader.peers.handleStatusReport(context.Background(), connect.NewRequest(&StatusReport{From: NodeEntry{Name: "new", Address: "10.9.9.9:8229"}, Protocol: protocolVersion}))
 	g.Expect(err).NotTo(HaveOccurred())
 	raw, err := json.Marshal(resp.Msg)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/transport/entry/version.go
+++ b/transport/entry/version.go
@@ -14,62 +14,62 @@
 // records in the store only gain fields, which builds that do not know them ignore. What a build
 // sends does not depend on the receiver. The version states what a node implements.
 const (
-	// protocolLimits is the first version whose nodes send requests to rate-limited instances by grants.
-	protocolLimits = 1
+	// protocolRateLimits is the first version whose nodes send requests to rate-limited instances by grants.
+	protocolRateLimits = 1
 	// protocolVersion is the protocol version of this build.
-	protocolVersion = protocolLimits
+	protocolVersion = protocolRateLimits
 )
 
-// leadingBonus is added per protocol version to the capacity that a node reports, in cores. It is
+// versionBonus is added per protocol version to the capacity that a node reports, in cores. It is
 // far below the differences between node sizes. All builds order nodes by capacity, so among nodes
 // of one size those of the newest build lead: an older leader would not relay fields that it does
 // not know.
-const leadingBonus = 1e-6
+const versionBonus = 1e-6
 
-// toldCapacity returns the capacity that this node reports, by which nodes are ordered for leadership.
-func (n *Node) toldCapacity() float64 { return n.set.Capacity + leadingBonus*protocolVersion }
+// reportedCapacity returns the capacity by which nodes are ordered for leadership.
+func (n *Node) reportedCapacity() float64 { return n.settings.Capacity + versionBonus*protocolVersion }
 
-// heedVersion counts messages of a later protocol version than this build's. It logs each node and
+// recordPeerVersion counts messages of a later protocol version than this build's. It logs each node and
 // version once.
-func (n *Node) heedVersion(version int, name string) {
+func (n *Node) recordPeerVersion(version int, name string) {
 	if version <= protocolVersion {
 		return
 	}
 	n.Count("status.later-version")
-	if _, logged := n.garbled.LoadOrStore(laterVersion{name, version}, true); !logged {
+	if _, logged := n.loggedOnce.LoadOrStore(laterVersionKey{name, version}, true); !logged {
 		n.log.WithFields(log.Fields{"node": name, "version": version, "own": protocolVersion}).Info("node of a later version")
 	}
 }
 
-// laterVersion is the key by which a node and its later version are logged only once.
-type laterVersion struct {
+// laterVersionKey is the key by which a node and its later version are logged only once.
+type laterVersionKey struct {
 	name    string
 	version int
 }
 
-// shieldLimited changes an answer so that a node of a build without rate limits sends nothing to the
+// hideLimited changes an answer so that a node of a build without rate limits sends nothing to the
 // limited instances. Such a node sends no requests to groups in Avoid, and skips instances that
 // look full.
-func (n *Node) shieldLimited(a *Answer) {
+func (n *Node) hideLimited(a *StatusAnswer) {
 	limits := n.limits.Active()
 	if len(limits) == 0 {
 		return
 	}
-	inProgress := maps.Clone(a.Held)
+	inProgress := maps.Clone(a.InProgress)
 	if inProgress == nil {
 		inProgress = map[state.InstanceID]int{}
 	}
 	avoid := a.Avoid
 	for i := range limits {
 		in := n.instance(limits[i].Instance.ID)
-		inProgress[in.ID] += heldWhenFull * max(in.Slots, 1)
+		inProgress[in.ID] += inProgressWhenFull * max(in.Slots, 1)
 		if key := in.Membership.Key(); key.Group != "" && in.Membership.Rank == 0 {
-			avoid = append(avoid[:len(avoid):len(avoid)], Formation{Group: key.Group, Epoch: key.Epoch})
+			avoid = append(avoid[:len(avoid):len(avoid)], GroupEpoch{Group: key.Group, Epoch: key.Epoch})
 		}
 	}
-	a.Held, a.Avoid = inProgress, avoid
+	a.InProgress, a.Avoid = inProgress, avoid
 }
 
-// heldWhenFull is the number of requests in progress per slot that is reported for an instance to
+// inProgressWhenFull is the number of requests in progress per slot that is reported for an instance to
 // make it look full.
-const heldWhenFull = 100
+const inProgressWhenFull = 100
--- a/transport/entry/version_test.go
+++ b/transport/entry/version_test.go
@@ -13,13 +13,13 @@
 )
 
 // reportAsVersion sends a node's status report to a leader as a build of the given version would.
-func reportAsVersion(g *WithT, from, leader *Node, version int) *Answer {
-	w := from.peers.word()
+func reportAsVersion(g *WithT, from, leader *Node, version int) *StatusAnswer {
+	w := from.peers.statusReport()
 	w.Protocol = version
-	if version < protocolLimits {
-		w.Limits, w.LimitsAfter, w.Usage, w.ByGrants = nil, 0, nil, false
+	if version < protocolRateLimits {
+		w.Limits, w.LimitsVersion, w.Usage, w.UsesGrants = nil, 0, nil, false
 	}
-	resp, err := leader.peers.answer(context.Background(), connect.NewRequest(w))
+	resp, err := leader.peers.handleStatusReport(context.Background(), connect.NewRequest(w))
 	g.Expect(err).NotTo(HaveOccurred())
 	return resp.Msg
 }
@@ -59,15 +59,15 @@
 			a := reportAsVersion(g, r.a, r.leader, c.version)
 			if !c.isShielded {
 				g.Expect(a.Avoid).To(BeEmpty())
-				g.Expect(a.Held).NotTo(HaveKey(head.ID))
+				g.Expect(a.InProgress).NotTo(HaveKey(head.ID))
 				g.Expect(a.Limits).To(HaveLen(2))
 				return
 			}
-			g.Expect(a.Avoid).To(Equal([]Formation{{Group: "g", Epoch: 7}}))
-			g.Expect(a.Held[head.ID]).To(BeNumerically(">", 4*head.Slots))
-			g.Expect(a.Held[r.in.ID]).To(BeNumerically(">", 0))
-			g.Expect(a.Dealing).To(BeFalse())
-			held, _ := r.leader.peers.total()
+			g.Expect(a.Avoid).To(Equal([]GroupEpoch{{Group: "g", Epoch: 7}}))
+			g.Expect(a.InProgress[head.ID]).To(BeNumerically(">", 4*head.Slots))
+			g.Expect(a.InProgress[r.in.ID]).To(BeNumerically(">", 0))
+			g.Expect(a.AllocatesRates).To(BeFalse())
+			held, _ := r.leader.peers.totals()
 			g.Expect(held).NotTo(HaveKey(head.ID), "the leader's own totals should not change")
 		})
 	}
@@ -82,10 +82,10 @@
 	sent := 0
 	for range 100 {
 		r.clock.Advance(100 * time.Millisecond)
-		r.leader.storeRead(r.clock.Now())
+		r.leader.recordStoreRead(r.clock.Now())
 		reportAsVersion(g, r.a, r.leader, 0)
 		reportAsVersion(g, r.b, r.leader, 0)
-		r.leader.dealLimits(r.clock.Now())
+		r.leader.allocateRates(r.clock.Now())
 		sent += spend(r.leader, &r.in)
 	}
 	g.Expect(sent).To(BeNumerically("~", 30, 3), "3 requests a second for 10 s")
@@ -96,8 +96,8 @@
 	n := newTestNode()
 	own := n.peers.self()
 	for i := range 50 {
-		earlier := NodeEntry{Name: "earlier", Address: testAddress(2 + i).String(), Capacity: n.set.Capacity}
-		larger := NodeEntry{Name: "larger", Address: testAddress(2 + i).String(), Capacity: n.set.Capacity + 0.1}
+		earlier := NodeEntry{Name: "earlier", Address: testAddress(2 + i).String(), Capacity: n.settings.Capacity}
+		larger := NodeEntry{Name: "larger", Address: testAddress(2 + i).String(), Capacity: n.settings.Capacity + 0.1}
 		g.Expect(precedes(own, earlier)).To(BeTrue())
 		g.Expect(precedes(larger, own)).To(BeTrue(), "a larger node should lead even if its build is earlier")
 	}
@@ -107,8 +107,8 @@
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	for range 3 {
-		n.heedVersion(protocolVersion+1, "b")
-		n.heedVersion(protocolVersion, "c")
+		n.recordPeerVersion(protocolVersion+1, "b")
+		n.recordPeerVersion(protocolVersion, "c")
 	}
 	g.Expect(n.logged("node of a later version")).To(Equal(1))
 }
