--- a/cmd/troutmastd/onplatform.go
+++ b/cmd/troutmastd/onplatform.go
@@ -47,14 +47,14 @@
 	defer sink.Close(logCloseTimeout)
 	logger := &log.Logger{Handler: json.New(sink), Level: log.InfoLevel}
 	ports := entry.Ports{
-		Store:   &platform.Store{Client: newHTTPClient(4), Address: cfg.Store},
-		Decoder: platform.Decoder{},
-		Targets: &platform.Targets{Client: newHTTPClient(2), Fresh: newHTTPClient(noIdleConns)},
-		Dialect: platform.Dialect{},
+		Store:       &platform.Store{Client: newHTTPClient(4), Address: cfg.StoreAddress},
+		Decoder:     platform.Decoder{},
+		Target:      &platform.Targets{Client: newHTTPClient(2), Fresh: newHTTPClient(noIdleConns)},
+		HeaderCodec: platform.Dialect{},
 	}
 	clock := steady.NewClock()
 	node := entry.New(cfg, ports, clock, logger)
-	clock.OnWake(node.Woke)
+	clock.OnWake(node.RecordResume)
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	go reloadOnChange(ctx, path, hup, node, logger)
@@ -115,7 +115,7 @@
 
 // newHTTPClient returns a client that keeps at most maxIdleConns idle connections to each address.
 func newHTTPClient(maxIdleConns int) *http.Client {
-	dialer := direct.Dialer{Timeout: dialTimeout, Silence: ackTimeout}
+	dialer := direct.Dialer{Timeout: dialTimeout, AckTimeout: ackTimeout}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
 		DisableCompression:  true,
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -17,18 +17,18 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Errors of this package. All but ErrUnknown mean that this attempt did not run the call.
+// Errors of this package. All but ErrResultUnknown mean that this attempt did not run the call.
 var (
-	// ErrKey means that the key is not a UUIDv7.
-	ErrKey = errors.New("claim: the key is not a UUIDv7")
-	// ErrNotCovered means that the claim history does not cover the time of the key.
-	ErrNotCovered = errors.New("claim: the key is older than the claim history or from the future")
-	// ErrConflict means that the key was used for a different call.
-	ErrConflict = errors.New("claim: the key belongs to a different call")
+	// ErrInvalidKey means that the key is not a UUIDv7.
+	ErrInvalidKey = errors.New("claim: the key is not a UUIDv7")
+	// ErrKeyNotCovered means that the claim history does not cover the time of the key.
+	ErrKeyNotCovered = errors.New("claim: the key is older than the claim history or from the future")
+	// ErrKeyConflict means that the key was used for a different call.
+	ErrKeyConflict = errors.New("claim: the key belongs to a different call")
 	// ErrUnsettled means that the claim was not read back from the log in time.
 	ErrUnsettled = errors.New("claim: the claim was not read back from the log in time")
-	// ErrUnknown means that an earlier attempt holds the key and its result is unknown.
-	ErrUnknown = errors.New("claim: an earlier attempt holds the key and its result is unknown")
+	// ErrResultUnknown means that an earlier attempt holds the key and its result is unknown.
+	ErrResultUnknown = errors.New("claim: an earlier attempt holds the key and its result is unknown")
 )
 
 // Follower provides the replicated state and the log.
@@ -75,9 +75,9 @@
 
 // Claim returns the holder that may run the call, or the recorded result of an earlier
 // attempt, or an error.
-func (m *Manager) Claim(ctx context.Context, key state.ClaimKey, request string) (holder string, recorded *state.Result, err error) {
+func (m *Manager) Claim(ctx context.Context, key state.ClaimKey, request string) (holder string, recorded *state.ClaimResult, err error) {
 	if _, ok := state.IDTime(key.Key); !ok {
-		return "", nil, ErrKey
+		return "", nil, ErrInvalidKey
 	}
 	holder = m.incarnation + "/" + uuid.NewString()
 	if settled, result, err := m.lookup(key, holder, request); settled {
@@ -98,14 +98,14 @@
 		case <-m.follower.Halted():
 			return "", nil, fmt.Errorf("%w: %w", ErrUnsettled, m.follower.Stopped())
 		case <-ctx.Done():
-			m.GiveBack(key, holder)
+			m.Release(key, holder)
 			return "", nil, fmt.Errorf("%w: %w", ErrUnsettled, ctx.Err())
 		}
 	}
 }
 
 // ownHolder returns the holder if the settled claim is its own, and an empty string otherwise.
-func ownHolder(holder string, result *state.Result, err error) string {
+func ownHolder(holder string, result *state.ClaimResult, err error) string {
 	if result != nil || err != nil {
 		return ""
 	}
@@ -114,7 +114,7 @@
 
 // lookup reports whether the claim of a key is settled. If another attempt holds the key, it also
 // returns that attempt's result or an error.
-func (m *Manager) lookup(key state.ClaimKey, holder, request string) (settled bool, result *state.Result, err error) {
+func (m *Manager) lookup(key state.ClaimKey, holder, request string) (settled bool, result *state.ClaimResult, err error) {
 	m.follower.Read(func(s *state.State) {
 		c, ok := s.Claim(key)
 		switch {
@@ -123,31 +123,31 @@
 		case ok && !c.Released:
 			settled = true
 			result, err = earlierResult(c, request)
-		case !s.KeyCovered(key.Key):
-			settled, err = true, ErrNotCovered
+		case !s.IsKeyInHorizon(key.Key):
+			settled, err = true, ErrKeyNotCovered
 		}
 	})
 	return settled, result, err
 }
 
 // earlierResult returns the result of an earlier attempt with the same key.
-func earlierResult(c state.Claim, request string) (*state.Result, error) {
+func earlierResult(c state.Claim, request string) (*state.ClaimResult, error) {
 	if c.Request != request {
-		return nil, ErrConflict
+		return nil, ErrKeyConflict
 	}
 	if c.Result == nil || c.Result.Status == 0 {
-		return nil, ErrUnknown
+		return nil, ErrResultUnknown
 	}
 	return c.Result, nil
 }
 
-// Finish records the result of the claimed call.
-func (m *Manager) Finish(key state.ClaimKey, holder string, result *state.Result) {
+// RecordResult records the result of the claimed call.
+func (m *Manager) RecordResult(key state.ClaimKey, holder string, result *state.ClaimResult) {
 	m.enqueue(state.ClaimOp{Key: key, Holder: holder, Result: result})
 }
 
-// GiveBack releases the claim of a call that was certainly not sent.
-func (m *Manager) GiveBack(key state.ClaimKey, holder string) {
+// Release releases the claim of a call that was certainly not sent.
+func (m *Manager) Release(key state.ClaimKey, holder string) {
 	m.enqueue(state.ClaimOp{Key: key, Holder: holder, NotRun: true})
 }
 
--- a/coordination/control/control.go
+++ b/coordination/control/control.go
@@ -21,12 +21,12 @@
 	Model state.Model
 }
 
-// Need returns the order that brings an instance from the reported to the assigned state, or
+// NextOrder returns the order that brings an instance from the reported to the assigned state, or
 // false if none is needed.
 //
 // A report with a later epoch than the view's offset means that this node lags behind the log,
 // so it returns no order.
-func Need(v *statelog.View, r evidence.Report) (Order, bool) {
+func NextOrder(v *statelog.View, r evidence.Report) (Order, bool) {
 	if r.Epoch > v.Offset {
 		return Order{}, false
 	}
@@ -40,7 +40,7 @@
 		}
 		return Order{Instance: r.Instance, Epoch: a.Epoch}, true
 	}
-	g := v.ByName[a.Group]
+	g := v.GroupsByName[a.Group]
 	if r.Group == a.Group && r.Epoch == a.Epoch && r.Rank == a.Rank && r.Phase != evidence.PhaseIdle {
 		return Order{}, false
 	}
--- a/coordination/control/control_test.go
+++ b/coordination/control/control_test.go
@@ -71,7 +71,8 @@
 	sim.views = append(sim.views, statelog.NewView(sim.st))
 }
 
-// completeGroups returns the members of the groups of a view that are complete according to their members' current reports.
+// completeGroups returns the members of the groups of a view that are complete according to
+// their members' current reports.
 func (sim *simulation) completeGroups(v *statelog.View) map[state.GroupName][]state.InstanceID {
 	table := evidence.NewTable()
 	for _, i := range sim.instances {
@@ -91,7 +92,7 @@
 	owner := map[state.InstanceID]string{}
 	for n, v := range sim.views {
 		for name, members := range sim.completeGroups(v) {
-			key := fmt.Sprintf("%s epoch %d", name, v.ByName[name].Epoch)
+			key := fmt.Sprintf("%s epoch %d", name, v.GroupsByName[name].Epoch)
 			for _, id := range members {
 				if other, ok := owner[id]; ok && other != key {
 					sim.t.Fatalf("instance %s serves %s and, in the view at offset %d, %s", id, other, n, key)
@@ -105,7 +106,7 @@
 // sendOrder sends the order that a node with the given view derives for a random instance, immediately or delayed.
 func (sim *simulation) sendOrder(v *statelog.View) {
 	i := sim.instances[rapid.IntRange(0, len(sim.instances)-1).Draw(sim.t, "instance")]
-	o, needed := control.Need(v, i.report())
+	o, needed := control.NextOrder(v, i.report())
 	if !needed {
 		return
 	}
@@ -198,7 +199,7 @@
 	v := sim.views[len(sim.views)-1]
 	for range 3 {
 		for _, i := range sim.instances {
-			if o, needed := control.Need(v, i.report()); needed {
+			if o, needed := control.NextOrder(v, i.report()); needed {
 				i.handleOrder(o)
 			}
 		}
@@ -218,11 +219,11 @@
 func TestNeedReturnsNoOrderWhenNodeLags(t *testing.T) {
 	v := &statelog.View{Offset: 5, Assignments: map[state.InstanceID]*state.Assignment{"i": {Instance: "i", Epoch: 5}}}
 	r := evidence.Report{Instance: "i", Group: "g", Epoch: 9, Phase: evidence.PhaseReady}
-	if o, needed := control.Need(v, r); needed {
+	if o, needed := control.NextOrder(v, r); needed {
 		t.Errorf("node at offset 5 returned order %+v for a report with epoch 9, want none", o)
 	}
 	r.Epoch = 4
-	if _, needed := control.Need(v, r); !needed {
+	if _, needed := control.NextOrder(v, r); !needed {
 		t.Error("got no order for a report with an older epoch than the assignment")
 	}
 }
--- a/coordination/cooldown/history_test.go
+++ b/coordination/cooldown/history_test.go
@@ -165,7 +165,7 @@
 		for id, held := range all {
 			others[id] = held - n.inFlight[id]
 		}
-		n.table.SetOthers(others, nil, nil)
+		n.table.UpdateLoad(others, nil, nil)
 	}
 }
 
@@ -185,14 +185,14 @@
 		}
 		return h.isBlocked(n, c.ID)
 	})
-	if c == nil || sends >= maxSends || sends == 0 && c.Full(h.now) {
+	if c == nil || sends >= maxSends || sends == 0 && c.IsFull(h.now) {
 		h.refused++
 		return
 	}
 	if _, probing := n.probeInFlight[c.ID]; probing {
 		n.probeInFlight[c.ID] = true
 	}
-	hold := c.Hold(0, h.now)
+	hold := c.BeginRequest(0, h.now)
 	n.inFlight[c.ID]++
 	done := func() { hold.End(); n.inFlight[c.ID]-- }
 	for _, in := range h.targets {
--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -18,11 +18,11 @@
 type Flow struct {
 	Service state.ServiceName `json:"s"`
 	Model   string            `json:"m,omitempty"`
-	// Requests is the rate of new requests, Prompt the rate of their prompt tokens and
-	// Answer the rate of output tokens that they are expected to produce.
-	Requests float64 `json:"r"`
-	Prompt   float64 `json:"p,omitempty"`
-	Answer   float64 `json:"a,omitempty"`
+	// Requests is the rate of new requests, PromptTokens the rate of their prompt tokens
+	// and OutputTokens the rate of output tokens that they are expected to produce.
+	Requests     float64 `json:"r"`
+	PromptTokens float64 `json:"p,omitempty"`
+	OutputTokens float64 `json:"a,omitempty"`
 }
 
 // flowKey identifies a flow.
@@ -55,8 +55,8 @@
 	}
 	factor := math.Exp(-elapsed.Seconds() / decay.Seconds())
 	c.Requests *= factor
-	c.Prompt *= factor
-	c.Answer *= factor
+	c.PromptTokens *= factor
+	c.OutputTokens *= factor
 	c.updatedAt = now
 }
 
@@ -75,8 +75,8 @@
 	}
 	c.decayTo(now, m.policy.Decay)
 	c.Requests++
-	c.Prompt += float64(prompt)
-	c.Answer += float64(answer)
+	c.PromptTokens += float64(prompt)
+	c.OutputTokens += float64(answer)
 }
 
 // minReportedRate is the rate, in requests per second, below which a flow is not reported.
@@ -91,8 +91,8 @@
 		c.decayTo(now, m.policy.Decay)
 		f := c.Flow
 		f.Requests /= m.policy.Decay.Seconds()
-		f.Prompt /= m.policy.Decay.Seconds()
-		f.Answer /= m.policy.Decay.Seconds()
+		f.PromptTokens /= m.policy.Decay.Seconds()
+		f.OutputTokens /= m.policy.Decay.Seconds()
 		if f.Requests >= minReportedRate {
 			list = append(list, f)
 		}
@@ -111,8 +111,8 @@
 				total[f.key()] = t
 			}
 			t.Requests += f.Requests
-			t.Prompt += f.Prompt
-			t.Answer += f.Answer
+			t.PromptTokens += f.PromptTokens
+			t.OutputTokens += f.OutputTokens
 		}
 	}
 	list := make([]Flow, 0, len(total))
@@ -130,10 +130,10 @@
 	return list
 }
 
-// WorkOf returns the mean number of batch slots that the requests for each model
-// of an engine service occupy, in groups with Pace 1. It returns nil while the
+// OccupiedSlots returns the mean number of batch slots that the requests for each model
+// of an engine service occupy, in groups with TimeFactor 1. It returns nil while the
 // measured request rate of the service is below MinRate.
-func (p Policy) WorkOf(service state.ServiceName, engine *catalog.Engine, flows []Flow) []float64 {
+func (p Policy) OccupiedSlots(service state.ServiceName, engine *catalog.Engine, flows []Flow) []float64 {
 	slots := make([]float64, len(engine.Models))
 	var requests float64
 	for _, f := range flows {
@@ -151,17 +151,17 @@
 }
 
 // occupiedSlots returns the mean number of batch slots that a flow occupies, in groups with
-// Pace 1 whose batches are half full. A group does nothing else during the prefill
+// TimeFactor 1 whose batches are half full. A group does nothing else during the prefill
 // of a prompt, so prefill occupies all of its slots.
 func occupiedSlots(engine *catalog.Engine, f Flow) float64 {
-	stepTime := engine.Step.Seconds() + engine.PerSequence.Seconds()*float64(engine.Slots)/2
-	outputTokens := f.Answer
+	stepTime := engine.StepTime.Seconds() + engine.StepTimePerRequest.Seconds()*float64(engine.BatchSlots)/2
+	outputTokens := f.OutputTokens
 	if outputTokens == 0 {
-		outputTokens = f.Requests * engine.UsualAnswer
+		outputTokens = f.Requests * engine.MeanResponseTokens
 	}
 	slots := outputTokens * stepTime
-	if engine.ReadPerSecond > 0 {
-		slots += float64(max(engine.Slots, 1)) * f.Prompt / engine.ReadPerSecond
+	if engine.PrefillTokensPerSecond > 0 {
+		slots += float64(max(engine.BatchSlots, 1)) * f.PromptTokens / engine.PrefillTokensPerSecond
 	}
 	return slots
 }
--- a/coordination/demand/demand_test.go
+++ b/coordination/demand/demand_test.go
@@ -14,8 +14,8 @@
 
 // engine has two models, each with half of the expected load.
 var engine = &catalog.Engine{
-	Slots: 10, Step: 10 * time.Millisecond, ReadPerSecond: 10_000, UsualAnswer: 100,
-	Models: []catalog.Model{{Name: "long", Size: 4, Share: 0.5}, {Name: "short", Size: 2, Share: 0.5}},
+	BatchSlots: 10, StepTime: 10 * time.Millisecond, PrefillTokensPerSecond: 10_000, MeanResponseTokens: 100,
+	Models: []catalog.Model{{Name: "long", GroupSize: 4, ExpectedShare: 0.5}, {Name: "short", GroupSize: 2, ExpectedShare: 0.5}},
 }
 
 // addRequests adds requests at a constant rate over a span.
@@ -33,8 +33,8 @@
 	flows := m.Flows(start.Add(20 * time.Second))
 	g.Expect(flows).To(HaveLen(1))
 	g.Expect(flows[0].Requests).To(BeNumerically("~", 50, 2))
-	g.Expect(flows[0].Prompt).To(BeNumerically("~", 50_000, 2000))
-	g.Expect(flows[0].Answer).To(BeNumerically("~", 4000, 200))
+	g.Expect(flows[0].PromptTokens).To(BeNumerically("~", 50_000, 2000))
+	g.Expect(flows[0].OutputTokens).To(BeNumerically("~", 4000, 200))
 	g.Expect(m.Flows(start.Add(60 * time.Second))).To(BeEmpty())
 }
 
@@ -45,15 +45,15 @@
 		want  []float64
 	}{
 		{"nothing measured", nil, nil},
-		{"request rate below the minimum", []demand.Flow{{Service: "lm", Model: "long", Requests: 2, Answer: 300}}, nil},
-		{"another service", []demand.Flow{{Service: "x", Model: "long", Requests: 90, Answer: 300}}, nil},
+		{"request rate below the minimum", []demand.Flow{{Service: "lm", Model: "long", Requests: 2, OutputTokens: 300}}, nil},
+		{"another service", []demand.Flow{{Service: "x", Model: "long", Requests: 90, OutputTokens: 300}}, nil},
 		{"demand follows tokens, not requests", []demand.Flow{
-			{Service: "lm", Model: "long", Requests: 10, Answer: 3000},
-			{Service: "lm", Model: "short", Requests: 30, Answer: 1000},
+			{Service: "lm", Model: "long", Requests: 10, OutputTokens: 3000},
+			{Service: "lm", Model: "short", Requests: 30, OutputTokens: 1000},
 		}, []float64{30, 10}},
 		{"prompt tokens count", []demand.Flow{
-			{Service: "lm", Model: "long", Requests: 10, Answer: 1000, Prompt: 10_000},
-			{Service: "lm", Model: "short", Requests: 10, Answer: 2000},
+			{Service: "lm", Model: "long", Requests: 10, OutputTokens: 1000, PromptTokens: 10_000},
+			{Service: "lm", Model: "short", Requests: 10, OutputTokens: 2000},
 		}, []float64{20, 20}},
 		{"usual output length if none is measured", []demand.Flow{
 			{Service: "lm", Model: "long", Requests: 10},
@@ -62,7 +62,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			got := demand.DefaultPolicy().WorkOf("lm", engine, c.flows)
+			got := demand.DefaultPolicy().OccupiedSlots("lm", engine, c.flows)
 			g.Expect(got).To(HaveLen(len(c.want)))
 			for i := range c.want {
 				g.Expect(got[i]).To(BeNumerically("~", c.want[i], 0.001))
@@ -73,7 +73,7 @@
 
 func TestSumAddsUpFlowsOfNodes(t *testing.T) {
 	g := NewWithT(t)
-	a := []demand.Flow{{Service: "lm", Model: "long", Requests: 2, Prompt: 10}}
-	b := []demand.Flow{{Service: "lm", Model: "long", Requests: 3, Prompt: 5}, {Service: "plain", Requests: 1}}
-	g.Expect(demand.Sum(a, b)).To(Equal([]demand.Flow{{Service: "lm", Model: "long", Requests: 5, Prompt: 15}, {Service: "plain", Requests: 1}}))
+	a := []demand.Flow{{Service: "lm", Model: "long", Requests: 2, PromptTokens: 10}}
+	b := []demand.Flow{{Service: "lm", Model: "long", Requests: 3, PromptTokens: 5}, {Service: "plain", Requests: 1}}
+	g.Expect(demand.Sum(a, b)).To(Equal([]demand.Flow{{Service: "lm", Model: "long", Requests: 5, PromptTokens: 15}, {Service: "plain", Requests: 1}}))
 }
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -44,8 +44,8 @@
 	lastCheck atomic.Int64
 }
 
-// Held returns the number of requests in flight from this node to the instance.
-func (c *Candidate) Held() int64 { return c.load.inFlight.Load() }
+// InFlight returns the number of requests in flight from this node to the instance.
+func (c *Candidate) InFlight() int64 { return c.load.inFlight.Load() }
 
 // Load returns the number of requests known to be in flight from all nodes to the instance.
 func (c *Candidate) Load() int64 { return c.load.inFlight.Load() + c.load.othersInFlight.Load() }
@@ -56,8 +56,8 @@
 	return time.Duration(float64(c.load.prefillTokens.Load()) * c.prefillTimePerToken)
 }
 
-// Check reports whether the members should be probed now. It returns true at most once per interval.
-func (c *Candidate) Check(now time.Time, interval time.Duration) bool {
+// ShouldProbeMembers reports whether the members should be probed now. It returns true at most once per interval.
+func (c *Candidate) ShouldProbeMembers(now time.Time, interval time.Duration) bool {
 	last, at := c.load.lastCheck.Load(), steady.Nanos(now)
 	return at-last >= int64(interval) && c.load.lastCheck.CompareAndSwap(last, at)
 }
@@ -68,11 +68,11 @@
 	failureUnit = 1000
 )
 
-// Failed records a failure of the instance.
-func (c *Candidate) Failed() { c.load.failureScore.Add(failureUnit) }
+// RecordFailure records a failure of the instance.
+func (c *Candidate) RecordFailure() { c.load.failureScore.Add(failureUnit) }
 
-// Answered records a successful response of the instance, which reduces its failure score.
-func (c *Candidate) Answered() {
+// RecordCompleteResponse records a successful response of the instance, which reduces its failure score.
+func (c *Candidate) RecordCompleteResponse() {
 	score := c.load.failureScore.Load()
 	c.load.failureScore.Add(-int64(float64(score) * c.table.policy.FailureRecovery))
 }
@@ -152,12 +152,12 @@
 	if c.Membership.State != fleet.Open || c.Membership.Rank != 0 || model == nil {
 		return false
 	}
-	if engine.Slots > 0 {
-		c.Slots = engine.Slots
+	if engine.BatchSlots > 0 {
+		c.Slots = engine.BatchSlots
 	}
-	c.Size = model.Size
-	if engine.ReadPerSecond > 0 {
-		c.prefillTimePerToken = cmp.Or(model.Pace, 1) * float64(time.Second) / engine.ReadPerSecond
+	c.Size = model.GroupSize
+	if engine.PrefillTokensPerSecond > 0 {
+		c.prefillTimePerToken = cmp.Or(model.TimeFactor, 1) * float64(time.Second) / engine.PrefillTokensPerSecond
 	}
 	for _, m := range members {
 		if m.Unreachable {
@@ -165,12 +165,12 @@
 		}
 		c.Members = append(c.Members, m.Instance)
 	}
-	return len(c.Members) >= model.Size
+	return len(c.Members) >= model.GroupSize
 }
 
-// SetOthers records the number of requests in flight from the other nodes to each
+// UpdateLoad records the number of requests in flight from the other nodes to each
 // instance, the demand at all nodes, and the demand at this node.
-func (t *Table) SetOthers(inFlight map[state.InstanceID]int, total, own []demand.Flow) {
+func (t *Table) UpdateLoad(inFlight map[state.InstanceID]int, total, own []demand.Flow) {
 	demands := make(map[poolKey]modelDemand, len(total))
 	for _, f := range total {
 		demands[poolKey{f.Service, f.Model}] = newModelDemand(f, own)
@@ -183,8 +183,8 @@
 	}
 }
 
-// Held returns the number of requests in flight from this node to each instance.
-func (t *Table) Held() map[state.InstanceID]int {
+// InFlight returns the number of requests in flight from this node to each instance.
+func (t *Table) InFlight() map[state.InstanceID]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	inFlight := map[state.InstanceID]int{}
@@ -196,9 +196,9 @@
 	return inFlight
 }
 
-// Full reports whether the candidate has no capacity for a new request. An instance of a
+// IsFull reports whether the candidate has no capacity for a new request. An instance of a
 // plain service is never full.
-func (c *Candidate) Full(now time.Time) bool {
+func (c *Candidate) IsFull(now time.Time) bool {
 	if c.Size == 0 {
 		return false
 	}
--- a/coordination/dispatch/candidate_test.go
+++ b/coordination/dispatch/candidate_test.go
@@ -16,7 +16,7 @@
 
 // testCatalog returns a catalog with a plain service and a service with groups of two.
 func testCatalog() *catalog.Catalog {
-	engine := &catalog.Engine{Slots: 10, Models: []catalog.Model{{Name: "m", Size: 2, Pace: 1}}}
+	engine := &catalog.Engine{BatchSlots: 10, Models: []catalog.Model{{Name: "m", GroupSize: 2, TimeFactor: 1}}}
 	return catalog.New(1, nil, []catalog.Service{{Name: "plain"}, {Name: "lm", Engine: engine}}, nil, catalog.Limits{})
 }
 
@@ -79,15 +79,15 @@
 	g := NewWithT(t)
 	table := dispatch.NewTable("h", dispatch.DefaultPolicy())
 	table.Update(testCatalog(), []roster.View{plain("a"), plain("b")}, func(fleet.GroupKey) bool { return false })
-	table.SetOthers(map[state.InstanceID]int{"a": 3}, nil, nil)
+	table.UpdateLoad(map[state.InstanceID]int{"a": 3}, nil, nil)
 	for range 20 {
 		g.Expect(table.Pick("plain", "", start, excludeNone).ID).To(Equal(state.InstanceID("b")))
 	}
 	picked := table.Pick("plain", "", start, excludeNone)
 	for range 4 {
-		picked.Hold(0, start)
+		picked.BeginRequest(0, start)
 	}
-	g.Expect(table.Held()).To(Equal(map[state.InstanceID]int{"b": 4}))
+	g.Expect(table.InFlight()).To(Equal(map[state.InstanceID]int{"b": 4}))
 	for range 20 {
 		g.Expect(table.Pick("plain", "", start, excludeNone).ID).To(Equal(state.InstanceID("a")))
 	}
@@ -99,13 +99,13 @@
 	table.Update(testCatalog(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, func(fleet.GroupKey) bool { return false })
 	head := table.Pick("lm", "m", start, excludeNone)
 	for range 8 {
-		head.Hold(0, start)
+		head.BeginRequest(0, start)
 	}
-	g.Expect(head.Full(start)).To(BeFalse())
-	last := head.Hold(0, start)
-	g.Expect(head.Full(start)).To(BeTrue())
+	g.Expect(head.IsFull(start)).To(BeFalse())
+	last := head.BeginRequest(0, start)
+	g.Expect(head.IsFull(start)).To(BeTrue())
 	last.End()
-	g.Expect(head.Full(start)).To(BeFalse())
+	g.Expect(head.IsFull(start)).To(BeFalse())
 }
 
 // With stale load data, requests go to every candidate that becomes the cheapest
@@ -117,7 +117,7 @@
 	table := dispatch.NewTable("h", policy)
 	table.Update(testCatalog(), []roster.View{plain("a"), plain("b"), plain("c")}, func(fleet.GroupKey) bool { return false })
 	total := []demand.Flow{{Service: "plain", Requests: 16}} // four within the horizon
-	table.SetOthers(map[state.InstanceID]int{"b": 2, "c": 9}, total, nil)
+	table.UpdateLoad(map[state.InstanceID]int{"b": 2, "c": 9}, total, nil)
 	const draws = 6000
 	picks := map[state.InstanceID]int{}
 	for range draws {
@@ -137,10 +137,10 @@
 	otherMember.Membership.Group = "h"
 	table.Update(testCatalog(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready), otherHead, otherMember}, func(fleet.GroupKey) bool { return false })
 	total := []demand.Flow{{Service: "lm", Model: "m", Requests: 1000}}
-	table.SetOthers(map[state.InstanceID]int{"a": 9, "c": 5}, total, nil)
+	table.UpdateLoad(map[state.InstanceID]int{"a": 9, "c": 5}, total, nil)
 	for range 50 {
 		g.Expect(table.Pick("lm", "m", start, excludeNone).ID).To(Equal(state.InstanceID("c")))
 	}
-	table.SetOthers(map[state.InstanceID]int{"a": 9, "c": 9}, total, nil)
-	g.Expect(table.Pick("lm", "m", start, excludeNone).Full(start)).To(BeTrue())
+	table.UpdateLoad(map[state.InstanceID]int{"a": 9, "c": 9}, total, nil)
+	g.Expect(table.Pick("lm", "m", start, excludeNone).IsFull(start)).To(BeTrue())
 }
--- a/coordination/dispatch/pace.go
+++ b/coordination/dispatch/pace.go
@@ -64,8 +64,8 @@
 	meanPrompt float64
 }
 
-// Asked returns the request rate for a model at all nodes, in requests per second.
-func (t *Table) Asked(service state.ServiceName, model string) float64 {
+// RequestRate returns the request rate for a model at all nodes, in requests per second.
+func (t *Table) RequestRate(service state.ServiceName, model string) float64 {
 	return (*t.demand.Load())[poolKey{service, model}].rate
 }
 
@@ -79,7 +79,7 @@
 	if total.Requests <= 0 {
 		return p
 	}
-	p.meanPrompt = total.Prompt / total.Requests
+	p.meanPrompt = total.PromptTokens / total.Requests
 	for _, o := range own {
 		if o.Service == total.Service && o.Model == total.Model {
 			p.share = min(max(o.Requests/total.Requests, minShare), 1)
--- a/coordination/dispatch/pick.go
+++ b/coordination/dispatch/pick.go
@@ -27,7 +27,7 @@
 		if avoid(c) {
 			continue
 		}
-		isFull := c.Full(now)
+		isFull := c.IsFull(now)
 		if allFull && !isFull {
 			allFull = false
 			pool = pool[:0]
@@ -43,13 +43,13 @@
 	if pool[0].Size == 0 {
 		maxShare = 0
 	}
-	arrivals := t.Asked(service, model) * t.policy.SpreadHorizon.Seconds()
+	arrivals := t.RequestRate(service, model) * t.policy.SpreadHorizon.Seconds()
 	return pickWeighted(pool, max(arrivals, 1), maxShare).Candidate
 }
 
-// PickIdlest returns the candidate with the fewest known requests in flight, or nil.
+// PickLeastLoaded returns the candidate with the fewest known requests in flight, or nil.
 // It skips candidates for which avoid returns true.
-func (t *Table) PickIdlest(service state.ServiceName, model string, avoid func(*Candidate) bool) *Candidate {
+func (t *Table) PickLeastLoaded(service state.ServiceName, model string, avoid func(*Candidate) bool) *Candidate {
 	var idlest *Candidate
 	for _, c := range t.Candidates(service, model) {
 		if !avoid(c) && (idlest == nil || c.Load() < idlest.Load()) {
--- a/coordination/dispatch/spread_test.go
+++ b/coordination/dispatch/spread_test.go
@@ -16,9 +16,9 @@
 )
 
 // prefillCatalog returns a catalog with groups of one instance. They process 1,000 prompt
-// tokens per second at Pace 1; the model has Pace 0.5.
+// tokens per second at TimeFactor 1; the model has TimeFactor 0.5.
 func prefillCatalog() *catalog.Catalog {
-	engine := &catalog.Engine{Slots: 20, ReadPerSecond: 1000, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 0.5}}}
+	engine := &catalog.Engine{BatchSlots: 20, PrefillTokensPerSecond: 1000, Models: []catalog.Model{{Name: "m", GroupSize: 1, TimeFactor: 0.5}}}
 	return catalog.New(1, nil, []catalog.Service{{Name: "lm", Engine: engine}}, nil, catalog.Limits{})
 }
 
@@ -63,7 +63,7 @@
 			table := dispatch.NewTable("h", policy)
 			table.Update(prefillCatalog(), openHeads(5), func(fleet.GroupKey) bool { return false })
 			others := map[state.InstanceID]int{"head-1": 10, "head-2": 10, "head-3": 10, "head-4": 10}
-			table.SetOthers(others, []demand.Flow{{Service: "lm", Model: "m", Requests: 16}}, nil)
+			table.UpdateLoad(others, []demand.Flow{{Service: "lm", Model: "m", Requests: 16}}, nil)
 			shares := pickShares(table)
 			g.Expect(shares["head-0"]).To(BeNumerically("~", c.want, 0.03))
 			for _, id := range []state.InstanceID{"head-1", "head-2", "head-3", "head-4"} {
@@ -80,20 +80,20 @@
 	table := dispatch.NewTable("h", policy)
 	table.Update(prefillCatalog(), openHeads(2), func(fleet.GroupKey) bool { return false })
 	first := table.Pick("lm", "m", start, excludeNone)
-	hold := first.Hold(1000, start)
+	hold := first.BeginRequest(1000, start)
 	g.Expect(first.PrefillTime()).To(Equal(500*time.Millisecond), "1,000 tokens at 1,000 per second and Pace 0.5")
 	for range 50 {
 		g.Expect(table.Pick("lm", "m", start, excludeNone).ID).NotTo(Equal(first.ID))
 	}
-	hold.Started()
-	hold.Started()
+	hold.RecordFirstEvent()
+	hold.RecordFirstEvent()
 	g.Expect(first.PrefillTime()).To(BeZero())
-	g.Expect(first.Held()).To(Equal(int64(1)))
-	other := first.Hold(300, start)
+	g.Expect(first.InFlight()).To(Equal(int64(1)))
+	other := first.BeginRequest(300, start)
 	hold.End()
 	other.End()
 	g.Expect(first.PrefillTime()).To(BeZero())
-	g.Expect(first.Held()).To(BeZero())
+	g.Expect(first.InFlight()).To(BeZero())
 }
 
 // pacedTable returns a table with one group and a limit on prefill, at a node that
@@ -105,7 +105,7 @@
 	table.Update(prefillCatalog(), openHeads(1), func(fleet.GroupKey) bool { return false })
 	total := []demand.Flow{{Service: "lm", Model: "m", Requests: 10}}
 	own := []demand.Flow{{Service: "lm", Model: "m", Requests: 5}}
-	table.SetOthers(nil, total, own)
+	table.UpdateLoad(nil, total, own)
 	return table
 }
 
@@ -118,11 +118,11 @@
 	var prefill time.Duration
 	for range 10000 {
 		now = now.Add(time.Millisecond)
-		if head.Full(now) {
+		if head.IsFull(now) {
 			continue
 		}
-		head.Hold(100, now).End()
-		prefill += 50 * time.Millisecond // 100 tokens at 1,000 per second and Pace 0.5
+		head.BeginRequest(100, now).End()
+		prefill += 50 * time.Millisecond // 100 tokens at 1,000 per second and TimeFactor 0.5
 	}
 	// Half of 0.8 of 10 s, plus at most the burst and one prompt.
 	g.Expect(prefill).To(BeNumerically("~", 4*time.Second, 200*time.Millisecond))
@@ -132,10 +132,10 @@
 	g := NewWithT(t)
 	head := pacedTable().Pick("lm", "m", start, excludeNone)
 	now := start.Add(time.Hour)
-	g.Expect(head.Full(now)).To(BeFalse())
+	g.Expect(head.IsFull(now)).To(BeFalse())
 	sent := 0
-	for ; !head.Full(now); sent++ {
-		head.Hold(100, now)
+	for ; !head.IsFull(now); sent++ {
+		head.BeginRequest(100, now)
 	}
 	// The burst is 0.4 of 250 ms: two prompts of 50 ms bring the level to 0, a third below it.
 	g.Expect(sent).To(Equal(3))
@@ -158,13 +158,13 @@
 			table := dispatch.NewTable("h", policy)
 			table.Update(prefillCatalog(), openHeads(1), func(fleet.GroupKey) bool { return false })
 			// Prefill of 100 tokens takes 50 ms; a tenth of 0.8 s covers one prompt, a hundredth does not.
-			total := []demand.Flow{{Service: "lm", Model: "m", Requests: 10, Prompt: 1000}}
-			table.SetOthers(nil, total, []demand.Flow{{Service: "lm", Model: "m", Requests: c.own}})
+			total := []demand.Flow{{Service: "lm", Model: "m", Requests: 10, PromptTokens: 1000}}
+			table.UpdateLoad(nil, total, []demand.Flow{{Service: "lm", Model: "m", Requests: c.own}})
 			head := table.Pick("lm", "m", start, excludeNone)
 			for range 3 {
-				head.Hold(100, start)
+				head.BeginRequest(100, start)
 			}
-			NewWithT(t).Expect(head.Full(start)).To(Equal(c.full))
+			NewWithT(t).Expect(head.IsFull(start)).To(Equal(c.full))
 		})
 	}
 }
@@ -173,7 +173,7 @@
 func TestNewPacerStartsFull(t *testing.T) {
 	g := NewWithT(t)
 	head := pacedTable().Pick("lm", "m", start, excludeNone)
-	g.Expect(head.Full(start)).To(BeFalse())
-	head.Hold(300, start)
-	g.Expect(head.Full(start)).To(BeTrue(), "300 tokens take 150 ms, the burst is 100 ms")
+	g.Expect(head.IsFull(start)).To(BeFalse())
+	head.BeginRequest(300, start)
+	g.Expect(head.IsFull(start)).To(BeTrue(), "300 tokens take 150 ms, the burst is 100 ms")
 }
--- a/coordination/placement/domain.go
+++ b/coordination/placement/domain.go
@@ -227,11 +227,11 @@
 // weight store. Before the first request loads are nearly free, so every instance is eligible. An
 // instance whose last model is scarcer is reserved for that model, which it can serve soonest.
 func (s *step) isEligible(m *Member, model *catalog.Model) bool {
-	if s.BeforeTraffic || model.Load <= 0 {
+	if s.BeforeTraffic || model.LoadTime <= 0 {
 		return true
 	}
 	isReserved := m.Model != model.Name && s.marginalUtility(m.Model) > s.policy.ScarcityRatio*s.marginalUtility(model.Name)
-	return !isReserved && joinTime(m, model) < model.Load
+	return !isReserved && joinTime(m, model) < model.LoadTime
 }
 
 // selectDonors returns the groups of a domain to close for reallocation, or nil.
@@ -275,7 +275,7 @@
 func (s *step) largestGroupSize() int {
 	largest := 0
 	for _, m := range s.engine.Models {
-		largest = max(largest, m.Size)
+		largest = max(largest, m.GroupSize)
 	}
 	return largest
 }
@@ -350,13 +350,13 @@
 			candidates = append(candidates, m)
 		}
 	}
-	if len(candidates) < model.Size {
+	if len(candidates) < model.GroupSize {
 		return nil
 	}
 	slices.SortStableFunc(candidates, func(a, b *Member) int {
 		return cmp.Compare(joinTime(a, model), joinTime(b, model))
 	})
-	return candidates[:model.Size]
+	return candidates[:model.GroupSize]
 }
 
 // startGroup creates a new group and orders its members to join.
--- a/coordination/placement/drawn_test.go
+++ b/coordination/placement/drawn_test.go
@@ -15,13 +15,13 @@
 // drawEngine draws an engine service with groups that fit into a domain.
 func drawEngine(t *rapid.T, domain int) *catalog.Engine {
 	e := &catalog.Engine{
-		Slots: rapid.IntRange(4, 40).Draw(t, "slots"), LoadsPerSecond: 10, LoadsAtOnce: 10, ReportLag: reportLag, Form: openTime,
+		BatchSlots: rapid.IntRange(4, 40).Draw(t, "slots"), MaxLoadsPerSecond: 10, MaxConcurrentLoads: 10, MaxReportAge: reportLag, FormTime: openTime,
 	}
 	sizes := rapid.SliceOfNDistinct(rapid.SampledFrom([]int{2, 3, 4, 8, 16, 32}), 1, 3, rapid.ID[int]).Draw(t, "sizes")
 	for _, size := range sizes {
 		e.Models = append(e.Models, catalog.Model{
-			Name: fmt.Sprintf("m%d", size), Size: min(size, domain), Pace: rapid.Float64Range(0.4, 1.5).Draw(t, "pace"),
-			Share: rapid.Float64Range(0.2, 1).Draw(t, "share"), Load: 16 * time.Second, Warm: warmLoadTime,
+			Name: fmt.Sprintf("m%d", size), GroupSize: min(size, domain), TimeFactor: rapid.Float64Range(0.4, 1.5).Draw(t, "pace"),
+			ExpectedShare: rapid.Float64Range(0.2, 1).Draw(t, "share"), LoadTime: 16 * time.Second, HostLoadTime: warmLoadTime,
 		})
 	}
 	return e
@@ -31,7 +31,7 @@
 func drawDemand(t *rapid.T, e *catalog.Engine, instances int, name string) []float64 {
 	demand := make([]float64, len(e.Models))
 	for i, m := range e.Models {
-		slots := float64(instances*e.Slots) / float64(m.Size)
+		slots := float64(instances*e.BatchSlots) / float64(m.GroupSize)
 		demand[i] = slots * rapid.Float64Range(0, 0.6).Draw(t, name)
 	}
 	return demand
@@ -88,7 +88,7 @@
 	}
 	largest := 0
 	for _, m := range sim.engine.Models {
-		largest = max(largest, m.Size)
+		largest = max(largest, m.GroupSize)
 	}
 	free := map[string]int{}
 	for _, target := range sim.targets {
--- a/coordination/placement/formation.go
+++ b/coordination/placement/formation.go
@@ -89,8 +89,8 @@
 			g.members[rank] = id
 		}
 	}
-	if model := s.engine.Model(g.model); model != nil && len(g.members) < model.Size {
-		g.members = append(g.members, make([]state.InstanceID, model.Size-len(g.members))...)
+	if model := s.engine.Model(g.model); model != nil && len(g.members) < model.GroupSize {
+		g.members = append(g.members, make([]state.InstanceID, model.GroupSize-len(g.members))...)
 	}
 	g.unknownRanks = 0
 	if s.engine.Model(g.model) == nil {
@@ -191,7 +191,7 @@
 		}
 	}
 	model := s.engine.Model(g.model)
-	if ready && model != nil && len(g.members) == model.Size {
+	if ready && model != nil && len(g.members) == model.GroupSize {
 		s.addOrder(head, Order{Action: Open, Key: key, Reason: "all members are ready"})
 	}
 }
--- a/coordination/placement/layout.go
+++ b/coordination/placement/layout.go
@@ -21,11 +21,11 @@
 	alloc := &allocation{policy: policy, current: make([]float64, len(models)), desired: make([]float64, len(models))}
 	var total float64
 	for i := range models {
-		total += models[i].Share
+		total += models[i].ExpectedShare
 	}
 	for i := range models {
 		if total > 0 {
-			alloc.desired[i] = models[i].Share / total * float64(instances)
+			alloc.desired[i] = models[i].ExpectedShare / total * float64(instances)
 		}
 		alloc.desired[i] = max(alloc.desired[i], 1)
 	}
@@ -39,8 +39,8 @@
 	n := len(engine.Models)
 	alloc := &allocation{policy: policy, current: make([]float64, n), desired: make([]float64, n)}
 	for i, m := range engine.Models {
-		need := demand[i] * cmp.Or(m.Pace, 1) * float64(m.Size) / float64(max(engine.Slots, 1))
-		alloc.desired[i] = max(alloc.policy.Concavity*need, float64(m.Size))
+		need := demand[i] * cmp.Or(m.TimeFactor, 1) * float64(m.GroupSize) / float64(max(engine.BatchSlots, 1))
+		alloc.desired[i] = max(alloc.policy.Concavity*need, float64(m.GroupSize))
 	}
 	return alloc
 }
@@ -59,7 +59,7 @@
 
 // instances returns the number of instances in the groups of a model.
 func (l layout) instances(i int, models []catalog.Model) float64 {
-	return float64(l.counts[i] * models[i].Size)
+	return float64(l.counts[i] * models[i].GroupSize)
 }
 
 // maximalLayouts returns the maximal layouts of a number of free instances: those to which no
@@ -73,7 +73,7 @@
 			list = append(list, layout{counts: slices.Clone(counts)})
 			return
 		}
-		size := models[model].Size
+		size := models[model].GroupSize
 		for n := min(left, eligible[model]) / size; n >= 0; n-- {
 			counts[model] = n
 			enumerate(model+1, left-n*size)
@@ -86,10 +86,10 @@
 // isExtendable reports whether a further group could be added to a layout.
 func isExtendable(l layout, free int, eligible []int, models []catalog.Model) bool {
 	for i, n := range l.counts {
-		free -= n * models[i].Size
+		free -= n * models[i].GroupSize
 	}
 	for i, n := range l.counts {
-		if free >= models[i].Size && eligible[i] >= (n+1)*models[i].Size {
+		if free >= models[i].GroupSize && eligible[i] >= (n+1)*models[i].GroupSize {
 			return true
 		}
 	}
@@ -172,7 +172,7 @@
 func (alloc *allocation) prune(l layout, models []catalog.Model) layout {
 	out := layout{counts: slices.Clone(l.counts)}
 	for i := range models {
-		size := float64(models[i].Size)
+		size := float64(models[i].GroupSize)
 		for out.counts[i] > 0 && alloc.utility(i, alloc.current[i])-alloc.utility(i, alloc.current[i]-size) < alloc.policy.MinGroupGain*size {
 			out.counts[i]--
 			alloc.current[i] -= size
--- a/coordination/placement/planner.go
+++ b/coordination/placement/planner.go
@@ -184,7 +184,7 @@
 	var longest time.Duration
 	for i := range s.engine.Models {
 		if m := &s.engine.Models[i]; m.Name == model || model == "" {
-			longest = max(longest, 2*m.Load)
+			longest = max(longest, 2*m.LoadTime)
 		}
 	}
 	return longest
@@ -214,9 +214,9 @@
 	case m.Model == model.Name:
 		return 0
 	case m.HasStaged(model.Name):
-		return model.Warm
+		return model.HostLoadTime
 	}
-	return model.Load
+	return model.LoadTime
 }
 
 // summarize fills in the counts of open groups, desired instances and free instances.
--- a/coordination/placement/property_test.go
+++ b/coordination/placement/property_test.go
@@ -135,7 +135,7 @@
 	g.Expect(sim.violations).To(BeEmpty())
 	g.Expect(len(loadTimes)).To(BeNumerically(">", 6), "instances must load missing models")
 	e := engine()
-	limit := int(e.LoadsPerSecond*5*1.1) + 3
+	limit := int(e.MaxLoadsPerSecond*5*1.1) + 3
 	for i := range loadTimes {
 		count := 0
 		for _, at := range loadTimes[i:] {
--- a/coordination/placement/relayout_test.go
+++ b/coordination/placement/relayout_test.go
@@ -17,10 +17,10 @@
 // unequalEngine returns an engine in which a large group needs the members of four small ones.
 func unequalEngine() *catalog.Engine {
 	return &catalog.Engine{
-		Slots: 23, LoadsPerSecond: 25, LoadsAtOnce: 37, Form: openTime,
+		BatchSlots: 23, MaxLoadsPerSecond: 25, MaxConcurrentLoads: 37, FormTime: openTime,
 		Models: []catalog.Model{
-			{Name: "large", Size: 16, Share: 0.5, Pace: 1, Load: 16 * time.Second, Warm: warmLoadTime},
-			{Name: "small", Size: 4, Share: 0.5, Pace: 0.6, Load: 12 * time.Second, Warm: warmLoadTime},
+			{Name: "large", GroupSize: 16, ExpectedShare: 0.5, TimeFactor: 1, LoadTime: 16 * time.Second, HostLoadTime: warmLoadTime},
+			{Name: "small", GroupSize: 4, ExpectedShare: 0.5, TimeFactor: 0.6, LoadTime: 12 * time.Second, HostLoadTime: warmLoadTime},
 		},
 	}
 }
--- a/coordination/placement/stage.go
+++ b/coordination/placement/stage.go
@@ -38,11 +38,11 @@
 
 // reserveLoad reports whether the limits of the weight store allow another load, and if so counts it.
 func (s *step) reserveLoad() bool {
-	if !s.BeforeTraffic && len(s.staging) >= max(s.engine.LoadsAtOnce, 1) {
+	if !s.BeforeTraffic && len(s.staging) >= max(s.engine.MaxConcurrentLoads, 1) {
 		return false
 	}
 	s.loadTimes = slices.DeleteFunc(s.loadTimes, func(t time.Time) bool { return s.now.Sub(t) > s.policy.LoadWindow })
-	maxLoads := int(s.engine.LoadsPerSecond * s.policy.LoadWindow.Seconds() * s.policy.LoadPart)
+	maxLoads := int(s.engine.MaxLoadsPerSecond * s.policy.LoadWindow.Seconds() * s.policy.LoadPart)
 	if s.now.Sub(s.startedAt) < s.policy.LoadWindow {
 		maxLoads /= 2 // the previous leader may have ordered loads that it had not reported
 	}
@@ -57,7 +57,7 @@
 // store supports few concurrent loads, so free instances come first, in descending order of the
 // utility gain for their domain. Members of groups stage only while loads are nearly free.
 func (s *step) stage() {
-	if s.BeforeTraffic || len(s.staging) < max(s.engine.LoadsAtOnce, 1) {
+	if s.BeforeTraffic || len(s.staging) < max(s.engine.MaxConcurrentLoads, 1) {
 		for _, l := range s.wantedLoads() {
 			s.stageModel(l.member, l.model)
 		}
@@ -89,7 +89,7 @@
 	var list []wantedLoad
 	for _, name := range sortedDomainNames(s.domains) {
 		for i := range s.engine.Models {
-			list = append(list, s.bestLoads(s.domains[name], s.engine.Models[i].Name, s.engine.Models[i].Size)...)
+			list = append(list, s.bestLoads(s.domains[name], s.engine.Models[i].Name, s.engine.Models[i].GroupSize)...)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b wantedLoad) int { return cmp.Compare(b.gain, a.gain) })
--- a/coordination/placement/world_test.go
+++ b/coordination/placement/world_test.go
@@ -29,10 +29,10 @@
 // engine returns the engine service of the simulation.
 func engine() *catalog.Engine {
 	return &catalog.Engine{
-		Slots: 8, LoadsPerSecond: 4, LoadsAtOnce: 6, ReportLag: reportLag, Form: openTime,
+		BatchSlots: 8, MaxLoadsPerSecond: 4, MaxConcurrentLoads: 6, MaxReportAge: reportLag, FormTime: openTime,
 		Models: []catalog.Model{
-			{Name: "large", Size: 4, Share: 0.6, Pace: 1, Load: 16 * time.Second, Warm: warmLoadTime},
-			{Name: "small", Size: 2, Share: 0.4, Pace: 1, Load: 12 * time.Second, Warm: warmLoadTime},
+			{Name: "large", GroupSize: 4, ExpectedShare: 0.6, TimeFactor: 1, LoadTime: 16 * time.Second, HostLoadTime: warmLoadTime},
+			{Name: "small", GroupSize: 2, ExpectedShare: 0.4, TimeFactor: 1, LoadTime: 12 * time.Second, HostLoadTime: warmLoadTime},
 		},
 	}
 }
@@ -154,9 +154,9 @@
 		number: number,
 		epochs: placement.NewEpochGenerator(sim.era, int64(len(sim.registrationTimes))),
 		roster: roster.New(roster.Config{HeartbeatInterval: heartbeatInterval, StallTimeout: stallTimeout, MaxReportLag: reportLag + 80*time.Millisecond, Policy: roster.DefaultPolicy()}),
-		cursor: &source.Cursor{Settle: settleTime},
+		cursor: &source.Cursor{SettleTime: settleTime},
 	}
-	n.cursor.Take(-1, source.Tail{Era: sim.era}, sim.now)
+	n.cursor.Record(-1, source.ReadResult{Era: sim.era}, sim.now)
 	return n
 }
 
@@ -426,19 +426,19 @@
 	if n.isCutOff {
 		return
 	}
-	from := n.cursor.From(sim.now)
+	from := n.cursor.NextOffset(sim.now)
 	if from > int64(len(sim.records)) {
 		n.cursor.Reset() // records up to the offset do not exist
 		return
 	}
-	switch n.cursor.Take(from, source.Tail{Era: sim.era, End: int64(len(sim.records))}, sim.now) {
-	case source.Stale:
+	switch n.cursor.Record(from, source.ReadResult{Era: sim.era, NextOffset: int64(len(sim.records))}, sim.now) {
+	case source.ReadStale:
 		return
-	case source.Further:
+	case source.ReadIncremental:
 		sim.readFrom(n, from)
-	case source.All:
+	case source.ReadFull:
 		n.roster.ApplySnapshot(sim.latestInstances(n), source.Position(sim.era, int64(len(sim.records))), sim.now)
-	case source.Restored:
+	case source.ReadRestored:
 		n.roster.ApplyBackup(sim.latestInstances(n), sim.now)
 	}
 	n.roster.RecordListRead(sim.now)
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -178,7 +178,7 @@
 	if !p.src.MayOrder() {
 		return
 	}
-	o, needed := control.Need(p.src.StateView(), r)
+	o, needed := control.NextOrder(p.src.StateView(), r)
 	if !needed {
 		return
 	}
--- a/coordination/ratelimit/book.go
+++ b/coordination/ratelimit/book.go
@@ -81,9 +81,9 @@
 func (b *Tracker) update(l Limit, now time.Time) Change {
 	e := b.entries[l.Instance.ID]
 	switch {
-	case e == nil || l.Instance.LaterThan(e.Instance):
+	case e == nil || l.Instance.StartedAfter(e.Instance):
 		return b.insert(l, now)
-	case e.Instance.LaterThan(l.Instance):
+	case e.Instance.StartedAfter(l.Instance):
 		return LimitUnchanged
 	case l.equal(&e.Limit):
 		e.confirm(&l)
@@ -145,7 +145,7 @@
 // find returns the entry of an incarnation of an instance, or nil. b.mu is held.
 func (b *Tracker) find(in fleet.Incarnation) *entry {
 	e := b.entries[in.ID]
-	if e == nil || e.Instance.LaterThan(in) || in.LaterThan(e.Instance) {
+	if e == nil || e.Instance.StartedAfter(in) || in.StartedAfter(e.Instance) {
 		return nil
 	}
 	return e
--- a/coordination/repair/example_test.go
+++ b/coordination/repair/example_test.go
@@ -12,11 +12,11 @@
 func ExamplePlan() {
 	group := &state.Group{Name: "hearth-1", Epoch: 7, Hall: "yxe-hall", Domain: "fabric-a", Members: []state.InstanceID{"gpu-1", "gpu-2"}}
 	decisions := repair.Plan(repair.Input{
-		Policy:   state.DefaultPolicy(),
-		MaxLoads: 1,
-		Broken: []repair.Group{{
+		Policy:             state.DefaultPolicy(),
+		MaxConcurrentLoads: 1,
+		Incomplete: []repair.Group{{
 			Group:  group,
-			Seats:  []repair.Seat{{Rank: 1, Instance: "gpu-2", Missing: time.Minute}},
+			Vacant: []repair.Vacancy{{Rank: 1, Instance: "gpu-2", MissingFor: time.Minute}},
 			Weight: 1,
 		}},
 		Spares: []state.Place{{Instance: "gpu-3", Hall: "yxe-hall", Domain: "fabric-a"}},
--- a/coordination/repair/history_test.go
+++ b/coordination/repair/history_test.go
@@ -50,9 +50,9 @@
 func firstSpare(in repair.Input) []repair.Decision {
 	in.Policy.Restart, in.Policy.Load = 1000*time.Hour, time.Second
 	var list []repair.Decision
-	for _, b := range in.Broken {
+	for _, b := range in.Incomplete {
 		one := in
-		one.Broken, one.Whole = []repair.Group{b}, nil
+		one.Incomplete, one.Ready = []repair.Group{b}, nil
 		for _, d := range repair.Plan(one) {
 			if len(d.Ops) > 0 {
 				return append(list, d)
@@ -163,26 +163,26 @@
 			h.epochs[g.Name] = g.Epoch
 			h.readyAt[g.Name] = h.now.Add(h.loadTime)
 		}
-		group := repair.Group{Group: g, Seats: h.seats(g, missing), Weight: 1, Idle: true}
+		group := repair.Group{Group: g, Vacant: h.seats(g, missing), Weight: 1, Idle: true}
 		loaded := !h.now.Before(h.readyAt[g.Name])
-		if len(group.Seats) > 0 || !loaded || g.Drained != 0 {
+		if len(group.Vacant) > 0 || !loaded || g.Drained != 0 {
 			h.downtime += step.Seconds()
 			h.stranded += step.Seconds() * float64(len(g.Members)-vacant(g))
 		}
 		switch {
-		case len(group.Seats) > 0:
-			in.Broken = append(in.Broken, group)
+		case len(group.Vacant) > 0:
+			in.Incomplete = append(in.Incomplete, group)
 		case loaded:
-			in.Whole = append(in.Whole, group)
+			in.Ready = append(in.Ready, group)
 		default:
-			in.Loading++
+			in.LoadingGroups++
 		}
 	}
 }
 
 // seats returns the ranks of a group without a running member.
-func (h *history) seats(g *state.Group, missing map[state.InstanceID]time.Time) []repair.Seat {
-	var seats []repair.Seat
+func (h *history) seats(g *state.Group, missing map[state.InstanceID]time.Time) []repair.Vacancy {
+	var seats []repair.Vacancy
 	for rank, id := range g.Members {
 		if id != "" && h.isUp(id) {
 			delete(missing, id)
@@ -191,7 +191,7 @@
 		if _, ok := missing[id]; !ok {
 			missing[id] = h.now
 		}
-		seats = append(seats, repair.Seat{Rank: rank, Instance: id, Missing: h.now.Sub(missing[id])})
+		seats = append(seats, repair.Vacancy{Rank: rank, Instance: id, MissingFor: h.now.Sub(missing[id])})
 	}
 	return seats
 }
@@ -232,7 +232,7 @@
 	missing := map[state.InstanceID]time.Time{}
 	for end := h.now.Add(duration); h.now.Before(end); h.now = h.now.Add(step) {
 		h.failInstances()
-		in := repair.Input{Policy: policy, MaxLoads: 4}
+		in := repair.Input{Policy: policy, MaxConcurrentLoads: 4}
 		h.addGroups(&in, missing)
 		in.Spares = h.spares()
 		for _, d := range plan(in) {
@@ -327,7 +327,7 @@
 // BenchmarkPlan measures one planning round in a data hall with a tenth of its groups broken.
 func BenchmarkPlan(b *testing.B) {
 	for _, groups := range []int{3, 68} {
-		in := repair.Input{Policy: state.DefaultPolicy(), MaxLoads: 4}
+		in := repair.Input{Policy: state.DefaultPolicy(), MaxConcurrentLoads: 4}
 		for n := range groups {
 			g := &state.Group{Name: state.GroupName(fmt.Sprint(n)), Hall: "h", Domain: fmt.Sprint(n % 4)}
 			for m := range 16 {
@@ -335,10 +335,10 @@
 			}
 			one := repair.Group{Group: g, Weight: 1}
 			if n%10 == 0 {
-				one.Seats = []repair.Seat{{Rank: 3, Instance: g.Members[3]}}
-				in.Broken = append(in.Broken, one)
+				one.Vacant = []repair.Vacancy{{Rank: 3, Instance: g.Members[3]}}
+				in.Incomplete = append(in.Incomplete, one)
 			} else {
-				in.Whole = append(in.Whole, one)
+				in.Ready = append(in.Ready, one)
 			}
 		}
 		b.Run(fmt.Sprintf("%d_instances", 16*groups), func(b *testing.B) {
--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -28,19 +28,19 @@
 	ActionEndDrain Action = "return"
 )
 
-// Seat is a rank of a group whose member is missing, or that has no member.
-type Seat struct {
+// Vacancy is a rank of a group whose member is missing, or that has no member.
+type Vacancy struct {
 	Rank     int
 	Instance state.InstanceID
-	// Missing is the time for which the member has been missing.
-	Missing time.Duration
+	// MissingFor is the time for which the member has been missing.
+	MissingFor time.Duration
 }
 
 // Group is the planner's view of a group.
 type Group struct {
 	*state.Group
-	// Seats are the ranks without a present member. It is empty for a complete group.
-	Seats []Seat
+	// Vacant are the ranks without a present member. It is empty for a complete group.
+	Vacant []Vacancy
 	// Weight multiplies the cost of the group's downtime.
 	Weight float64
 	// Idle is true if no node has a request in flight at the group, so that breaking it up
@@ -49,25 +49,25 @@
 }
 
 // presentMembers returns the number of members that are present.
-func (g *Group) presentMembers() int { return len(g.Members) - len(g.Seats) }
+func (g *Group) presentMembers() int { return len(g.Members) - len(g.Vacant) }
 
 // isMissing reports whether the member at a rank is missing.
 func (g *Group) isMissing(rank int) bool {
-	return slices.ContainsFunc(g.Seats, func(s Seat) bool { return s.Rank == rank })
+	return slices.ContainsFunc(g.Vacant, func(s Vacancy) bool { return s.Rank == rank })
 }
 
 // Input holds everything that a plan depends on.
 type Input struct {
 	Policy state.Policy
-	// Broken are the groups with missing members, Whole the ready groups without.
-	Broken []Group
-	Whole  []Group
+	// Incomplete are the groups with missing members, Ready the ready groups without any.
+	Incomplete []Group
+	Ready      []Group
 	// Spares are free instances with recent evidence that are not leaving.
 	Spares []state.Place
-	// Loading is the number of groups that are loading. MaxLoads is the number of concurrent
+	// LoadingGroups is the number of groups that are loading. MaxConcurrentLoads is the number of concurrent
 	// loads that the weight store supports.
-	Loading  int
-	MaxLoads int
+	LoadingGroups      int
+	MaxConcurrentLoads int
 }
 
 // Decision is the action for one group and its reason.
@@ -112,17 +112,17 @@
 func newPlan(in Input) *plan {
 	p := &plan{
 		in:             in,
-		broken:         slices.Clone(in.Broken),
+		broken:         slices.Clone(in.Incomplete),
 		spares:         slices.Clone(in.Spares),
-		availableLoads: in.MaxLoads - in.Loading,
+		availableLoads: in.MaxConcurrentLoads - in.LoadingGroups,
 		usedDonors:     map[state.GroupName]bool{},
 		drainedDonors:  map[state.GroupName]*Group{},
 	}
 	slices.SortFunc(p.broken, func(a, b Group) int {
 		return cmp.Or(cmp.Compare(p.density(&b), p.density(&a)), cmp.Compare(a.Name, b.Name))
 	})
-	for i := range in.Whole {
-		if g := &in.Whole[i]; g.DrainedFor != "" {
+	for i := range in.Ready {
+		if g := &in.Ready[i]; g.DrainedFor != "" {
 			p.drainedDonors[g.DrainedFor] = g
 		}
 	}
@@ -130,13 +130,13 @@
 }
 
 // density returns the cost of one second of a group's downtime per missing member.
-func (p *plan) density(g *Group) float64 { return p.rate(g, len(g.Members)) / float64(len(g.Seats)) }
+func (p *plan) density(g *Group) float64 { return p.rate(g, len(g.Members)) / float64(len(g.Vacant)) }
 
 // endDrains ends the drain of donors whose broken group is complete again or no longer exists.
 func (p *plan) endDrains() []Decision {
 	var decisions []Decision
-	for i := range p.in.Whole {
-		g := &p.in.Whole[i]
+	for i := range p.in.Ready {
+		g := &p.in.Ready[i]
 		if g.DrainedFor == "" || slices.ContainsFunc(p.broken, func(b Group) bool { return b.Name == g.DrainedFor }) {
 			continue
 		}
@@ -167,10 +167,10 @@
 		d.Reason = "waiting for the restart costs no more"
 	case p.availableLoads <= 0:
 		d.Reason = "the weight store is at its limit"
-	case len(spares) >= len(b.Seats):
+	case len(spares) >= len(b.Vacant):
 		p.replaceMissing(b, spares, &d)
 	default:
-		p.breakUp(b, later, len(b.Seats)-len(spares), &d)
+		p.breakUp(b, later, len(b.Vacant)-len(spares), &d)
 	}
 	return d
 }
@@ -190,7 +190,7 @@
 func (p *plan) replaceMissing(b *Group, spares []state.Place, d *Decision) {
 	d.Action, d.Reason = ActionSpare, "a spare costs less than waiting"
 	p.availableLoads--
-	for i, seat := range b.Seats {
+	for i, seat := range b.Vacant {
 		d.Ops = append(d.Ops, state.Op{ReplaceMember: &state.ReplaceMember{
 			Group: b.Name, Epoch: epochFor(b, i), Rank: seat.Rank, Out: seat.Instance, In: spares[i],
 		}})
@@ -222,7 +222,7 @@
 	}
 	p.usedDonors[donor.Name] = true
 	switch {
-	case len(donor.Seats) > 0 || (donor.DrainedFor == b.Name && donor.Idle):
+	case len(donor.Vacant) > 0 || (donor.DrainedFor == b.Name && donor.Idle):
 		p.releaseMembers(donor, need, d)
 	case donor.DrainedFor == b.Name:
 		d.Reason = "waiting for the last request of " + string(donor.Name)
@@ -254,8 +254,8 @@
 	for i := range later {
 		consider(&later[i])
 	}
-	for i := range p.in.Whole {
-		if o := &p.in.Whole[i]; p.rate(b, len(b.Members)) >= minCostRatio*p.rate(o, len(o.Members)) {
+	for i := range p.in.Ready {
+		if o := &p.in.Ready[i]; p.rate(b, len(b.Members)) >= minCostRatio*p.rate(o, len(o.Members)) {
 			consider(o)
 		}
 	}
@@ -269,7 +269,7 @@
 // gave away are not stranded during that time.
 func (p *plan) loss(donor, b *Group, need int) float64 {
 	var before float64
-	if len(donor.Seats) > 0 {
+	if len(donor.Vacant) > 0 {
 		before = p.cost(donor, p.expectedWait(donor)+p.in.Policy.Load, donor.presentMembers())
 	}
 	after := max(p.expectedWait(donor), p.expectedWait(b)) + p.in.Policy.Load
@@ -299,7 +299,7 @@
 // It is 0 for a complete group.
 func (p *plan) expectedWait(g *Group) time.Duration {
 	var longest time.Duration
-	for _, s := range g.Seats {
+	for _, s := range g.Vacant {
 		longest = max(longest, p.expectedReturn(s))
 	}
 	return longest
@@ -324,9 +324,9 @@
 // missing for longer is expected to be missing for the same time again, because most
 // long restarts are failures that need a repair. A rank without a member is filled by
 // the next instance that returns.
-func (p *plan) expectedReturn(s Seat) time.Duration {
-	if s.Missing < p.in.Policy.Restart {
-		return p.in.Policy.Restart - s.Missing
+func (p *plan) expectedReturn(s Vacancy) time.Duration {
+	if s.MissingFor < p.in.Policy.Restart {
+		return p.in.Policy.Restart - s.MissingFor
 	}
-	return s.Missing
+	return s.MissingFor
 }
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -341,7 +341,7 @@
 	}{
 		{"nothing", old.Incarnation(), func(*roster.Roster, time.Time) {}, true},
 		{"an incarnation without a start time", fleet.Incarnation{ID: "i1"}, func(*roster.Roster, time.Time) {}, true},
-		{"an earlier incarnation", fleet.LifeSince("i1", born.Add(-time.Second)), func(*roster.Roster, time.Time) {}, false},
+		{"an earlier incarnation", fleet.NewIncarnation("i1", born.Add(-time.Second)), func(*roster.Roster, time.Time) {}, false},
 		{"a newer entry", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.ApplyFreshEntry(newer, now) }, true},
 		{"the whole list", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.ApplySnapshot([]fleet.Instance{newer}, 10, now) }, true},
 		{"another node", old.Incarnation(), func(r *roster.Roster, now time.Time) { r.ApplyRelayed(roster.Change{Instance: newer}, now) }, true},
--- a/coordination/routing/pick_test.go
+++ b/coordination/routing/pick_test.go
@@ -14,7 +14,7 @@
 
 // newPool returns a pool of n groups that are ready.
 func newPool(n int) []*routing.Candidate {
-	return newSimulation(n, 1).tables[0].Pool("m")
+	return newSimulation(n, 1).tables[0].Candidates("m")
 }
 
 // request is a request with a prompt of 16 blocks.
@@ -43,7 +43,7 @@
 	}
 	table.Update([]*state.Group{group("open", 0), group("drained", 9), group("leaving", 0), group("old", 0), group("failed", 0)})
 	for _, c := range table.All() {
-		c.Rejudge(func(*state.Group) evidence.GroupEvidence {
+		c.UpdateEvidence(func(*state.Group) evidence.GroupEvidence {
 			w := evidence.GroupEvidence{Expires: now.Add(time.Second), Leaving: c.Name == "leaving"}
 			if c.Name == "old" {
 				w.Expires = now
@@ -54,9 +54,9 @@
 	for _, c := range pickers {
 		pick := c.pick()
 		for range 50 {
-			g.Expect(string(pick.Pick(table.Pool("m"), routing.Request{Avoid: "failed"}, now).Name)).To(Equal("open"))
+			g.Expect(string(pick.Pick(table.Candidates("m"), routing.Request{ExcludedGroup: "failed"}, now).Name)).To(Equal("open"))
 		}
-		g.Expect(pick.Pick(table.Pool("m"), routing.Request{Avoid: "open"}, now.Add(2*time.Second))).To(BeNil())
+		g.Expect(pick.Pick(table.Candidates("m"), routing.Request{ExcludedGroup: "open"}, now.Add(2*time.Second))).To(BeNil())
 		g.Expect(pick.Pick(nil, routing.Request{}, now)).To(BeNil())
 	}
 }
@@ -77,10 +77,10 @@
 		{"no change", func(*routing.Table, *routing.Candidate) {}, now, true},
 		{"the evidence expires", func(*routing.Table, *routing.Candidate) {}, now.Add(time.Second), false},
 		{"a member no longer matches", func(_ *routing.Table, c *routing.Candidate) {
-			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return evidence.GroupEvidence{IncarnationHash: 1} })
+			c.UpdateEvidence(func(*state.Group) evidence.GroupEvidence { return evidence.GroupEvidence{IncarnationHash: 1} })
 		}, now, false},
 		{"a member has restarted and is ready again", func(_ *routing.Table, c *routing.Candidate) {
-			c.Rejudge(func(*state.Group) evidence.GroupEvidence {
+			c.UpdateEvidence(func(*state.Group) evidence.GroupEvidence {
 				return evidence.GroupEvidence{Expires: now.Add(time.Second), IncarnationHash: 2}
 			})
 		}, now, false},
@@ -88,7 +88,7 @@
 			next := *group
 			next.Epoch = 2
 			table.Update([]*state.Group{&next})
-			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return ready })
+			c.UpdateEvidence(func(*state.Group) evidence.GroupEvidence { return ready })
 		}, now, false},
 		{"the group is dissolved", func(table *routing.Table, _ *routing.Candidate) { table.Update(nil) }, now, false},
 		{"the group is drained", func(table *routing.Table, _ *routing.Candidate) {
@@ -103,13 +103,13 @@
 			table := routing.NewTable()
 			table.Update([]*state.Group{group})
 			cand := table.Get("g")
-			cand.Rejudge(func(*state.Group) evidence.GroupEvidence { return ready })
-			d := cand.Begin(request)
+			cand.UpdateEvidence(func(*state.Group) evidence.GroupEvidence { return ready })
+			d := cand.BeginRequest(request)
 			c.change(table, cand)
-			g.Expect(d.Valid(c.at)).To(Equal(c.valid))
+			g.Expect(d.IsValid(c.at)).To(Equal(c.valid))
 			d.End()
 			d.End()
-			g.Expect(cand.Held()).To(BeZero())
+			g.Expect(cand.InFlight()).To(BeZero())
 		})
 	}
 }
--- a/coordination/routing/prefix.go
+++ b/coordination/routing/prefix.go
@@ -33,8 +33,8 @@
 	return len(prefix)
 }
 
-// Remember records that the group is about to process a prompt with the given block hashes.
-func (c *Candidate) Remember(prefix []uint64) {
+// RecordPrefix records that the group is about to process a prompt with the given block hashes.
+func (c *Candidate) RecordPrefix(prefix []uint64) {
 	for _, h := range prefix {
 		c.prefixes.slots[h%prefixSlots].Store(h)
 	}
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -36,33 +36,33 @@
 // Group returns the latest state of the group.
 func (c *Candidate) Group() *state.Group { return c.group.Load() }
 
-// Held returns the number of requests in flight from this node to the group.
-func (c *Candidate) Held() int { return int(c.inFlight.Load()) }
+// InFlight returns the number of requests in flight from this node to the group.
+func (c *Candidate) InFlight() int { return int(c.inFlight.Load()) }
 
-// Slots returns the number of batch slots of the group's engine, as last reported.
-func (c *Candidate) Slots() int { return int(c.slots.Load()) }
+// BatchSlots returns the number of batch slots of the group's engine, as last reported.
+func (c *Candidate) BatchSlots() int { return int(c.slots.Load()) }
 
-// Whole reports whether unexpired evidence shows at now that the group is ready with all its members.
-func (c *Candidate) Whole(now time.Time) bool {
+// IsReady reports whether unexpired evidence shows at now that the group is ready with all its members.
+func (c *Candidate) IsReady(now time.Time) bool {
 	expires := c.expires.Load()
 	return expires != nil && now.Before(*expires)
 }
 
-// Open reports whether a new request may be sent to the group at now.
-func (c *Candidate) Open(now time.Time) bool {
-	return c.Whole(now) && !c.leaving.Load() && c.group.Load().Drained == 0
+// CanAccept reports whether a new request may be sent to the group at now.
+func (c *Candidate) CanAccept(now time.Time) bool {
+	return c.IsReady(now) && !c.leaving.Load() && c.group.Load().Drained == 0
 }
 
 // Load returns the estimated number of requests in flight at the group: the reported number plus
 // those sent by this node since, and at least those in flight from this node.
 func (c *Candidate) Load() int64 { return max(c.inFlight.Load(), c.reported.Load()+c.sentSince.Load()) }
 
-// Rejudge updates the candidate with the result of judge, which evaluates the current
+// UpdateEvidence updates the candidate with the result of judge, which evaluates the current
 // evidence of the group.
 //
 // judge runs under the candidate's lock. Of two concurrent calls, the one that stores
 // last has also read the evidence last, so an older result never overwrites a newer one.
-func (c *Candidate) Rejudge(judge func(g *state.Group) evidence.GroupEvidence) {
+func (c *Candidate) UpdateEvidence(judge func(g *state.Group) evidence.GroupEvidence) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ev := judge(c.group.Load())
@@ -77,7 +77,7 @@
 }
 
 // setGroup sets a new state of the group. If the epoch changes, the group is not ready until the
-// next Rejudge.
+// next UpdateEvidence.
 func (c *Candidate) setGroup(g *state.Group) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,8 +94,8 @@
 	c.expires.Store(nil)
 }
 
-// Report records a new load report of the group's head.
-func (c *Candidate) Report(l evidence.Load) {
+// RecordLoad records a new load report of the group's head.
+func (c *Candidate) RecordLoad(l evidence.Load) {
 	c.reported.Store(int64(l.InFlight))
 	c.reportedTokens.Store(l.Tokens)
 	c.sentSince.Store(0)
@@ -111,8 +111,8 @@
 	once            sync.Once
 }
 
-// Begin records a request as in flight at the group.
-func (c *Candidate) Begin(r Request) *Dispatch {
+// BeginRequest records a request as in flight at the group.
+func (c *Candidate) BeginRequest(r Request) *Dispatch {
 	c.inFlight.Add(1)
 	c.sentSince.Add(1)
 	c.promptSinceReport.Add(r.Prompt)
@@ -126,13 +126,13 @@
 // Candidate returns the candidate to which the request was sent.
 func (d *Dispatch) Candidate() *Candidate { return d.c }
 
-// Valid reports whether the group is still ready at now, in the same epoch and with the
+// IsValid reports whether the group is still ready at now, in the same epoch and with the
 // same incarnations of its members.
 //
-// It reads the readiness first. Rejudge stores the readiness last, so if a group has
-// become ready again with other incarnations, Valid sees its new identity.
-func (d *Dispatch) Valid(now time.Time) bool {
-	return d.c.Whole(now) && d.c.incarnationHash.Load() == d.incarnationHash && d.c.group.Load().Epoch == d.group.Epoch
+// It reads the readiness first. UpdateEvidence stores the readiness last, so if a group has
+// become ready again with other incarnations, IsValid sees its new identity.
+func (d *Dispatch) IsValid(now time.Time) bool {
+	return d.c.IsReady(now) && d.c.incarnationHash.Load() == d.incarnationHash && d.c.group.Load().Epoch == d.group.Epoch
 }
 
 // End records that the request has ended. Calls after the first have no effect.
@@ -143,7 +143,7 @@
 	})
 }
 
-// Table holds the candidates of each model. Pool and Models take no lock.
+// Table holds the candidates of each model. Candidates and Models take no lock.
 type Table struct {
 	mu     sync.Mutex
 	byName map[state.GroupName]*Candidate
@@ -182,8 +182,8 @@
 	t.pools.Store(&pools)
 }
 
-// Pool returns the candidates of a model. The slice must not be modified.
-func (t *Table) Pool(model string) []*Candidate { return (*t.pools.Load())[model] }
+// Candidates returns the candidates of a model. The slice must not be modified.
+func (t *Table) Candidates(model string) []*Candidate { return (*t.pools.Load())[model] }
 
 // Models returns the candidates by model. The map must not be modified.
 func (t *Table) Models() map[string][]*Candidate { return *t.pools.Load() }
@@ -214,18 +214,18 @@
 	Prompt int64
 	// Prefix holds the hashes of the prompt's leading blocks, the shortest prefix first.
 	Prefix []uint64
-	// Avoid is the name of the group at which the request has just failed, or empty.
-	Avoid state.GroupName
+	// ExcludedGroup is the name of the group at which the request has just failed, or empty.
+	ExcludedGroup state.GroupName
 }
 
 // Weights are the factors of the cost function, all in tokens.
 type Weights struct {
-	// Held is the cost of one request in flight at the group.
-	Held float64
-	// Tokens is the cost of one token in flight from this node.
-	Tokens float64
-	// Recent is the cost of one prompt token sent by this node since the group's last report.
-	Recent float64
+	// InFlight is the cost of one request in flight at the group.
+	InFlight float64
+	// TokensInFlight is the cost of one token in flight from this node.
+	TokensInFlight float64
+	// PromptSinceReport is the cost of one prompt token sent by this node since the group's last report.
+	PromptSinceReport float64
 	// Prefix is the cost reduction for one prompt token that the group has probably cached.
 	Prefix float64
 }
@@ -306,12 +306,12 @@
 
 // isUsable reports whether the request may be sent to the candidate at now.
 func isUsable(c *Candidate, r Request, now time.Time) bool {
-	return c.Name != r.Avoid && c.Open(now)
+	return c.Name != r.ExcludedGroup && c.CanAccept(now)
 }
 
 // cost returns the cost of sending a request to a candidate, in tokens.
 func (w Weights) cost(c *Candidate, r Request) float64 {
-	cost := w.Held*float64(c.Load()) + w.Tokens*float64(c.tokensInFlight.Load()) + w.Recent*float64(c.promptSinceReport.Load())
+	cost := w.InFlight*float64(c.Load()) + w.TokensInFlight*float64(c.tokensInFlight.Load()) + w.PromptSinceReport*float64(c.promptSinceReport.Load())
 	if w.Prefix != 0 && len(r.Prefix) > 0 {
 		cost -= w.Prefix * float64(c.prefixes.match(r.Prefix)*PrefixBlock)
 	}
--- a/coordination/routing/sweep_test.go
+++ b/coordination/routing/sweep_test.go
@@ -158,8 +158,8 @@
 	for range nodes {
 		t := routing.NewTable()
 		t.Update(groups)
-		for _, c := range t.Pool("m") {
-			c.Rejudge(func(*state.Group) evidence.GroupEvidence { return evidence.GroupEvidence{Expires: time.Unix(1<<32, 0)} })
+		for _, c := range t.Candidates("m") {
+			c.UpdateEvidence(func(*state.Group) evidence.GroupEvidence { return evidence.GroupEvidence{Expires: time.Unix(1<<32, 0)} })
 		}
 		sim.tables = append(sim.tables, t)
 	}
@@ -169,9 +169,9 @@
 // reportLoads records the load of every engine at every node.
 func (sim *simulation) reportLoads() {
 	for _, t := range sim.tables {
-		for n, c := range t.Pool("m") {
+		for n, c := range t.Candidates("m") {
 			e := sim.engines[n]
-			c.Report(evidence.Load{InFlight: len(e.running) + len(e.queue), Tokens: int64(e.tokens())})
+			c.RecordLoad(evidence.Load{InFlight: len(e.running) + len(e.queue), Tokens: int64(e.tokens())})
 		}
 	}
 }
@@ -199,10 +199,10 @@
 		advance(j.arrive)
 		r := routing.Request{Tokens: int64(j.prompt + j.answer), Prompt: int64(j.prompt), Prefix: prefixOf(j)}
 		table := sim.tables[i%len(sim.tables)]
-		c := pick.Pick(table.Pool("m"), r, time.Unix(0, 0))
-		c.Remember(r.Prefix)
-		j.dispatch = c.Begin(r)
-		e := sim.engines[slices.Index(table.Pool("m"), c)]
+		c := pick.Pick(table.Candidates("m"), r, time.Unix(0, 0))
+		c.RecordPrefix(r.Prefix)
+		j.dispatch = c.BeginRequest(r)
+		e := sim.engines[slices.Index(table.Candidates("m"), c)]
 		e.queue = append(e.queue, j)
 	}
 	advance(jobs[len(jobs)-1].arrive + time.Minute)
@@ -237,9 +237,9 @@
 	pick func() routing.Picker
 }{
 	{"round robin", func() routing.Picker { return &routing.RoundRobin{} }},
-	{"two choices, held", func() routing.Picker { return &routing.TwoChoices{Weights: routing.Weights{Held: 1}} }},
+	{"two choices, held", func() routing.Picker { return &routing.TwoChoices{Weights: routing.Weights{InFlight: 1}} }},
 	{"two choices, held 2048, tokens, prefix", func() routing.Picker {
-		return &routing.TwoChoices{Weights: routing.Weights{Held: 2048, Tokens: 1, Prefix: 1}}
+		return &routing.TwoChoices{Weights: routing.Weights{InFlight: 2048, TokensInFlight: 1, Prefix: 1}}
 	}},
 	{"held only", leastCost(1, 0, 0, 0)},
 	{"tokens only", leastCost(0, 1, 0, 0)},
@@ -273,7 +273,7 @@
 // leastCost returns a constructor of a LeastCost with the given weights.
 func leastCost(held, tokens, recent, prefix float64) func() routing.Picker {
 	return func() routing.Picker {
-		return &routing.LeastCost{Weights: routing.Weights{Held: held, Tokens: tokens, Recent: recent, Prefix: prefix}}
+		return &routing.LeastCost{Weights: routing.Weights{InFlight: held, TokensInFlight: tokens, PromptSinceReport: recent, Prefix: prefix}}
 	}
 }
 
--- a/coordination/source/era.go
+++ b/coordination/source/era.go
@@ -16,28 +16,28 @@
 // Offset returns the offset of a position.
 func Offset(position int64) int64 { return position & (1<<offsetBits - 1) }
 
-// Reading classifies the response to a read.
-type Reading int
+// ReadKind classifies the response to a read.
+type ReadKind int
 
 // Classes of responses.
 const (
-	// Stale is a response of another era than the read was for, in which the requested offset
+	// ReadStale is a response of another era than the read was for, in which the requested offset
 	// refers to other records. The reader must discard it. After a restore, the cursor
 	// then requests the newest record of each key.
-	Stale Reading = iota
-	// Further holds the records written since the last read.
-	Further
-	// All holds the newest record of each key.
-	All
-	// Restored holds the newest record of each key after a restore from a backup. It may lack
+	ReadStale ReadKind = iota
+	// ReadIncremental holds the records written since the last read.
+	ReadIncremental
+	// ReadFull holds the newest record of each key.
+	ReadFull
+	// ReadRestored holds the newest record of each key after a restore from a backup. It may lack
 	// records written after the backup was made, and hold records changed or deleted since.
-	Restored
+	ReadRestored
 )
 
 // Cursor tracks the progress of a reader of a topic. The zero value has read nothing.
 type Cursor struct {
-	// Settle is how long after a restore to wait until writers have written again the records that the backup lacks.
-	Settle time.Duration
+	// SettleTime is how long after a restore to wait until writers have written again the records that the backup lacks.
+	SettleTime time.Duration
 
 	started bool
 	era     int64
@@ -46,8 +46,8 @@
 	rereadAt time.Time
 }
 
-// From returns the offset to read from at time now, or -1 to read the newest record of each key.
-func (c *Cursor) From(now time.Time) int64 {
+// NextOffset returns the offset to read from at time now, or -1 to read the newest record of each key.
+func (c *Cursor) NextOffset(now time.Time) int64 {
 	if !c.started || !c.rereadAt.IsZero() && !now.Before(c.rereadAt) {
 		return -1
 	}
@@ -57,27 +57,27 @@
 // Reset makes the next read return the newest record of each key, because the records after the last read are gone.
 func (c *Cursor) Reset() { c.next = -1 }
 
-// Take records the response to a read from offset from and returns its class.
-func (c *Cursor) Take(from int64, t Tail, now time.Time) Reading {
+// Record records the response to a read from offset from and returns its class.
+func (c *Cursor) Record(from int64, t ReadResult, now time.Time) ReadKind {
 	switch {
 	case c.started && t.Era < c.era:
-		return Stale // delayed response from before the restore
+		return ReadStale // delayed response from before the restore
 	case from >= 0 && t.Era != c.era:
 		c.next = -1
-		return Stale
+		return ReadStale
 	case from >= 0:
-		c.next = t.End
-		return Further
+		c.next = t.NextOffset
+		return ReadIncremental
 	}
 	restored := c.started && t.Era != c.era
 	if restored {
-		c.rereadAt = now.Add(c.Settle)
+		c.rereadAt = now.Add(c.SettleTime)
 	} else if !c.rereadAt.IsZero() && !now.Before(c.rereadAt) {
 		c.rereadAt = time.Time{}
 	}
-	c.started, c.era, c.next = true, t.Era, t.End
+	c.started, c.era, c.next = true, t.Era, t.NextOffset
 	if restored {
-		return Restored
+		return ReadRestored
 	}
-	return All
+	return ReadFull
 }
--- a/coordination/source/era_test.go
+++ b/coordination/source/era_test.go
@@ -19,49 +19,49 @@
 	g.Expect(source.Offset(source.Position(7, 12))).To(BeEquivalentTo(12))
 }
 
-func TestCursorTake(t *testing.T) {
+func TestCursorRecord(t *testing.T) {
 	type response struct {
 		after   time.Duration
-		tail    source.Tail
+		tail    source.ReadResult
 		from    int64
-		reading source.Reading
+		reading source.ReadKind
 	}
 	for _, c := range []struct {
 		name      string
 		responses []response
 		next      int64
 	}{
-		{"first read", []response{{0, source.Tail{Era: 4, End: 7}, -1, source.All}}, 7},
-		{"incremental read", []response{{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 4, End: 9}, 7, source.Further}}, 9},
-		{"store that reports no era", []response{{0, source.Tail{End: 7}, -1, source.All}, {0, source.Tail{End: 9}, 7, source.Further}}, 9},
+		{"first read", []response{{0, source.ReadResult{Era: 4, NextOffset: 7}, -1, source.ReadFull}}, 7},
+		{"incremental read", []response{{0, source.ReadResult{Era: 4, NextOffset: 7}, -1, source.ReadFull}, {0, source.ReadResult{Era: 4, NextOffset: 9}, 7, source.ReadIncremental}}, 9},
+		{"store that reports no era", []response{{0, source.ReadResult{NextOffset: 7}, -1, source.ReadFull}, {0, source.ReadResult{NextOffset: 9}, 7, source.ReadIncremental}}, 9},
 		{"store restored and grown past the old offset", []response{
-			{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 5, End: 12}, 7, source.Stale}, {0, source.Tail{Era: 5, End: 12}, -1, source.Restored},
-			{0, source.Tail{Era: 5, End: 13}, 12, source.Further},
+			{0, source.ReadResult{Era: 4, NextOffset: 7}, -1, source.ReadFull}, {0, source.ReadResult{Era: 5, NextOffset: 12}, 7, source.ReadStale}, {0, source.ReadResult{Era: 5, NextOffset: 12}, -1, source.ReadRestored},
+			{0, source.ReadResult{Era: 5, NextOffset: 13}, 12, source.ReadIncremental},
 		}, 13},
 		{"delayed response from before the restore", []response{
-			{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 5}, 7, source.Stale}, {0, source.Tail{Era: 5, End: 6}, -1, source.Restored},
-			{0, source.Tail{Era: 4, End: 9}, 6, source.Stale},
+			{0, source.ReadResult{Era: 4, NextOffset: 7}, -1, source.ReadFull}, {0, source.ReadResult{Era: 5}, 7, source.ReadStale}, {0, source.ReadResult{Era: 5, NextOffset: 6}, -1, source.ReadRestored},
+			{0, source.ReadResult{Era: 4, NextOffset: 9}, 6, source.ReadStale},
 		}, 6},
 		{"full read repeated once records have been written again", []response{
-			{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 5}, 7, source.Stale}, {0, source.Tail{Era: 5, End: 6}, -1, source.Restored},
-			{settle, source.Tail{Era: 5, End: 9}, -1, source.All}, {0, source.Tail{Era: 5, End: 10}, 9, source.Further},
+			{0, source.ReadResult{Era: 4, NextOffset: 7}, -1, source.ReadFull}, {0, source.ReadResult{Era: 5}, 7, source.ReadStale}, {0, source.ReadResult{Era: 5, NextOffset: 6}, -1, source.ReadRestored},
+			{settle, source.ReadResult{Era: 5, NextOffset: 9}, -1, source.ReadFull}, {0, source.ReadResult{Era: 5, NextOffset: 10}, 9, source.ReadIncremental},
 		}, 10},
 		{"second restore before the settle time of the first has passed", []response{
-			{0, source.Tail{Era: 4, End: 7}, -1, source.All}, {0, source.Tail{Era: 5}, 7, source.Stale}, {0, source.Tail{Era: 5, End: 6}, -1, source.Restored},
-			{settle / 2, source.Tail{Era: 6, End: 8}, 6, source.Stale}, {0, source.Tail{Era: 6, End: 8}, -1, source.Restored},
-			{settle / 2, source.Tail{Era: 6, End: 9}, 8, source.Further}, {settle / 2, source.Tail{Era: 6, End: 9}, -1, source.All},
+			{0, source.ReadResult{Era: 4, NextOffset: 7}, -1, source.ReadFull}, {0, source.ReadResult{Era: 5}, 7, source.ReadStale}, {0, source.ReadResult{Era: 5, NextOffset: 6}, -1, source.ReadRestored},
+			{settle / 2, source.ReadResult{Era: 6, NextOffset: 8}, 6, source.ReadStale}, {0, source.ReadResult{Era: 6, NextOffset: 8}, -1, source.ReadRestored},
+			{settle / 2, source.ReadResult{Era: 6, NextOffset: 9}, 8, source.ReadIncremental}, {settle / 2, source.ReadResult{Era: 6, NextOffset: 9}, -1, source.ReadFull},
 		}, 9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			cursor := &source.Cursor{Settle: settle}
+			cursor := &source.Cursor{SettleTime: settle}
 			now := time.Unix(1000, 0)
 			for _, a := range c.responses {
 				now = now.Add(a.after)
-				g.Expect(cursor.From(now)).To(BeEquivalentTo(a.from))
-				g.Expect(cursor.Take(a.from, a.tail, now)).To(Equal(a.reading))
+				g.Expect(cursor.NextOffset(now)).To(BeEquivalentTo(a.from))
+				g.Expect(cursor.Record(a.from, a.tail, now)).To(Equal(a.reading))
 			}
-			g.Expect(cursor.From(now)).To(BeEquivalentTo(c.next))
+			g.Expect(cursor.NextOffset(now)).To(BeEquivalentTo(c.next))
 		})
 	}
 }
--- a/coordination/source/source.go
+++ b/coordination/source/source.go
@@ -34,20 +34,20 @@
 	Offset int64
 }
 
-// Place is the era and offset at which a record was written.
-type Place struct {
+// RecordPosition is the era and offset at which a record was written.
+type RecordPosition struct {
 	Era    int64
 	Offset int64
 }
 
-// Tail is the response to a read.
-type Tail struct {
+// ReadResult is the response to a read.
+type ReadResult struct {
 	// Era counts how often the store was restored from a backup, after which it reuses
 	// offsets; 0 if the store does not report it.
 	Era   int64
 	Items []Item
-	// End is the offset to read from next.
-	End int64
-	// Whole reports whether the read reached the end of the topic.
-	Whole bool
+	// NextOffset is the offset to read from next.
+	NextOffset int64
+	// AtEnd reports whether the read reached the end of the topic.
+	AtEnd bool
 }
--- a/coordination/statelog/fake_test.go
+++ b/coordination/statelog/fake_test.go
@@ -19,7 +19,8 @@
 	first   state.Offset
 	entries []state.Entry
 	now     time.Time
-	// appendFault is called for each append. It returns how many times the record is appended, and the error of the append.
+	// appendFault is called for each append. It returns how many times the record is appended, and the
+	// error of the append.
 	appendFault func() (times int, err error)
 	down        bool
 }
@@ -88,7 +89,7 @@
 
 // Records implements statelog.Peers.
 func (p *fakePeers) Records(_ context.Context, from state.Offset, limit int) ([]state.Entry, error) {
-	entries, held := p.f.Recent(from, limit)
+	entries, held := p.f.RecentEntries(from, limit)
 	if !held {
 		return nil, errors.New("entries not retained")
 	}
--- a/coordination/statelog/follower.go
+++ b/coordination/statelog/follower.go
@@ -84,8 +84,8 @@
 // View returns the part of the state that the request path needs.
 func (f *Follower) View() *View { return f.view.Load() }
 
-// Applied returns the offset of the last record applied.
-func (f *Follower) Applied() state.Offset {
+// AppliedOffset returns the offset of the last record applied.
+func (f *Follower) AppliedOffset() state.Offset {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.st.Offset()
@@ -100,9 +100,9 @@
 	return time.Duration(steady.Nanos(f.clock.Now()) - at), true
 }
 
-// Whole reports whether the node has ever caught up with the log or, while the log was
+// CaughtUp reports whether the node has ever caught up with the log or, while the log was
 // unavailable, with a peer. Until then its state may be outdated.
-func (f *Follower) Whole() bool { return f.caughtUp.Load() }
+func (f *Follower) CaughtUp() bool { return f.caughtUp.Load() }
 
 // Stopped returns the error that stopped replay, or nil.
 func (f *Follower) Stopped() error {
@@ -153,7 +153,7 @@
 // Step reads once from the log, or from a peer if the log fails.
 func (f *Follower) Step(ctx context.Context) error {
 	requestedAt := f.clock.Now()
-	from := f.Applied() + 1
+	from := f.AppliedOffset() + 1
 	wait := f.cfg.PollWait
 	if f.headReadAt.Load() == 0 {
 		wait = 0 // a new node becomes ready only after it has reached the head of the log
@@ -171,7 +171,7 @@
 	if err := f.apply(page.Entries); err != nil {
 		return err
 	}
-	if f.Applied() >= page.Head {
+	if f.AppliedOffset() >= page.Head {
 		f.headReadAt.Store(steady.Nanos(requestedAt))
 		f.caughtUp.Store(true)
 	}
@@ -226,7 +226,7 @@
 func (f *Follower) skipTrimmed(ctx context.Context, first state.Offset) error {
 	snap, err := f.findSnapshot(ctx, first)
 	if err != nil && f.peers != nil {
-		snap, err = f.peers.Snapshot(ctx, f.Applied())
+		snap, err = f.peers.Snapshot(ctx, f.AppliedOffset())
 	}
 	if err != nil {
 		return fmt.Errorf("%w: the log starts at offset %d: %w", ErrNoState, first, err)
@@ -272,7 +272,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if st.Offset() <= f.st.Offset() {
-		return fmt.Errorf("%w: got offset %d, have %d", state.ErrBackwards, st.Offset(), f.st.Offset())
+		return fmt.Errorf("%w: got offset %d, have %d", state.ErrStaleSnapshot, st.Offset(), f.st.Offset())
 	}
 	f.st = st
 	f.recent = nil
@@ -336,15 +336,15 @@
 //
 // Claims do not affect the View, so it is rebuilt only after a command that changed the state.
 func (f *Follower) publish() {
-	if f.view.Load().Offset != f.st.LastAccepted() {
+	if f.view.Load().Offset != f.st.LastAcceptedOffset() {
 		f.view.Store(NewView(f.st))
 	}
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// Recent returns at most limit entries starting at offset from, or false if they are no longer retained.
-func (f *Follower) Recent(from state.Offset, limit int) ([]state.Entry, bool) {
+// RecentEntries returns at most limit entries starting at offset from, or false if they are no longer retained.
+func (f *Follower) RecentEntries(from state.Offset, limit int) ([]state.Entry, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	if from > f.st.Offset() {
--- a/coordination/statelog/follower_test.go
+++ b/coordination/statelog/follower_test.go
@@ -60,9 +60,9 @@
 				_ = source.Append(ctx, teamRecord(fmt.Sprint(step%7)))
 				l.appendFault = func() (int, error) { return 1, nil }
 			case 2:
-				if source.SnapshotDue() > 0 && !l.down {
+				if source.SnapshotLag() > 0 && !l.down {
 					_ = source.WriteSnapshot(ctx, "source")
-					snapAt := source.Applied() / 5 * 5
+					snapAt := source.AppliedOffset() / 5 * 5
 					l.trim(snapAt + 1)
 				}
 			case 3:
@@ -70,10 +70,10 @@
 			default:
 				i := rapid.IntRange(0, len(followers)-1).Draw(t, "follower")
 				_ = followers[i].Step(ctx)
-				if now := followers[i].Applied(); now < applied[i] {
+				if now := followers[i].AppliedOffset(); now < applied[i] {
 					t.Fatalf("follower %d: offset decreased from %d to %d", i, applied[i], now)
 				}
-				applied[i] = followers[i].Applied()
+				applied[i] = followers[i].AppliedOffset()
 			}
 		}
 		l.down = false
@@ -85,7 +85,7 @@
 				t.Fatalf("follower %d: %v", i, err)
 			}
 			if digest(f) != digest(source) {
-				t.Fatalf("state of follower %d at offset %d differs from the source at offset %d", i, f.Applied(), source.Applied())
+				t.Fatalf("state of follower %d at offset %d differs from the source at offset %d", i, f.AppliedOffset(), source.AppliedOffset())
 			}
 		}
 	})
@@ -165,7 +165,7 @@
 	_, _ = l.Append(ctx, []byte(`{"v":1,"id":"x","kind":"of-a-later-version"}`))
 	g.Expect(f.Append(ctx, teamRecord("a"))).To(Succeed())
 	g.Expect(errors.Is(f.Step(ctx), statelog.ErrStopped)).To(BeTrue())
-	g.Expect(f.Applied()).To(BeZero())
+	g.Expect(f.AppliedOffset()).To(BeZero())
 	g.Expect(errors.Is(f.Stopped(), state.ErrUnknownRecord)).To(BeTrue())
 	_, err := f.Do(ctx, teamRecord("b"))
 	g.Expect(errors.Is(err, statelog.ErrStopped)).To(BeTrue())
@@ -182,7 +182,7 @@
 	l.trim(4)
 	f := statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())
 	g.Expect(errors.Is(f.Step(ctx), statelog.ErrNoState)).To(BeTrue())
-	g.Expect(f.Applied()).To(BeZero())
+	g.Expect(f.AppliedOffset()).To(BeZero())
 	_, read := f.HeadAge()
 	g.Expect(read).To(BeFalse())
 }
@@ -198,8 +198,8 @@
 	f.Read(func(s *state.State) { old, _ = s.Snapshot() })
 	g.Expect(f.Append(ctx, teamRecord("b"))).To(Succeed())
 	g.Expect(f.Step(ctx)).To(Succeed())
-	g.Expect(errors.Is(f.InstallSnapshot(old), state.ErrBackwards)).To(BeTrue())
-	g.Expect(f.Applied()).To(Equal(state.Offset(2)))
+	g.Expect(errors.Is(f.InstallSnapshot(old), state.ErrStaleSnapshot)).To(BeTrue())
+	g.Expect(f.AppliedOffset()).To(Equal(state.Offset(2)))
 }
 
 func TestSnapshotDigestMismatchStopsReplay(t *testing.T) {
@@ -220,9 +220,9 @@
 	g.Expect(errors.Is(f.Step(ctx), statelog.ErrStopped)).To(BeTrue())
 }
 
-// TestFollowerIsNotWholeUntilCaughtUp covers a node that is still catching up with the log or,
+// TestFollowerIsCaughtUpOnlyAtEndOfLog covers a node that is still catching up with the log or,
 // while the log is unavailable, with a peer.
-func TestFollowerIsNotWholeUntilCaughtUp(t *testing.T) {
+func TestFollowerIsCaughtUpOnlyAtEndOfLog(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	l := newFakeLog(time.Now())
@@ -231,24 +231,24 @@
 		g.Expect(source.Append(ctx, teamRecord(fmt.Sprint(i)))).To(Succeed())
 	}
 	g.Expect(source.Step(ctx)).To(Succeed())
-	g.Expect(source.Applied()).To(Equal(state.Offset(3)))
-	g.Expect(source.Whole()).To(BeFalse())
+	g.Expect(source.AppliedOffset()).To(Equal(state.Offset(3)))
+	g.Expect(source.CaughtUp()).To(BeFalse())
 	g.Expect(source.Step(ctx)).To(Succeed())
-	g.Expect(source.Whole()).To(BeTrue())
+	g.Expect(source.CaughtUp()).To(BeTrue())
 
 	l.down = true
 	follower := statelog.NewFollower(smallConfig(), l, &fakePeers{source}, clockwork.NewRealClock())
 	_ = follower.Step(ctx)
-	g.Expect(follower.Applied()).To(Equal(state.Offset(3)))
-	g.Expect(follower.Whole()).To(BeFalse())
+	g.Expect(follower.AppliedOffset()).To(Equal(state.Offset(3)))
+	g.Expect(follower.CaughtUp()).To(BeFalse())
 	_ = follower.Step(ctx)
 	_ = follower.Step(ctx)
-	g.Expect(follower.Applied()).To(Equal(state.Offset(4)))
-	g.Expect(follower.Whole()).To(BeTrue())
+	g.Expect(follower.AppliedOffset()).To(Equal(state.Offset(4)))
+	g.Expect(follower.CaughtUp()).To(BeTrue())
 
 	empty := statelog.NewFollower(smallConfig(), l, &fakePeers{statelog.NewFollower(smallConfig(), l, nil, clockwork.NewRealClock())}, clockwork.NewRealClock())
 	_ = empty.Step(ctx)
-	g.Expect(empty.Whole()).To(BeFalse())
+	g.Expect(empty.CaughtUp()).To(BeFalse())
 }
 
 // A log that was restored from a backup reuses offsets. A follower that reads on would wait for
--- a/coordination/statelog/snapshot.go
+++ b/coordination/statelog/snapshot.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// SnapshotDue returns how many offsets the state has advanced since the last snapshot in
+// SnapshotLag returns how many offsets the state has advanced since the last snapshot in
 // the log, or 0 if this node has not taken a newer one.
-func (f *Follower) SnapshotDue() state.Offset {
+func (f *Follower) SnapshotLag() state.Offset {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	last := state.Offset(f.lastSnapshot.Load())
--- a/coordination/ticket/ticket.go
+++ b/coordination/ticket/ticket.go
@@ -25,8 +25,8 @@
 	ErrMalformed = errors.New("ticket: not a ticket")
 	// ErrOtherIncarnation means that another incarnation issued the ticket.
 	ErrOtherIncarnation = errors.New("ticket: minted by another node")
-	// ErrUnknown means that the ticket was spent and has no known result, or that it expired.
-	ErrUnknown = errors.New("ticket: the call may have run")
+	// ErrResultUnknown means that the ticket was spent and has no known result, or that it expired.
+	ErrResultUnknown = errors.New("ticket: the call may have run")
 	// ErrConflict means that the ticket was spent on a different call, or belongs to another team or service.
 	ErrConflict = errors.New("ticket: belongs to another call")
 	// ErrFull means that the shard of a new ticket holds its maximum, an equal part of MaxTickets.
@@ -36,14 +36,14 @@
 // prefix is the first part of every ticket.
 const prefix = "tk"
 
-// Horizon is the TTL of a ticket and of its result, counted from when the ticket is issued.
-const Horizon = 10 * time.Minute
+// TTL is how long a ticket and its result are valid, counted from when the ticket is issued.
+const TTL = 10 * time.Minute
 
 // MaxTickets is the maximum number of tickets that a node holds. A ticket with its result takes
 // at most about one kilobyte.
 const MaxTickets = 20000
 
-// shardCount is the number of independently locked shards of a Book.
+// shardCount is the number of independently locked shards of a Store.
 const shardCount = 16
 
 // Parse returns the node and the incarnation that issued a ticket.
@@ -55,8 +55,8 @@
 	return parts[1], parts[2], nil
 }
 
-// Is reports whether a string has the prefix of a ticket.
-func Is(text string) bool { return strings.HasPrefix(text, prefix+"~") }
+// IsTicket reports whether a string has the prefix of a ticket.
+func IsTicket(text string) bool { return strings.HasPrefix(text, prefix+"~") }
 
 // entry is the state of one ticket.
 type entry struct {
@@ -65,11 +65,11 @@
 	expires time.Time
 	spent   bool
 	request string
-	result  *state.Result
+	result  *state.ClaimResult
 }
 
-// Book holds the tickets of one incarnation. It is safe for concurrent use.
-type Book struct {
+// Store holds the tickets of one incarnation. It is safe for concurrent use.
+type Store struct {
 	node, incarnation string
 	clock             clockwork.Clock
 	shards            [shardCount]shard
@@ -80,9 +80,9 @@
 	entries map[string]*entry
 }
 
-// NewBook returns an empty Book.
-func NewBook(node, incarnation string, clock clockwork.Clock) *Book {
-	b := &Book{node: node, incarnation: incarnation, clock: clock}
+// NewStore returns an empty Store.
+func NewStore(node, incarnation string, clock clockwork.Clock) *Store {
+	b := &Store{node: node, incarnation: incarnation, clock: clock}
 	for i := range b.shards {
 		b.shards[i].entries = map[string]*entry{}
 	}
@@ -90,12 +90,12 @@
 }
 
 // shardFor returns the shard of a ticket.
-func (b *Book) shardFor(ticket string) *shard {
+func (b *Store) shardFor(ticket string) *shard {
 	return &b.shards[xxhash.Sum64String(ticket)%shardCount]
 }
 
-// Mint issues a ticket for one call of a team to a service.
-func (b *Book) Mint(team state.TeamName, service state.ServiceName) (string, error) {
+// Issue issues a ticket for one call of a team to a service.
+func (b *Store) Issue(team state.TeamName, service state.ServiceName) (string, error) {
 	ticket := strings.Join([]string{prefix, b.node, b.incarnation, uuid.NewString()}, "~")
 	now := b.clock.Now()
 	s := b.shardFor(ticket)
@@ -107,7 +107,7 @@
 	if len(s.entries) >= MaxTickets/shardCount {
 		return "", ErrFull
 	}
-	s.entries[ticket] = &entry{team: team, service: service, expires: now.Add(Horizon)}
+	s.entries[ticket] = &entry{team: team, service: service, expires: now.Add(TTL)}
 	return ticket, nil
 }
 
@@ -120,9 +120,9 @@
 	}
 }
 
-// Spend marks a ticket as spent. It returns nil, nil if the caller may run the call, the result
+// Redeem marks a ticket as spent. It returns nil, nil if the caller may run the call, the result
 // of the call if the ticket was spent before, or an error.
-func (b *Book) Spend(ticket string, team state.TeamName, service state.ServiceName, request string) (*state.Result, error) {
+func (b *Store) Redeem(ticket string, team state.TeamName, service state.ServiceName, request string) (*state.ClaimResult, error) {
 	node, incarnation, err := Parse(ticket)
 	if err != nil {
 		return nil, err
@@ -136,11 +136,11 @@
 	e := s.entries[ticket]
 	switch {
 	case e == nil || !b.clock.Now().Before(e.expires):
-		return nil, ErrUnknown
+		return nil, ErrResultUnknown
 	case e.team != team || e.service != service || (e.spent && e.request != request):
 		return nil, ErrConflict
 	case e.spent && e.result == nil:
-		return nil, ErrUnknown
+		return nil, ErrResultUnknown
 	case e.spent:
 		return e.result, nil
 	}
@@ -148,8 +148,8 @@
 	return nil, nil
 }
 
-// Finish records the result of the call on which a ticket was spent.
-func (b *Book) Finish(ticket string, result *state.Result) {
+// RecordResult records the result of the call on which a ticket was spent.
+func (b *Store) RecordResult(ticket string, result *state.ClaimResult) {
 	s := b.shardFor(ticket)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,9 +158,9 @@
 	}
 }
 
-// GiveBack makes a ticket unspent after a call that was certainly not sent. It has no effect
+// Release makes a ticket unspent after a call that was certainly not sent. It has no effect
 // once a result is recorded.
-func (b *Book) GiveBack(ticket string) {
+func (b *Store) Release(ticket string) {
 	s := b.shardFor(ticket)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -129,7 +129,7 @@
 // stream sends the answer token by token, from where it is to be resumed.
 func (t *Target) stream(w http.ResponseWriter, r *http.Request, body []byte, tokens int) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	from, _ := strconv.Atoi(r.Header.Get(target.HeaderResume))
+	from, _ := strconv.Atoi(r.Header.Get(target.HeaderResumeTokens))
 	for i := from; i < tokens; i++ {
 		t.wait(r, t.cfg.TokenDelay)
 		if r.Context().Err() != nil {
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -143,8 +143,8 @@
 		Rank:        t.order.Rank,
 		Phase:       t.phase(),
 		Leaving:     t.faults.Leaving,
-		Held:        t.held,
-		Slots:       t.cfg.Slots,
+		InFlight:    t.held,
+		BatchSlots:  t.cfg.Slots,
 	}
 	t.mu.Unlock()
 	writeTagged(w, req, r)
@@ -186,7 +186,7 @@
 		return t.faults, false
 	}
 	t.held++
-	t.journal = append(t.journal, JournalEntry{RequestID: id, Key: r.Header.Get(target.HeaderKey), Path: r.URL.Path, At: time.Now()})
+	t.journal = append(t.journal, JournalEntry{RequestID: id, Key: r.Header.Get(target.HeaderIdempotencyKey), Path: r.URL.Path, At: time.Now()})
 	return t.faults, true
 }
 
--- a/protocol/direct/check_test.go
+++ b/protocol/direct/check_test.go
@@ -37,12 +37,12 @@
 	pool := direct.NewPool(direct.Dialer{Timeout: time.Second}, time.Now)
 	errCheck := errors.New("not now")
 	for range 2 {
-		_, err := pool.Do(context.Background(), addr, &direct.Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, Check: func() error { return errCheck }})
-		g.Expect(err).To(MatchError(direct.ErrUnsent))
+		_, err := pool.Do(context.Background(), addr, &direct.Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, BeforeSend: func() error { return errCheck }})
+		g.Expect(err).To(MatchError(direct.ErrNotSent))
 		g.Expect(err).To(MatchError(errCheck))
 	}
 	g.Expect(requests.Load()).To(BeZero())
-	resp, err := pool.Do(context.Background(), addr, &direct.Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, Check: func() error { return nil }})
+	resp, err := pool.Do(context.Background(), addr, &direct.Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, BeforeSend: func() error { return nil }})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer resp.Close()
 	g.Expect(requests.Load()).To(BeEquivalentTo(1))
--- a/protocol/direct/dial.go
+++ b/protocol/direct/dial.go
@@ -14,9 +14,9 @@
 type Dialer struct {
 	// Timeout is the maximum time to connect.
 	Timeout time.Duration
-	// Silence is the maximum time that sent data may stay unacknowledged (TCP_USER_TIMEOUT).
+	// AckTimeout is the maximum time that sent data may stay unacknowledged (TCP_USER_TIMEOUT).
 	// 0 leaves the system's default.
-	Silence time.Duration
+	AckTimeout time.Duration
 }
 
 // Dial connects to an IPv4 address.
@@ -32,12 +32,12 @@
 
 // control sets TCP_USER_TIMEOUT on the socket.
 func (d Dialer) control(_, _ string, raw syscall.RawConn) error {
-	if d.Silence <= 0 {
+	if d.AckTimeout <= 0 {
 		return nil
 	}
 	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Silence.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.AckTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/protocol/direct/direct.go
+++ b/protocol/direct/direct.go
@@ -20,8 +20,8 @@
 
 // Errors that Pool.Do returns.
 var (
-	// ErrUnsent means that no byte of the request was sent.
-	ErrUnsent = errors.New("direct: request not sent")
+	// ErrNotSent means that no byte of the request was sent.
+	ErrNotSent = errors.New("direct: request not sent")
 	// ErrNoResponse means that the request may have reached the server but no response was received.
 	ErrNoResponse = errors.New("direct: no response received")
 )
@@ -40,14 +40,14 @@
 	Body   []byte
 	// HasBody is set if the request has a body, even an empty one.
 	HasBody bool
-	// Match, if set, reports whether a response with these headers belongs to the request.
-	Match func(http.Header) bool
-	// Fresh requires a connection that is new or has been idle for at most maxFreshIdle.
-	Fresh bool
-	// Check, if set, is called once the connection is established, right before the first byte is
+	// MatchesResponse, if set, reports whether a response with these headers belongs to the request.
+	MatchesResponse func(http.Header) bool
+	// RequireFreshConn requires a connection that is new or has been idle for at most maxFreshIdle.
+	RequireFreshConn bool
+	// BeforeSend, if set, is called once the connection is established, right before the first byte is
 	// sent, since its result may change during a slow dial. If it returns an error, the request is
-	// not sent and Do returns ErrUnsent.
-	Check func() error
+	// not sent and Do returns ErrNotSent.
+	BeforeSend func() error
 }
 
 // Response is a response whose body has not been read yet. The caller must call Close.
@@ -68,14 +68,14 @@
 // Do sends a request and reads the status line and the headers of its response.
 // Cancelling ctx aborts the exchange, also while the body is being read.
 func (p *Pool) Do(ctx context.Context, addr netip.AddrPort, r *Request) (*Response, error) {
-	c, err := p.get(ctx, addr, r.Fresh)
+	c, err := p.get(ctx, addr, r.RequireFreshConn)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	if err := r.runCheck(); err != nil {
 		c.setIdleTimeout("")
 		p.put(c)
-		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	stop := context.AfterFunc(ctx, c.abort)
 	req := r.httpRequest()
@@ -85,7 +85,7 @@
 		p.discard(c)
 		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
-	resp, err := c.readResponse(req, r.Match) //nolint:bodyclose // Response.Close ends the exchange
+	resp, err := c.readResponse(req, r.MatchesResponse) //nolint:bodyclose // Response.Close ends the exchange
 	if err != nil {
 		stop()
 		p.discard(c)
@@ -96,12 +96,12 @@
 	return out, nil
 }
 
-// runCheck returns the error of Check, or nil if Check is not set.
+// runCheck returns the error of BeforeSend, or nil if BeforeSend is not set.
 func (r *Request) runCheck() error {
-	if r.Check == nil {
+	if r.BeforeSend == nil {
 		return nil
 	}
-	return r.Check()
+	return r.BeforeSend()
 }
 
 // httpRequest returns the request as an *http.Request.
@@ -173,9 +173,9 @@
 	return n, err
 }
 
-// Framed reports whether the end of the body is known from a content length or a transfer encoding,
+// IsFramed reports whether the end of the body is known from a content length or a transfer encoding,
 // not only from the end of the connection.
-func (r *Response) Framed() bool { return r.Length >= 0 || len(r.inner.TransferEncoding) > 0 }
+func (r *Response) IsFramed() bool { return r.Length >= 0 || len(r.inner.TransferEncoding) > 0 }
 
 // Close ends the exchange. The connection returns to the pool if the complete response was read;
 // otherwise it is closed.
--- a/protocol/direct/pool.go
+++ b/protocol/direct/pool.go
@@ -20,7 +20,7 @@
 	// idleTimeoutMargin is subtracted from the server's Keep-Alive timeout, so that the pool stops
 	// using a connection before the server closes it.
 	idleTimeoutMargin = 1100 * time.Millisecond
-	// maxFreshIdle is the maximum idle time of a connection for a request with Fresh set.
+	// maxFreshIdle is the maximum idle time of a connection for a request with RequireFreshConn set.
 	maxFreshIdle = 900 * time.Millisecond
 )
 
@@ -107,8 +107,8 @@
 // discard closes a connection.
 func (p *Pool) discard(c *conn) { _ = c.Close() }
 
-// Sweep closes the connections whose idle time has expired.
-func (p *Pool) Sweep() {
+// CloseExpired closes the connections whose idle time has expired.
+func (p *Pool) CloseExpired() {
 	now := p.now()
 	p.mu.Lock()
 	var expired []*conn
--- a/protocol/peer/convert.go
+++ b/protocol/peer/convert.go
@@ -10,14 +10,14 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Milliseconds returns a duration in whole milliseconds. It rounds up, so that an age is never
+// CeilMilliseconds returns a duration in whole milliseconds. It rounds up, so that an age is never
 // understated.
-func Milliseconds(d time.Duration) uint32 {
+func CeilMilliseconds(d time.Duration) uint32 {
 	return uint32(max(0, (d+time.Millisecond-1)/time.Millisecond))
 }
 
-// Duration returns a number of milliseconds as a time.Duration.
-func Duration(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
+// FromMilliseconds returns a number of milliseconds as a time.Duration.
+func FromMilliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // EncodeNode returns a node's status as a message; age is the age of that status.
 func EncodeNode(n membership.Node, age time.Duration) *rpc.Node {
@@ -29,10 +29,10 @@
 		Applied:     uint64(n.Applied),
 		Ready:       n.Ready,
 		Stopping:    n.Stopping,
-		LogAgeMs:    Milliseconds(n.LogLag),
+		LogAgeMs:    CeilMilliseconds(n.LogLag),
 		Held:        uint32(max(0, n.InFlight)),
 		Demand:      uint32(max(0, n.RequestRate)),
-		AgeMs:       Milliseconds(age),
+		AgeMs:       CeilMilliseconds(age),
 		Models:      n.Models,
 	}
 }
@@ -52,11 +52,11 @@
 		Applied:     state.Offset(m.GetApplied()),
 		Ready:       m.GetReady(),
 		Stopping:    m.GetStopping(),
-		LogLag:      Duration(m.GetLogAgeMs()),
+		LogLag:      FromMilliseconds(m.GetLogAgeMs()),
 		InFlight:    int(m.GetHeld()),
 		RequestRate: int(m.GetDemand()),
 		Models:      m.GetModels(),
-		RequestedAt: requestedAt.Add(-Duration(m.GetAgeMs())),
+		RequestedAt: requestedAt.Add(-FromMilliseconds(m.GetAgeMs())),
 	}, nil
 }
 
@@ -73,7 +73,7 @@
 		Held:        uint32(r.Load.InFlight),
 		Tokens:      uint64(r.Load.Tokens),
 		Slots:       uint32(r.Load.BatchSlots),
-		AgeMs:       Milliseconds(age),
+		AgeMs:       CeilMilliseconds(age),
 	}
 }
 
@@ -98,7 +98,7 @@
 	ages := make([]time.Duration, 0, len(m.GetChanged()))
 	for _, r := range m.GetChanged() {
 		d.Changed = append(d.Changed, evidence.TimedReport{Report: decodeReport(r)})
-		ages = append(ages, Duration(r.GetAgeMs()))
+		ages = append(ages, FromMilliseconds(r.GetAgeMs()))
 	}
 	for _, id := range m.GetLost() {
 		d.Expired = append(d.Expired, state.InstanceID(id))
--- a/protocol/peer/ledger.go
+++ b/protocol/peer/ledger.go
@@ -9,34 +9,34 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// EncodeLedger adds the changes of a quarantine ledger to a response. It sends ages
+// EncodeLedgerDelta adds the changes of a quarantine ledger to a response. It sends ages
 // instead of times, since the clocks of two nodes may differ.
-func EncodeLedger(m *rpc.ExchangeResponse, d quarantine.Delta, version uint64, now time.Time) {
+func EncodeLedgerDelta(m *rpc.ExchangeResponse, d quarantine.Delta, version uint64, now time.Time) {
 	m.LedgerVersion = version
 	for _, e := range d.Endings {
-		ending := &rpc.Ending{Instance: string(e.Instance.ID), Incarnation: e.Instance.Life, By: int64(e.By), AgeMs: Milliseconds(now.Sub(e.At)), Back: e.Back, Episode: uint32(max(e.Episode, 0))}
+		ending := &rpc.Ending{Instance: string(e.Instance.ID), Incarnation: e.Instance.Life, By: int64(e.By), AgeMs: CeilMilliseconds(now.Sub(e.At)), Back: e.Back, Episode: uint32(max(e.Episode, 0))}
 		ending.Requests, ending.Apart = encodeFingerprints(e.Requests), encodeFingerprints(e.Apart)
 		m.Endings = append(m.Endings, ending)
 	}
 	for _, c := range d.Cleared {
-		m.Cleared = append(m.Cleared, &rpc.Cleared{Request: c.Request[:], AgeMs: Milliseconds(now.Sub(c.At)), By: int64(c.By), Number: c.Number})
+		m.Cleared = append(m.Cleared, &rpc.Cleared{Request: c.Request[:], AgeMs: CeilMilliseconds(now.Sub(c.At)), By: int64(c.By), Number: c.Number})
 	}
 }
 
-// DecodeLedger returns the changes of a quarantine ledger in a response, with
+// DecodeLedgerDelta returns the changes of a quarantine ledger in a response, with
 // times by the clock of the receiving node. It skips fingerprints of the wrong size.
-func DecodeLedger(m *rpc.ExchangeResponse, now time.Time) quarantine.Delta {
+func DecodeLedgerDelta(m *rpc.ExchangeResponse, now time.Time) quarantine.Delta {
 	var d quarantine.Delta
 	for _, e := range m.GetEndings() {
 		incarnation := fleet.Incarnation{ID: state.InstanceID(e.GetInstance()), Life: e.GetIncarnation()}
-		ending := quarantine.Ending{Instance: incarnation, Episode: int(e.GetEpisode()), By: quarantine.Source(e.GetBy()), At: now.Add(-Duration(e.GetAgeMs())), Back: e.GetBack()}
+		ending := quarantine.Ending{Instance: incarnation, Episode: int(e.GetEpisode()), By: quarantine.Source(e.GetBy()), At: now.Add(-FromMilliseconds(e.GetAgeMs())), Back: e.GetBack()}
 		ending.Requests, ending.Apart = decodeFingerprints(e.GetRequests()), decodeFingerprints(e.GetApart())
 		d.Endings = append(d.Endings, ending)
 	}
 	for _, c := range m.GetCleared() {
 		if f, ok := quarantine.ParseFingerprint(c.GetRequest()); ok {
 			d.Cleared = append(d.Cleared, quarantine.Clearing{
-				Request: f, By: quarantine.Source(c.GetBy()), Number: c.GetNumber(), At: now.Add(-Duration(c.GetAgeMs())),
+				Request: f, By: quarantine.Source(c.GetBy()), Number: c.GetNumber(), At: now.Add(-FromMilliseconds(c.GetAgeMs())),
 			})
 		}
 	}
--- a/protocol/peer/peer.go
+++ b/protocol/peer/peer.go
@@ -28,28 +28,28 @@
 // ErrPeer means that a peer could not be reached or sent an unusable response.
 var ErrPeer = errors.New("peer: no usable response")
 
-// Protocols returns the protocols for calls between nodes: HTTP/2, with or
+// HTTPProtocols returns the protocols for calls between nodes: HTTP/2, with or
 // without TLS. HTTP/2 compresses the headers of repeated calls to a few bytes.
-func Protocols() *http.Protocols {
+func HTTPProtocols() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetHTTP2(true)
 	p.SetUnencryptedHTTP2(true)
 	return p
 }
 
-// Bearer returns the value of the Authorization header for a secret.
-func Bearer(secret string) string { return "Bearer " + secret }
+// BearerHeader returns the value of the Authorization header for a secret.
+func BearerHeader(secret string) string { return "Bearer " + secret }
 
-// Authorized reports whether a request carries a secret. It compares in constant time.
-func Authorized(h http.Header, secret string) bool {
-	return subtle.ConstantTimeCompare([]byte(h.Get("Authorization")), []byte(Bearer(secret))) == 1
+// IsAuthorized reports whether a request carries a secret. It compares in constant time.
+func IsAuthorized(h http.Header, secret string) bool {
+	return subtle.ConstantTimeCompare([]byte(h.Get("Authorization")), []byte(BearerHeader(secret))) == 1
 }
 
-// WithSecret returns a connect option that sends a secret with every call.
-func WithSecret(secret string) connect.ClientOption {
+// WithBearer returns a connect option that sends a secret with every call.
+func WithBearer(secret string) connect.ClientOption {
 	return connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
-			req.Header().Set("Authorization", Bearer(secret))
+			req.Header().Set("Authorization", BearerHeader(secret))
 			return next(ctx, req)
 		}
 	}))
@@ -97,7 +97,7 @@
 	transport := &http.Transport{
 		IdleConnTimeout: 30 * time.Second,
 		DialContext:     o.Meter.Dial(o.Timeout, o.Source),
-		Protocols:       Protocols(),
+		Protocols:       HTTPProtocols(),
 		TLSClientConfig: o.TLS.Clone(),
 	}
 	return &Client{
@@ -112,13 +112,13 @@
 	}
 }
 
-// At returns the client for the peer at an address.
-func (c *Client) At(addr netip.AddrPort) rpcconnect.PeerClient {
+// ClientFor returns the client for the peer at an address.
+func (c *Client) ClientFor(addr netip.AddrPort) rpcconnect.PeerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, ok := c.clients[addr]
 	if !ok {
-		p = rpcconnect.NewPeerClient(c.httpClient, c.scheme+addr.String(), WithSecret(c.secret))
+		p = rpcconnect.NewPeerClient(c.httpClient, c.scheme+addr.String(), WithBearer(c.secret))
 		c.clients[addr] = p
 	}
 	return p
@@ -128,7 +128,7 @@
 func (c *Client) Exchange(ctx context.Context, addr netip.AddrPort, req *rpc.ExchangeRequest) (*rpc.ExchangeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.At(addr).Exchange(ctx, connect.NewRequest(req))
+	resp, err := c.ClientFor(addr).Exchange(ctx, connect.NewRequest(req))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrPeer, err)
 	}
@@ -164,7 +164,7 @@
 func (c *Client) snapshotFrom(ctx context.Context, addr netip.AddrPort, newerThan state.Offset) (*state.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*c.timeout)
 	defer cancel()
-	resp, err := c.At(addr).Snapshot(ctx, connect.NewRequest(&rpc.SnapshotRequest{NewerThan: uint64(newerThan)}))
+	resp, err := c.ClientFor(addr).Snapshot(ctx, connect.NewRequest(&rpc.SnapshotRequest{NewerThan: uint64(newerThan)}))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrPeer, err)
 	}
@@ -201,7 +201,7 @@
 func (c *Client) instancesFrom(ctx context.Context, addr netip.AddrPort) ([]platform.Instance, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.At(addr).Instances(ctx, connect.NewRequest(&rpc.InstancesRequest{}))
+	resp, err := c.ClientFor(addr).Instances(ctx, connect.NewRequest(&rpc.InstancesRequest{}))
 	if err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", ErrPeer, err)
 	}
@@ -209,7 +209,7 @@
 	if err := json.Unmarshal(resp.Msg.GetList(), &list); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", ErrPeer, err)
 	}
-	return list, Duration(resp.Msg.GetAgeMs()), nil
+	return list, FromMilliseconds(resp.Msg.GetAgeMs()), nil
 }
 
 // Records implements statelog.Peers. No entries and no error mean that a peer
@@ -232,7 +232,7 @@
 func (c *Client) recordsFrom(ctx context.Context, addr netip.AddrPort, from state.Offset, limit int) ([]state.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.At(addr).Records(ctx, connect.NewRequest(&rpc.RecordsRequest{From: uint64(from), Most: uint32(limit)}))
+	resp, err := c.ClientFor(addr).Records(ctx, connect.NewRequest(&rpc.RecordsRequest{From: uint64(from), Most: uint32(limit)}))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrPeer, err)
 	}
--- a/protocol/target/target.go
+++ b/protocol/target/target.go
@@ -34,10 +34,10 @@
 	ErrFenced = errors.New("target: order rejected: a newer epoch was already accepted")
 	// ErrUnreachable means that no byte of a call can have reached the target.
 	ErrUnreachable = fmt.Errorf("%w: target unreachable", ErrTarget)
-	// ErrRefused means that a target responded that it did not run a call.
-	ErrRefused = fmt.Errorf("%w: target did not run the call", ErrTarget)
-	// ErrMismatch means that a response does not carry the ID of its request.
-	ErrMismatch = errors.New("target: request ID of the response differs from that of the request")
+	// ErrNotRun means that a target responded that it did not run a call.
+	ErrNotRun = fmt.Errorf("%w: target did not run the call", ErrTarget)
+	// ErrRequestIDMismatch means that a response does not carry the ID of its request.
+	ErrRequestIDMismatch = errors.New("target: request ID of the response differs from that of the request")
 )
 
 // Names of the headers that the adapter sends and reads.
@@ -48,10 +48,10 @@
 	// another group or epoch rejects the request.
 	HeaderGroup = "Troutmast-Group"
 	HeaderEpoch = "Troutmast-Epoch"
-	// HeaderResume is the number of tokens already delivered of the stream to resume.
-	HeaderResume = "Troutmast-Resume-Tokens"
-	// HeaderKey is the idempotency key of a call that must not be run twice.
-	HeaderKey = "Idempotency-Key"
+	// HeaderResumeTokens is the number of tokens already delivered of the stream to resume.
+	HeaderResumeTokens = "Troutmast-Resume-Tokens"
+	// HeaderIdempotencyKey is the idempotency key of a call that must not be run twice.
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderRetryAfter is the cooldown that an overloaded target requests from this node, in seconds.
 	HeaderRetryAfter = "Retry-After"
 	// HeaderNotRun is set by a target on a response to a request that it did not run.
@@ -67,9 +67,9 @@
 	Rank        int              `json:"rank"`
 	Phase       evidence.Phase   `json:"phase"`
 	Leaving     bool             `json:"leaving,omitempty"`
-	Held        int              `json:"held"`
+	InFlight    int              `json:"held"`
 	Tokens      int64            `json:"tokens"`
-	Slots       int              `json:"slots"`
+	BatchSlots  int              `json:"slots"`
 }
 
 // Order assigns a target its group, epoch, rank and model.
@@ -160,7 +160,7 @@
 		return evidence.Report{}, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
 	phaseKnown := msg.Phase == evidence.PhaseIdle || msg.Phase == evidence.PhaseLoading || msg.Phase == evidence.PhaseReady
-	if msg.Instance == "" || msg.Incarnation == "" || !phaseKnown || msg.Held < 0 || msg.Tokens < 0 || msg.Slots < 0 {
+	if msg.Instance == "" || msg.Incarnation == "" || !phaseKnown || msg.InFlight < 0 || msg.Tokens < 0 || msg.BatchSlots < 0 {
 		return evidence.Report{}, fmt.Errorf("%w: report has a missing ID, an unknown phase or a negative load", ErrTarget)
 	}
 	return evidence.Report{
@@ -171,7 +171,7 @@
 		Rank:        msg.Rank,
 		Phase:       msg.Phase,
 		Leaving:     msg.Leaving,
-		Load:        evidence.Load{InFlight: msg.Held, Tokens: msg.Tokens, BatchSlots: msg.Slots},
+		Load:        evidence.Load{InFlight: msg.InFlight, Tokens: msg.Tokens, BatchSlots: msg.BatchSlots},
 	}, nil
 }
 
@@ -210,28 +210,28 @@
 	// Group and Epoch are set if the call is for a replica group.
 	Group state.GroupName
 	Epoch state.Epoch
-	// Resume is the number of tokens already delivered of the stream to resume.
-	Resume int
-	// Key is the idempotency key of a call that must not be run twice.
-	Key string
-	// Once makes the call use a connection of its own.
-	Once bool
-	// Check, if set, is called right before the call is sent. If it returns an error, the call is
+	// ResumeTokens is the number of tokens already delivered of the stream to resume.
+	ResumeTokens int
+	// IdempotencyKey is the idempotency key of a call that must not be run twice.
+	IdempotencyKey string
+	// NewConnection makes the call use a connection of its own.
+	NewConnection bool
+	// BeforeSend, if set, is called right before the call is sent. If it returns an error, the call is
 	// not sent.
-	Check func() error
+	BeforeSend func() error
 }
 
-// Refusal means that a target responded that it did not run a call. It wraps ErrRefused.
-type Refusal struct {
+// NotRunError means that a target responded that it did not run a call. It wraps ErrNotRun.
+type NotRunError struct {
 	Status string
 	fleet.Notice
 }
 
 // Error implements error.
-func (r *Refusal) Error() string { return fmt.Sprintf("%v: %s", ErrRefused, r.Status) }
+func (r *NotRunError) Error() string { return fmt.Sprintf("%v: %s", ErrNotRun, r.Status) }
 
-// Unwrap returns ErrRefused.
-func (r *Refusal) Unwrap() error { return ErrRefused }
+// Unwrap returns ErrNotRun.
+func (r *NotRunError) Unwrap() error { return ErrNotRun }
 
 // parseNotice returns the cooldown that an overloaded target requests in its response.
 func parseNotice(resp *http.Response) fleet.Notice {
@@ -242,28 +242,28 @@
 	return fleet.Notice{Cooldown: d, CooldownFault: err}
 }
 
-// Answer is the response of a target. The caller must close Body.
-type Answer struct {
+// Response is the response of a target. The caller must close Body.
+type Response struct {
 	Status      int
 	ContentType string
-	// Delimited is set if a truncated body can be told from a complete one.
-	Delimited bool
-	Body      io.ReadCloser
+	// IsDelimited is set if a truncated body can be told from a complete one.
+	IsDelimited bool
+	Body        io.ReadCloser
 	fleet.Notice
 }
 
 // Send sends a call and returns the head of the response. The outcome states whether the target ran
 // the call, as far as this is known.
-func (c *Client) Send(ctx context.Context, call Call) (*Answer, retry.Outcome, error) {
+func (c *Client) Send(ctx context.Context, call Call) (*Response, retry.Outcome, error) {
 	req, err := call.request(ctx)
 	if err != nil {
 		return nil, retry.NotRun, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
 	httpClient := c.serveHTTP
-	if call.Once {
+	if call.NewConnection {
 		httpClient = c.onceHTTP
 	}
-	resp, sent, err := httpClient.DoIf(req, call.Check)
+	resp, sent, err := httpClient.DoIf(req, call.BeforeSend)
 	switch {
 	case errors.Is(err, exchange.ErrHeldBack):
 		return nil, retry.NotRun, err
@@ -274,16 +274,16 @@
 	}
 	if resp.Header.Get(HeaderRequestID) != call.RequestID {
 		_ = resp.Body.Close()
-		return nil, retry.Unknown, ErrMismatch
+		return nil, retry.Unknown, ErrRequestIDMismatch
 	}
 	if resp.Header.Get(HeaderNotRun) != "" {
 		_ = resp.Body.Close()
-		return nil, retry.NotRun, &Refusal{Status: resp.Status, Notice: parseNotice(resp)}
+		return nil, retry.NotRun, &NotRunError{Status: resp.Status, Notice: parseNotice(resp)}
 	}
-	return &Answer{
+	return &Response{
 		Status:      resp.StatusCode,
 		ContentType: resp.Header.Get("Content-Type"),
-		Delimited:   resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
+		IsDelimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
 		Body:        resp.Body,
 		Notice:      parseNotice(resp),
 	}, retry.Completed, nil
@@ -303,12 +303,12 @@
 	setHeader(HeaderRequestID, c.RequestID)
 	setHeader("Content-Type", c.ContentType)
 	setHeader(HeaderGroup, string(c.Group))
-	setHeader(HeaderKey, c.Key)
+	setHeader(HeaderIdempotencyKey, c.IdempotencyKey)
 	if c.Epoch != 0 {
 		req.Header.Set(HeaderEpoch, strconv.FormatUint(uint64(c.Epoch), 10))
 	}
-	if c.Resume > 0 {
-		req.Header.Set(HeaderResume, strconv.Itoa(c.Resume))
+	if c.ResumeTokens > 0 {
+		req.Header.Set(HeaderResumeTokens, strconv.Itoa(c.ResumeTokens))
 	}
 	return req, nil
 }
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -160,7 +160,7 @@
 		for n := range claims {
 			op := state.ClaimOp{Key: state.ClaimKey{Team: "t", Service: "kiosk-ledger", Key: idAt(start, n)}, Holder: fmt.Sprintf("node/%036d/%036d", n, n), Request: fmt.Sprintf("%064d", n)}
 			result := op
-			result.Result = &state.Result{Status: 200, ContentType: "application/json", Body: make([]byte, 200)}
+			result.Result = &state.ClaimResult{Status: 200, ContentType: "application/json", Body: make([]byte, 200)}
 			for i, claimOp := range []state.ClaimOp{op, result} {
 				records = append(records, encode(&state.Record{Version: 1, ID: idAt(start, 2*n+i), Kind: state.KindClaims, By: "t", Claims: []state.ClaimOp{claimOp}}))
 			}
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -24,8 +24,8 @@
 	Stream RouteKind = "stream"
 )
 
-// Share is the part of a route's requests that one service receives.
-type Share struct {
+// WeightedService is the part of a route's requests that one service receives.
+type WeightedService struct {
 	Service state.ServiceName
 	Weight  float64
 }
@@ -44,7 +44,7 @@
 	GapGoal time.Duration
 	// Priority ranks the route's requests; 0 is the highest.
 	Priority int
-	Shares   []Share
+	Shares   []WeightedService
 	// MaxAttempts is the maximum number of instances that one request may be sent to.
 	MaxAttempts int
 	// Public routes need no key.
@@ -53,13 +53,13 @@
 	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may be executed more than once.
-func (r *Route) Repeatable() bool {
+// CanRetry reports whether a request of the route may be executed more than once.
+func (r *Route) CanRetry() bool {
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
-// Pick returns one of the route's services, chosen at random by weight.
-func (r *Route) Pick() state.ServiceName {
+// PickService returns one of the route's services, chosen at random by weight.
+func (r *Route) PickService() state.ServiceName {
 	var total float64
 	for _, s := range r.Shares {
 		total += s.Weight
@@ -79,42 +79,42 @@
 // Model is one model of an engine service.
 type Model struct {
 	Name string
-	// Size is the number of instances in a group of the model.
-	Size int
-	// Share is the expected part of the service's load that is for the model.
-	Share float64
-	// Pace is the factor by which all engine times are multiplied for groups of the model.
-	Pace float64
-	// Load is the time to load the model from the weight store, Warm the time to load it from
-	// the instance's host.
-	Load time.Duration
-	Warm time.Duration
+	// GroupSize is the number of instances in a group of the model.
+	GroupSize int
+	// ExpectedShare is the expected part of the service's load that is for the model.
+	ExpectedShare float64
+	// TimeFactor is the factor by which all engine times are multiplied for groups of the model.
+	TimeFactor float64
+	// LoadTime is the time to load the model from the weight store, HostLoadTime the time to
+	// load it from the instance's host.
+	LoadTime     time.Duration
+	HostLoadTime time.Duration
 }
 
 // Engine describes the inference engines of a service.
 type Engine struct {
-	// Slots is the maximum number of requests in a group's batch.
-	Slots int
-	// Step is the duration of a token step, PerSequence the time that each request in the batch
+	// BatchSlots is the maximum number of requests in a group's batch.
+	BatchSlots int
+	// StepTime is the duration of a token step, StepTimePerRequest the time that each request in the batch
 	// adds to it.
-	Step        time.Duration
-	PerSequence time.Duration
-	// ReadPerSecond is the number of prompt tokens that a group reads per second.
-	ReadPerSecond float64
-	// Stride is the number of token steps that are run in one pass.
-	Stride int
-	// UsualPrompt and UsualAnswer are the mean numbers of prompt and response tokens of a request.
-	UsualPrompt float64
-	UsualAnswer float64
-	// LoadsPerSecond bounds the rate of loads from the weight store, LoadsAtOnce is the number of
+	StepTime           time.Duration
+	StepTimePerRequest time.Duration
+	// PrefillTokensPerSecond is the number of prompt tokens that a group reads per second.
+	PrefillTokensPerSecond float64
+	// StepsPerPass is the number of token steps that are run in one pass.
+	StepsPerPass int
+	// MeanPromptTokens and MeanResponseTokens are the mean numbers of prompt and response tokens of a request.
+	MeanPromptTokens   float64
+	MeanResponseTokens float64
+	// MaxLoadsPerSecond bounds the rate of loads from the weight store, MaxConcurrentLoads is the number of
 	// concurrent loads that it serves without slowing down.
-	LoadsPerSecond float64
-	LoadsAtOnce    int
-	// Form is the time that an open group needs before it serves requests.
-	Form time.Duration
-	// ReportLag is the maximum age of the information that an instance reports.
-	ReportLag time.Duration
-	Models    []Model
+	MaxLoadsPerSecond  float64
+	MaxConcurrentLoads int
+	// FormTime is the time that an open group needs before it serves requests.
+	FormTime time.Duration
+	// MaxReportAge is the maximum age of the information that an instance reports.
+	MaxReportAge time.Duration
+	Models       []Model
 }
 
 // Model returns a model by name, or nil.
@@ -156,8 +156,8 @@
 	Version  int64
 	Services map[state.ServiceName]*Service
 	Limits   Limits
-	// Keyed is set if requests need a key, except on public routes.
-	Keyed bool
+	// RequiresKeys is set if requests need a key, except on public routes.
+	RequiresKeys bool
 
 	routes map[routeKey]*Route
 	teams  map[string]*Team
@@ -170,12 +170,12 @@
 // teams is nil.
 func New(version int64, routes []Route, services []Service, teams map[string]*Team, limits Limits) *Catalog {
 	c := &Catalog{
-		Version:  version,
-		Services: make(map[state.ServiceName]*Service, len(services)),
-		Limits:   limits,
-		Keyed:    teams != nil,
-		routes:   make(map[routeKey]*Route, len(routes)),
-		teams:    teams,
+		Version:      version,
+		Services:     make(map[state.ServiceName]*Service, len(services)),
+		Limits:       limits,
+		RequiresKeys: teams != nil,
+		routes:       make(map[routeKey]*Route, len(routes)),
+		teams:        teams,
 	}
 	for i := range routes {
 		c.routes[routeKey{routes[i].Host, routes[i].Prefix}] = &routes[i]
--- a/state/claim.go
+++ b/state/claim.go
@@ -21,17 +21,17 @@
 	// Released is set once the holder has reported that the call was never sent.
 	Released bool `json:"released,omitempty"`
 	// Result is nil until the holder has recorded the result of the call.
-	Result *Result `json:"result,omitempty"`
+	Result *ClaimResult `json:"result,omitempty"`
 }
 
-// Result is the recorded end of a claimed call.
-type Result struct {
+// ClaimResult is the recorded end of a claimed call.
+type ClaimResult struct {
 	// Status is the HTTP status of the target's response; 0 if the holder does not know it.
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Dropped is set if the body was too large to store.
-	Dropped bool `json:"dropped,omitempty"`
+	// BodyDropped is set if the body was too large to store.
+	BodyDropped bool `json:"dropped,omitempty"`
 }
 
 // ClaimOp does one of three things: it claims a key, records the result of its call, or releases it.
@@ -40,7 +40,7 @@
 	Holder  string   `json:"holder"`
 	Request string   `json:"request,omitempty"`
 	// Result, if set, records the result of the call.
-	Result *Result `json:"result,omitempty"`
+	Result *ClaimResult `json:"result,omitempty"`
 	// NotRun, if set, releases the key: the call was never sent.
 	NotRun bool `json:"not_run,omitempty"`
 }
@@ -69,8 +69,8 @@
 	At  time.Time
 }
 
-// KeyCovered reports whether the timestamp of a key lies within the retained claim history.
-func (s *State) KeyCovered(key string) bool {
+// IsKeyInHorizon reports whether the timestamp of a key lies within the retained claim history.
+func (s *State) IsKeyInHorizon(key string) bool {
 	at, ok := IDTime(key)
 	return ok && isWithinHorizon(at, s.now, ClaimHorizon)
 }
@@ -85,7 +85,7 @@
 // A holder that releases a key cannot claim it again, so a claim of its own that
 // reaches the log after the release has no effect.
 func (s *State) applyClaim(op *ClaimOp, at Offset) {
-	if !s.KeyCovered(op.Key.Key) {
+	if !s.IsKeyInHorizon(op.Key.Key) {
 		return
 	}
 	c, exists := s.claims[op.Key]
--- a/state/errors.go
+++ b/state/errors.go
@@ -13,8 +13,8 @@
 	ErrUnknownRecord = errors.New("state: unknown record format")
 	// ErrOffsetGap means that the offset of an entry is not the one after the last entry applied.
 	ErrOffsetGap = errors.New("state: gap in the log")
-	// ErrBackwards means that a snapshot is not newer than the current state.
-	ErrBackwards = errors.New("state: snapshot is not newer than the current state")
+	// ErrStaleSnapshot means that a snapshot is not newer than the current state.
+	ErrStaleSnapshot = errors.New("state: snapshot is not newer than the current state")
 	// ErrInvalidSnapshot means that a snapshot is damaged or does not match its digest.
 	ErrInvalidSnapshot = errors.New("state: invalid snapshot")
 )
--- a/state/fleet/instance.go
+++ b/state/fleet/instance.go
@@ -49,9 +49,9 @@
 	Life string `json:"l,omitempty"`
 }
 
-// LaterThan reports whether i is certain to have started after o, an incarnation of the same process.
+// StartedAfter reports whether i is certain to have started after o, an incarnation of the same process.
 // It is false if either start time is unknown.
-func (i Incarnation) LaterThan(o Incarnation) bool {
+func (i Incarnation) StartedAfter(o Incarnation) bool {
 	if i.Life == "" || o.Life == "" || i.Life == o.Life {
 		return false
 	}
@@ -88,11 +88,11 @@
 }
 
 // Incarnation returns the incarnation of the process that the entry describes.
-func (i *Instance) Incarnation() Incarnation { return LifeSince(i.ID, i.Born) }
+func (i *Instance) Incarnation() Incarnation { return NewIncarnation(i.ID, i.Born) }
 
-// LifeSince returns the incarnation of a process that started at startedAt, which is zero if the time
+// NewIncarnation returns the incarnation of a process that started at startedAt, which is zero if the time
 // is unknown.
-func LifeSince(id state.InstanceID, startedAt time.Time) Incarnation {
+func NewIncarnation(id state.InstanceID, startedAt time.Time) Incarnation {
 	if startedAt.IsZero() {
 		return Incarnation{ID: id}
 	}
--- a/state/fold_test.go
+++ b/state/fold_test.go
@@ -209,7 +209,7 @@
 
 // commandState returns the part of the state that commands can change, as JSON.
 func commandState(s *state.State) string {
-	data, _ := json.Marshal([]any{s.Groups(), s.Assignments(), s.Teams(), s.Services(), s.Policy(), s.LastAccepted()})
+	data, _ := json.Marshal([]any{s.Groups(), s.Assignments(), s.Teams(), s.Services(), s.Policy(), s.LastAcceptedOffset()})
 	return string(data)
 }
 
@@ -379,7 +379,7 @@
 				if isHolder && !settled[holder] {
 					executions++
 					settled[holder] = true
-					queue = append(queue, state.ClaimOp{Key: key, Holder: holder, Result: &state.Result{Status: 200}})
+					queue = append(queue, state.ClaimOp{Key: key, Holder: holder, Result: &state.ClaimResult{Status: 200}})
 				}
 			case 2:
 				if !settled[holder] {
--- a/state/state.go
+++ b/state/state.go
@@ -182,11 +182,11 @@
 // Offset returns the offset of the last record applied.
 func (s *State) Offset() Offset { return s.offset }
 
-// LastAccepted returns the offset of the last accepted command.
-func (s *State) LastAccepted() Offset { return s.lastAccepted }
+// LastAcceptedOffset returns the offset of the last accepted command.
+func (s *State) LastAcceptedOffset() Offset { return s.lastAccepted }
 
-// Now returns the latest log time of the entries applied.
-func (s *State) Now() time.Time { return s.now }
+// LogTime returns the latest log time of the entries applied.
+func (s *State) LogTime() time.Time { return s.now }
 
 // Policy returns the current repair policy.
 func (s *State) Policy() Policy { return s.policy }
--- a/transport/caller/attempt.go
+++ b/transport/caller/attempt.go
@@ -32,7 +32,7 @@
 			case <-ctx.Done():
 				return
 			case <-tick.Chan():
-				if !d.Valid(s.c.Clock.Now()) {
+				if !d.IsValid(s.c.Clock.Now()) {
 					cancel(errGroupLost)
 					return
 				}
@@ -57,15 +57,15 @@
 }
 
 // send sends a call if time is left and the group is still whole.
-func (s *Server) send(ctx context.Context, q *request, d *routing.Dispatch, call target.Call) (*target.Answer, retry.Outcome, error) {
+func (s *Server) send(ctx context.Context, q *request, d *routing.Dispatch, call target.Call) (*target.Response, retry.Outcome, error) {
 	now := s.c.Clock.Now()
 	if !now.Before(q.deadline) {
 		return nil, retry.NotRun, context.DeadlineExceeded
 	}
-	if !d.Valid(now) {
+	if !d.IsValid(now) {
 		return nil, retry.NotRun, errGroupLost
 	}
-	call.Check = func() error { return s.mayLeave(d) }
+	call.BeforeSend = func() error { return s.mayLeave(d) }
 	ans, outcome, err := s.c.Targets.Send(ctx, call)
 	s.heed(q, d, ans, err)
 	if err != nil {
@@ -87,7 +87,7 @@
 }
 
 // whole is one attempt at a whole answer: nothing of it is let out before all of it is there.
-func (s *Server) whole(ctx context.Context, q *request, d *routing.Dispatch) (*target.Answer, []byte, retry.Outcome, error) {
+func (s *Server) whole(ctx context.Context, q *request, d *routing.Dispatch) (*target.Response, []byte, retry.Outcome, error) {
 	ctx, stop := s.watch(ctx, d)
 	defer stop()
 	call, err := s.call(q, d)
@@ -105,7 +105,7 @@
 }
 
 // fetch sends a call and reads the whole body of its answer.
-func (s *Server) fetch(ctx context.Context, q *request, d *routing.Dispatch, call target.Call) (*target.Answer, []byte, retry.Outcome, error) {
+func (s *Server) fetch(ctx context.Context, q *request, d *routing.Dispatch, call target.Call) (*target.Response, []byte, retry.Outcome, error) {
 	ans, outcome, err := s.send(ctx, q, d, call)
 	if err != nil {
 		return nil, nil, outcome, err
@@ -119,8 +119,8 @@
 }
 
 // readWhole reads a body that shows that nothing of it is missing.
-func readWhole(ans *target.Answer) ([]byte, error) {
-	if !ans.Delimited {
+func readWhole(ans *target.Response) ([]byte, error) {
+	if !ans.IsDelimited {
 		return nil, fmt.Errorf("%w: its end cannot be told from a cut", errTruncated)
 	}
 	body, err := io.ReadAll(io.LimitReader(ans.Body, maxAnswerBytes+1))
@@ -138,7 +138,7 @@
 
 // gate decides, after the last byte, whether an answer may be let out.
 func (s *Server) gate(ctx context.Context, d *routing.Dispatch) error {
-	if !d.Valid(s.c.Clock.Now()) {
+	if !d.IsValid(s.c.Clock.Now()) {
 		return errGroupLost
 	}
 	if d.Group().Gate != state.GateStrict {
@@ -163,7 +163,7 @@
 		}
 	}
 	s.c.JudgeGroup(d.Candidate())
-	if !d.Valid(s.c.Clock.Now()) {
+	if !d.IsValid(s.c.Clock.Now()) {
 		return errGroupLost
 	}
 	return nil
--- a/transport/caller/caller.go
+++ b/transport/caller/caller.go
@@ -165,7 +165,7 @@
 // openHere reports whether a pool has an open candidate in this hall.
 func (s *Server) openHere(pool string) bool {
 	now := s.c.Clock.Now()
-	return slices.ContainsFunc(s.c.Routing.Pool(pool), func(c *routing.Candidate) bool { return s.c.Open(c, now) })
+	return slices.ContainsFunc(s.c.Routing.Candidates(pool), func(c *routing.Candidate) bool { return s.c.Open(c, now) })
 }
 
 // unroutable says why a request cannot be served here or anywhere else.
@@ -231,16 +231,16 @@
 // The booking is made before the last look: a drain that comes in between
 // either sees the booking or is seen by the look.
 func (s *Server) pick(q *request, pool string, avoid state.GroupName) *routing.Dispatch {
-	r := routing.Request{Tokens: q.tokens, Prompt: int64(len(q.body) / bytesPerToken), Prefix: q.prefix, Avoid: avoid}
+	r := routing.Request{Tokens: q.tokens, Prompt: int64(len(q.body) / bytesPerToken), Prefix: q.prefix, ExcludedGroup: avoid}
 	for {
 		now := s.c.Clock.Now()
 		c := s.c.Picker.Pick(s.c.Usable(pool, now), r, now)
 		if c == nil {
 			return nil
 		}
-		d := c.Begin(r)
-		if c.Open(s.c.Clock.Now()) {
-			c.Remember(q.prefix)
+		d := c.BeginRequest(r)
+		if c.CanAccept(s.c.Clock.Now()) {
+			c.RecordPrefix(q.prefix)
 			q.lives, q.sentAt = s.lives(d), s.c.Clock.Now()
 			s.note(q, "sent to %s, epoch %d, with %d requests there", c.Name, d.Group().Epoch, c.Load())
 			return d
--- a/transport/caller/completion.go
+++ b/transport/caller/completion.go
@@ -89,7 +89,7 @@
 }
 
 // writeAnswer lets a whole answer out.
-func writeAnswer(w http.ResponseWriter, id string, ans *target.Answer, body []byte) {
+func writeAnswer(w http.ResponseWriter, id string, ans *target.Response, body []byte) {
 	h := w.Header()
 	h.Set("Content-Type", ans.ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
--- a/transport/caller/cooldown.go
+++ b/transport/caller/cooldown.go
@@ -17,7 +17,7 @@
 // It is asked once a connection is there: a dial may take long.
 func (s *Server) mayLeave(d *routing.Dispatch) error {
 	now := s.c.Clock.Now()
-	if !d.Valid(now) {
+	if !d.IsValid(now) {
 		return errGroupLost
 	}
 	if _, cooling := s.c.CoolingDown(d.Candidate(), now); cooling {
@@ -27,9 +27,9 @@
 }
 
 // heed records for how long an instance wants no further request, if its answer says so.
-func (s *Server) heed(q *request, d *routing.Dispatch, ans *target.Answer, err error) {
+func (s *Server) heed(q *request, d *routing.Dispatch, ans *target.Response, err error) {
 	asked, fault := time.Duration(0), error(nil)
-	var refusal *target.Refusal
+	var refusal *target.NotRunError
 	switch {
 	case errors.As(err, &refusal):
 		asked, fault = refusal.Cooldown, refusal.CooldownFault
--- a/transport/caller/failure.go
+++ b/transport/caller/failure.go
@@ -115,13 +115,13 @@
 // fromClaim turns an error of a claim into a failure.
 func fromClaim(err error) *Failure {
 	switch {
-	case errors.Is(err, claim.ErrKey):
+	case errors.Is(err, claim.ErrInvalidKey):
 		return notRun(http.StatusBadRequest, CodeKeyBad, "the key must be a UUIDv7")
-	case errors.Is(err, claim.ErrNotCovered):
+	case errors.Is(err, claim.ErrKeyNotCovered):
 		return notRun(http.StatusConflict, CodeKeyNotCovered, "the key is too old, or lies in the future")
-	case errors.Is(err, claim.ErrConflict):
+	case errors.Is(err, claim.ErrKeyConflict):
 		return notRun(http.StatusUnprocessableEntity, CodeKeyConflict, "the key was used for a different call")
-	case errors.Is(err, claim.ErrUnknown):
+	case errors.Is(err, claim.ErrResultUnknown):
 		return unknown(http.StatusConflict, CodeKeyUnknown, "an earlier attempt with this key may have run")
 	}
 	return notRun(http.StatusServiceUnavailable, CodeClaimUnsettled, "the platform's log did not settle the key in time")
@@ -132,7 +132,7 @@
 	switch {
 	case errors.Is(err, errGroupLost):
 		return withOutcome(outcome, CodeGroupLost, "a member of the group went missing")
-	case errors.Is(err, target.ErrMismatch):
+	case errors.Is(err, target.ErrRequestIDMismatch):
 		return withOutcome(outcome, CodeAnswerMismatch, "the target answered another request")
 	case errors.Is(err, errTruncated):
 		return withOutcome(outcome, CodeAnswerTruncated, "the target's answer was cut short")
@@ -140,7 +140,7 @@
 		return withOutcome(outcome, CodeTargetFailed, "the target failed")
 	case errors.Is(err, errCoolingDown):
 		return withOutcome(outcome, CodeCoolingDown, "the target wants no request for a while")
-	case errors.Is(err, target.ErrRefused):
+	case errors.Is(err, target.ErrNotRun):
 		return withOutcome(outcome, CodeTargetRefused, "the target refused the request")
 	case outcome == retry.NotRun:
 		return withOutcome(outcome, CodeUnreachable, "the target could not be reached")
--- a/transport/caller/forward.go
+++ b/transport/caller/forward.go
@@ -78,7 +78,7 @@
 		return retry.NotRun, err
 	}
 	h := req.Header
-	h.Set("Authorization", peer.Bearer(s.c.Settings.PeerSecret))
+	h.Set("Authorization", peer.BearerHeader(s.c.Settings.PeerSecret))
 	h.Set(headerTeam, string(q.team.Name))
 	h.Set(HeaderRequestID, q.id)
 	h.Set(HeaderTimeout, s.c.Clock.Until(q.deadline).String())
@@ -95,7 +95,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get(HeaderRequestID) != q.id {
-		return retry.Unknown, target.ErrMismatch
+		return retry.Unknown, target.ErrRequestIDMismatch
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		s.relayStream(w, q, resp)
@@ -109,7 +109,7 @@
 
 // relayWhole passes a whole answer back once all of it is there.
 func (s *Server) relayWhole(w http.ResponseWriter, resp *http.Response) (retry.Outcome, error) {
-	ans := &target.Answer{Delimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0, Body: resp.Body}
+	ans := &target.Response{IsDelimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0, Body: resp.Body}
 	body, err := readWhole(ans)
 	if err != nil {
 		return retry.Unknown, err
--- a/transport/caller/request.go
+++ b/transport/caller/request.go
@@ -131,13 +131,13 @@
 	view := s.c.Follower.View()
 	if q.forwarded {
 		name := state.TeamName(r.Header.Get(headerTeam))
-		for _, t := range view.TeamByKey {
+		for _, t := range view.TeamsByKeyHash {
 			if t.Name == name {
 				q.team = t
 			}
 		}
 	} else if key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); ok {
-		q.team = view.TeamByKey[HashKey(key)]
+		q.team = view.TeamsByKeyHash[HashKey(key)]
 	}
 	if q.team == nil {
 		return notRun(http.StatusUnauthorized, CodeUnauthorized, "no team has this key")
--- a/transport/caller/service.go
+++ b/transport/caller/service.go
@@ -32,7 +32,7 @@
 		return notRun(http.StatusBadRequest, CodeKeyRequired, "a call that may not be repeated needs an Idempotency-Key (a UUIDv7 or a ticket)")
 	}
 	pool := core.ServicePool(name)
-	byTicket := !repeatable && ticket.Is(q.key)
+	byTicket := !repeatable && ticket.IsTicket(q.key)
 	here, f := s.placeFor(ctx, w, q, pool, byTicket)
 	if !here {
 		return f
@@ -88,14 +88,14 @@
 
 // settler records how a call that may not be repeated ended; the result is set for retry.Completed.
 type settler interface {
-	settle(o retry.Outcome, result *state.Result)
+	settle(o retry.Outcome, result *state.ClaimResult)
 }
 
 // unsettled is the settler of a call whose target checks keys itself.
 type unsettled struct{}
 
 // settle implements settler.
-func (unsettled) settle(retry.Outcome, *state.Result) {}
+func (unsettled) settle(retry.Outcome, *state.ClaimResult) {}
 
 // held is a claim that the request holds.
 type held struct {
@@ -105,33 +105,33 @@
 }
 
 // settle implements settler.
-func (h *held) settle(o retry.Outcome, result *state.Result) {
+func (h *held) settle(o retry.Outcome, result *state.ClaimResult) {
 	switch o {
 	case retry.NotRun:
-		h.claims.GiveBack(h.key, h.holder)
+		h.claims.Release(h.key, h.holder)
 	case retry.Completed:
-		h.claims.Finish(h.key, h.holder, result)
+		h.claims.RecordResult(h.key, h.holder, result)
 	}
 }
 
 // resultOf returns what is kept of an answer.
-func resultOf(ans *target.Answer, body []byte) *state.Result {
+func resultOf(ans *target.Response, body []byte) *state.ClaimResult {
 	if len(body) > maxResultBytes {
-		return &state.Result{Status: ans.Status, Dropped: true}
+		return &state.ClaimResult{Status: ans.Status, BodyDropped: true}
 	}
-	return &state.Result{Status: ans.Status, ContentType: ans.ContentType, Body: body}
+	return &state.ClaimResult{Status: ans.Status, ContentType: ans.ContentType, Body: body}
 }
 
 // repeated answers from the recorded result of an earlier attempt.
-func (s *Server) repeated(w http.ResponseWriter, q *request, result *state.Result) *Failure {
+func (s *Server) repeated(w http.ResponseWriter, q *request, result *state.ClaimResult) *Failure {
 	s.note(q, "answered from the recorded result of key %s", q.key)
 	s.c.Count("claims.repeated")
-	if result.Dropped {
+	if result.BodyDropped {
 		f := notRun(http.StatusConflict, CodeResultDropped, "the call was run; its answer of status %d was too large to keep", result.Status)
 		f.Outcome = retry.Completed
 		return f
 	}
-	writeAnswer(w, q.id, &target.Answer{Status: result.Status, ContentType: result.ContentType}, result.Body)
+	writeAnswer(w, q.id, &target.Response{Status: result.Status, ContentType: result.ContentType}, result.Body)
 	return nil
 }
 
@@ -166,11 +166,11 @@
 //
 // The answer of a target that has run the call is let out even if the target
 // went missing meanwhile: the call took effect, and the caller must know.
-func (s *Server) sendOnce(ctx context.Context, q *request, d *routing.Dispatch) (*target.Answer, []byte, retry.Outcome, error) {
+func (s *Server) sendOnce(ctx context.Context, q *request, d *routing.Dispatch) (*target.Response, []byte, retry.Outcome, error) {
 	call, err := s.call(q, d)
 	if err != nil {
 		return nil, nil, retry.NotRun, err
 	}
-	call.Once, call.Key = true, q.key
+	call.NewConnection, call.IdempotencyKey = true, q.key
 	return s.fetch(ctx, q, d, call)
 }
--- a/transport/caller/stream.go
+++ b/transport/caller/stream.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return retry.NotRun, err
 	}
-	call.Resume = out.tokens
+	call.ResumeTokens = out.tokens
 	ans, outcome, err := s.send(ctx, q, d, call)
 	if err != nil {
 		return outcome, err
@@ -117,7 +117,7 @@
 }
 
 // passWhole lets out an answer that is no stream, such as a refusal of the engine.
-func (s *Server) passWhole(ctx context.Context, q *request, d *routing.Dispatch, ans *target.Answer, out *sink) (retry.Outcome, error) {
+func (s *Server) passWhole(ctx context.Context, q *request, d *routing.Dispatch, ans *target.Response, out *sink) (retry.Outcome, error) {
 	body, err := readWhole(ans)
 	if err != nil {
 		return retry.Unknown, err
@@ -133,7 +133,7 @@
 }
 
 // copyEvents lets the events of an answer out, one by one, each only while the group is whole.
-func (s *Server) copyEvents(ctx context.Context, d *routing.Dispatch, ans *target.Answer, out *sink) error {
+func (s *Server) copyEvents(ctx context.Context, d *routing.Dispatch, ans *target.Response, out *sink) error {
 	events := newEventScanner(ans.Body)
 	for events.Scan() {
 		if isEnd(events.Bytes()) {
@@ -142,7 +142,7 @@
 			}
 			return out.event(events.Bytes())
 		}
-		if !d.Valid(s.c.Clock.Now()) {
+		if !d.IsValid(s.c.Clock.Now()) {
 			return errGroupLost
 		}
 		if err := out.event(events.Bytes()); err != nil {
--- a/transport/caller/ticket.go
+++ b/transport/caller/ticket.go
@@ -51,19 +51,19 @@
 	if !here {
 		return f
 	}
-	text, err := s.c.Tickets.Mint(q.team.Name, t.Service)
+	text, err := s.c.Tickets.Issue(q.team.Name, t.Service)
 	if err != nil {
 		return notRun(http.StatusServiceUnavailable, CodeTicketLimit, "the node remembers as many tickets as it may")
 	}
-	body, err := json.Marshal(ticketAnswer{Ticket: text, ExpiresIn: int(ticket.Horizon.Seconds())})
+	body, err := json.Marshal(ticketAnswer{Ticket: text, ExpiresIn: int(ticket.TTL.Seconds())})
 	if err != nil {
 		return notRun(http.StatusServiceUnavailable, CodeTicketLimit, "the ticket could not be written: %v", err)
 	}
-	writeAnswer(w, q.id, &target.Answer{Status: http.StatusCreated, ContentType: "application/json"}, body)
+	writeAnswer(w, q.id, &target.Response{Status: http.StatusCreated, ContentType: "application/json"}, body)
 	return nil
 }
 
-// ticketHere reports whether a ticket was minted by this node; if not, the request
+// ticketHere reports whether a ticket was issued by this node; if not, the request
 // is passed on to the node that did, or is of unknown outcome when that is gone.
 func (s *Server) ticketHere(ctx context.Context, w http.ResponseWriter, q *request) (here bool, f *Failure) {
 	node, incarnation, err := ticket.Parse(q.key)
@@ -95,11 +95,11 @@
 
 // ticketed runs a call that a ticket stands for.
 func (s *Server) ticketed(ctx context.Context, w http.ResponseWriter, q *request, svc *state.Service, pool string) *Failure {
-	result, err := s.c.Tickets.Spend(q.key, q.team.Name, svc.Name, q.digest())
+	result, err := s.c.Tickets.Redeem(q.key, q.team.Name, svc.Name, q.digest())
 	switch {
 	case errors.Is(err, ticket.ErrConflict):
 		return notRun(http.StatusUnprocessableEntity, CodeKeyConflict, "the ticket belongs to another call")
-	case errors.Is(err, ticket.ErrUnknown):
+	case errors.Is(err, ticket.ErrResultUnknown):
 		return unknown(http.StatusConflict, CodeKeyUnknown, "an earlier attempt with this ticket may have run, or it has expired")
 	case err != nil:
 		return notRun(http.StatusBadRequest, CodeTicketBad, "%v", err)
@@ -113,16 +113,16 @@
 
 // spentTicket is a ticket that the request has spent.
 type spentTicket struct {
-	book *ticket.Book
+	book *ticket.Store
 	text string
 }
 
 // settle implements settler.
-func (t *spentTicket) settle(o retry.Outcome, result *state.Result) {
+func (t *spentTicket) settle(o retry.Outcome, result *state.ClaimResult) {
 	switch o {
 	case retry.NotRun:
-		t.book.GiveBack(t.text)
+		t.book.Release(t.text)
 	case retry.Completed:
-		t.book.Finish(t.text, result)
+		t.book.RecordResult(t.text, result)
 	}
 }
--- a/transport/core/capacity.go
+++ b/transport/core/capacity.go
@@ -33,7 +33,7 @@
 	for name, pool := range c.Routing.Models() {
 		slots := 0
 		for _, cand := range pool {
-			if cand.Open(now) {
+			if cand.CanAccept(now) {
 				slots += slotsOf(cand)
 			}
 		}
@@ -43,7 +43,7 @@
 
 // slotsOf returns how many requests a candidate batches.
 func slotsOf(c *routing.Candidate) int {
-	if n := c.Slots(); n > 0 {
+	if n := c.BatchSlots(); n > 0 {
 		return n
 	}
 	return defaultSlots
@@ -51,7 +51,7 @@
 
 // JudgeGroup takes the evidence of a candidate into the routing table.
 func (c *Core) JudgeGroup(cand *routing.Candidate) {
-	cand.Rejudge(func(g *state.Group) evidence.GroupEvidence {
+	cand.UpdateEvidence(func(g *state.Group) evidence.GroupEvidence {
 		now := c.Clock.Now()
 		if g.Epoch == 0 {
 			return c.Evidence.CheckInstance(g.Members[0], now, c.Settings.EvidenceWindow)
--- a/transport/core/cooldown.go
+++ b/transport/core/cooldown.go
@@ -30,12 +30,12 @@
 // Open reports whether this node may send a new request to a group.
 func (c *Core) Open(cand *routing.Candidate, now time.Time) bool {
 	_, cooling := c.CoolingDown(cand, now)
-	return !cooling && cand.Open(now)
+	return !cooling && cand.CanAccept(now)
 }
 
 // Usable returns the groups of a pool that are not cooling down; the slice must not be changed.
 func (c *Core) Usable(pool string, now time.Time) []*routing.Candidate {
-	all := c.Routing.Pool(pool)
+	all := c.Routing.Candidates(pool)
 	cooling := func(cand *routing.Candidate) bool {
 		_, cooling := c.CoolingDown(cand, now)
 		return cooling
@@ -49,10 +49,10 @@
 // FirstFree returns when the first group of a pool is no longer cooling down, and whether
 // all open ones are.
 func (c *Core) FirstFree(pool string, now time.Time) (first time.Time, all bool) {
-	for _, cand := range c.Routing.Pool(pool) {
+	for _, cand := range c.Routing.Candidates(pool) {
 		until, cooling := c.CoolingDown(cand, now)
 		switch {
-		case !cand.Open(now):
+		case !cand.CanAccept(now):
 		case !cooling:
 			return time.Time{}, false
 		case first.IsZero() || until.Before(first):
--- a/transport/core/core.go
+++ b/transport/core/core.go
@@ -41,7 +41,7 @@
 	Teams     *admission.Teams
 	Budget    *retry.Budget
 	Claims    *claim.Manager
-	Tickets   *ticket.Book
+	Tickets   *ticket.Store
 	Targets   *target.Client
 	Peers     *peer.Client
 	Platform  *platform.Client
--- a/transport/core/ready.go
+++ b/transport/core/ready.go
@@ -35,7 +35,7 @@
 }
 
 // HasState reports whether the node has held the whole state once, from the log or from a peer.
-func (c *Core) HasState() bool { return c.Follower.Whole() }
+func (c *Core) HasState() bool { return c.Follower.CaughtUp() }
 
 // behindPeers returns an error when a live peer has applied records that this
 // node has not seen for longer than the bound.
@@ -43,7 +43,7 @@
 	if c.LogFresh() {
 		return nil
 	}
-	mine := c.Follower.Applied()
+	mine := c.Follower.AppliedOffset()
 	for _, n := range c.Directory.LivePeers("", c.Clock.Now()) {
 		if n.Applied > mine && n.LogLag < c.Settings.Behind {
 			return fmt.Errorf("at offset %d, %s is at %d", mine, n.Name, n.Applied)
--- a/transport/core/resolve.go
+++ b/transport/core/resolve.go
@@ -17,7 +17,7 @@
 }
 
 // Group implements lang.Resolver.
-func (c *Core) Group(name state.GroupName) *state.Group { return c.Follower.View().ByName[name] }
+func (c *Core) Group(name state.GroupName) *state.Group { return c.Follower.View().GroupsByName[name] }
 
 // Spares implements lang.Resolver: the domain with the fewest free instances that suffice.
 func (c *Core) Spares(hall state.HallName, n int) []state.Place {
--- a/transport/core/secret.go
+++ b/transport/core/secret.go
@@ -10,7 +10,7 @@
 // counts the others as refused by name.
 func (c *Core) RequireSecret(name, secret string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !peer.Authorized(r.Header, secret) {
+		if !peer.IsAuthorized(r.Header, secret) {
 			c.Count("refused." + name)
 			http.Error(w, "wrong secret", http.StatusUnauthorized)
 			return
--- a/transport/ctl/ctl.go
+++ b/transport/ctl/ctl.go
@@ -74,7 +74,7 @@
 	}
 	t := &tool{options: o, out: stdout, err: stderr}
 	hc := &http.Client{Timeout: callTimeout, Transport: &http.Transport{TLSClientConfig: secure}}
-	t.client = rpcconnect.NewOperatorClient(hc, o.baseURL(), peer.WithSecret(o.secret))
+	t.client = rpcconnect.NewOperatorClient(hc, o.baseURL(), peer.WithBearer(o.secret))
 	return t.run(words)
 }
 
--- a/transport/gateway/backpressure.go
+++ b/transport/gateway/backpressure.go
@@ -96,7 +96,7 @@
 // rateLimitWait returns the retry delay for instances that together accept perSecond requests a
 // second: the time in which they accept the requests that callers send in one second.
 func (c *call) rateLimitWait(perSecond float64) time.Duration {
-	seconds := max(c.Table.Asked(c.service, c.model), 1) / perSecond
+	seconds := max(c.Table.RequestRate(c.service, c.model), 1) / perSecond
 	return time.Duration(min(seconds, c.Policy.RateLimitRetryAfterMax.Seconds()) * float64(time.Second))
 }
 
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -197,7 +197,7 @@
 	sends int
 	tried []state.InstanceID
 	// hold counts the current attempt in the load of its target.
-	hold *dispatch.Hold
+	hold *dispatch.InFlightRequest
 	// loadAtPick is the known number of requests in progress at the last target when it was picked.
 	loadAtPick int64
 	// lastFailure is the most recent server error of an instance.
@@ -270,7 +270,7 @@
 		timeout = min(timeout, c.route.Timeout)
 	}
 	c.deadline = c.arrivedAt.Add(timeout)
-	c.service = c.route.Pick()
+	c.service = c.route.PickService()
 	if s := c.catalog.Services[c.service]; s != nil && s.Engine != nil {
 		c.model = claims.Model
 	}
@@ -282,7 +282,7 @@
 
 // authenticate sets the team that the request's key belongs to.
 func (c *call) authenticate() *refusal {
-	if !c.catalog.Keyed || c.route.Public {
+	if !c.catalog.RequiresKeys || c.route.Public {
 		return nil
 	}
 	if !c.keyTrusted() {
@@ -298,7 +298,7 @@
 // right before the request is sent: a body may take seconds to arrive, and the machine may be
 // suspended between any two steps.
 func (c *call) keyTrusted() bool {
-	return !c.catalog.Keyed || c.route.Public || c.Catalogs.KeysFresh()
+	return !c.catalog.RequiresKeys || c.route.Public || c.Catalogs.KeysFresh()
 }
 
 // computeFingerprint returns the fingerprint of the request. The body must have been read.
--- a/transport/gateway/quarantine_test.go
+++ b/transport/gateway/quarantine_test.go
@@ -109,17 +109,17 @@
 	for _, id := range []string{"a", "b", "c"} {
 		h.addInstance(id, "plain", respondWith("x"))
 	}
-	h.table.SetOthers(map[state.InstanceID]int{"a": 2, "c": 3}, nil, nil)
+	h.table.UpdateLoad(map[state.InstanceID]int{"a": 2, "c": 3}, nil, nil)
 	h.quarantine.suspected[fingerprintOf("/safe/", "suspect")] = true
 	for range 10 {
 		g.Expect(h.call(http.MethodPost, "/safe/", "suspect", nil).status).To(Equal(http.StatusOK))
 	}
 	g.Expect(h.countRuns("b")).To(Equal(10))
-	h.table.SetOthers(map[state.InstanceID]int{"a": 2, "b": 9, "c": 3}, nil, nil)
+	h.table.UpdateLoad(map[state.InstanceID]int{"a": 2, "b": 9, "c": 3}, nil, nil)
 	g.Expect(h.call(http.MethodPost, "/safe/", "suspect", nil).status).To(Equal(http.StatusOK))
 	g.Expect(h.countRuns("a")).To(Equal(1))
 	// Requests that are not suspected are still spread over all instances.
-	h.table.SetOthers(nil, nil, nil)
+	h.table.UpdateLoad(nil, nil, nil)
 	for range 60 {
 		h.call(http.MethodPost, "/safe/", "sound", nil)
 	}
--- a/transport/gateway/serve.go
+++ b/transport/gateway/serve.go
@@ -51,7 +51,7 @@
 		if target == nil {
 			return c.refuseNoTarget()
 		}
-		if c.sends == 0 && target.Full(c.Clock.Now()) {
+		if c.sends == 0 && target.IsFull(c.Clock.Now()) {
 			return refusalWithRetryAfter(CodeOverloaded, c.Policy.OverloadRetryAfter)
 		}
 		if _, held := c.Quarantine.QuarantinedUntil(c.fingerprint); c.sends > 0 && held {
@@ -74,7 +74,7 @@
 			return nil
 		case res == resultNotRun || res == resultHeldBack:
 			continue
-		case !c.route.Repeatable() || c.runs >= c.route.MaxAttempts:
+		case !c.route.CanRetry() || c.runs >= c.route.MaxAttempts:
 			return c.giveUp(CodeResponseLost)
 		}
 	}
@@ -121,7 +121,7 @@
 // A retry goes to an instance with a rate limit only if every other one is full or unavailable.
 func (c *call) pick() *dispatch.Candidate {
 	if c.sends > 0 {
-		if t := c.pickExcept(c.hasRateLimit); t != nil && !t.Full(c.Clock.Now()) {
+		if t := c.pickExcept(c.hasRateLimit); t != nil && !t.IsFull(c.Clock.Now()) {
 			return t
 		}
 	}
@@ -145,7 +145,7 @@
 		return cooling
 	}
 	if c.Quarantine.IsSuspected(c.fingerprint) {
-		return c.Table.PickIdlest(c.service, c.model, excluded)
+		return c.Table.PickLeastLoaded(c.service, c.model, excluded)
 	}
 	return c.Table.Pick(c.service, c.model, c.Clock.Now(), excluded)
 }
@@ -183,17 +183,17 @@
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
 	sent := c.Clock.Now()
-	c.hold = target.Hold(c.claims.PromptTokens, sent)
+	c.hold = target.BeginRequest(c.claims.PromptTokens, sent)
 	defer c.hold.End()
 	c.runs++
-	resumable := c.route.Kind == catalog.Stream && c.route.Repeatable() && c.runs < c.route.MaxAttempts
+	resumable := c.route.Kind == catalog.Stream && c.route.CanRetry() && c.runs < c.route.MaxAttempts
 	watched := c.StallDetector.add(target, resumable, sent, cancel)
 	defer c.StallDetector.remove(watched)
 	resp, err := c.Pool.Do(ctx, target.Address, c.newInstanceRequest(target, sent))
 	switch {
 	case errors.Is(err, errHeldBack):
 		return c.recordHeldBack(target, err)
-	case errors.Is(err, direct.ErrUnsent):
+	case errors.Is(err, direct.ErrNotSent):
 		c.runs--
 		if c.r.Context().Err() != nil {
 			return resultCallerGone
@@ -225,22 +225,22 @@
 	}
 	c.Codec.SetForwardHeaders(h, f)
 	return &direct.Request{
-		Method:  c.r.Method,
-		URI:     c.r.RequestURI,
-		Host:    c.r.Host,
-		Header:  h,
-		Body:    c.body,
-		HasBody: c.r.ContentLength != 0 || c.r.Method == http.MethodPost || c.r.Method == http.MethodPut,
-		Match:   func(h http.Header) bool { return c.Codec.MatchesRequest(h, c.claims.ID) },
-		Fresh:   !c.route.Repeatable(),
-		Check:   func() error { return c.checkBeforeSend(target) },
+		Method:           c.r.Method,
+		URI:              c.r.RequestURI,
+		Host:             c.r.Host,
+		Header:           h,
+		Body:             c.body,
+		HasBody:          c.r.ContentLength != 0 || c.r.Method == http.MethodPost || c.r.Method == http.MethodPut,
+		MatchesResponse:  func(h http.Header) bool { return c.Codec.MatchesRequest(h, c.claims.ID) },
+		RequireFreshConn: !c.route.CanRetry(),
+		BeforeSend:       func() error { return c.checkBeforeSend(target) },
 	}
 }
 
 // recordFailure records and logs that an instance failed a request, and reports it to the failure
 // detector.
 func (c *call) recordFailure(target *dispatch.Candidate, sent time.Time, failure event.Failure, err error) {
-	target.Failed()
+	target.RecordFailure()
 	c.FailureDetector.RecordFailure(target.ID, sent)
 	c.logFailure(target, sent, failure, err)
 }
@@ -249,7 +249,7 @@
 func (c *call) logFailure(target *dispatch.Candidate, sent time.Time, failure event.Failure, err error) {
 	c.Recorder.LogDecision(&event.AttemptFailed{
 		Request: c.eventRequest(), Instance: target.ID, Group: target.Membership.Group, Epoch: target.Membership.Epoch, What: failure, Err: err,
-		After: c.Clock.Since(sent), Held: target.Held(), LastEvent: c.lastEventID,
+		After: c.Clock.Since(sent), Held: target.InFlight(), LastEvent: c.lastEventID,
 	})
 }
 
@@ -265,13 +265,13 @@
 	case errors.Is(cause, errGroupStalled):
 		c.recordFailure(target, sent, event.Stalled, err)
 	case errors.Is(cause, errStreamSilent):
-		target.Failed()
+		target.RecordFailure()
 		c.Recorder.Count("attempt.silent")
 		c.logFailure(target, sent, event.Silent, err)
 	case c.ctx.Err() != nil:
 		c.logFailure(target, sent, event.TimeIsUp, err)
 	default:
-		target.Failed()
+		target.RecordFailure()
 		c.logFailure(target, sent, event.BrokenOff, err)
 	}
 	return resultUnknown
@@ -299,10 +299,10 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBytes))
 		c.runs--
 		if v.Cooldown == 0 {
-			target.Failed()
+			target.RecordFailure()
 		}
 		c.Recorder.LogDecision(&event.AttemptRefused{
-			Request: c.eventRequest(), Instance: target.ID, Status: resp.Status, Culprit: v.FaultyAddress, Held: target.Held(), Load: target.Load(), Cooldown: v.Cooldown, Sends: c.sends,
+			Request: c.eventRequest(), Instance: target.ID, Status: resp.Status, Culprit: v.FaultyAddress, Held: target.InFlight(), Load: target.Load(), Cooldown: v.Cooldown, Sends: c.sends,
 		})
 		if v.FaultyAddress != "" && v.FaultyAddress != target.Address.String() {
 			c.FailureDetector.ProbeGroup(target)
@@ -324,8 +324,8 @@
 // by the end of its connection also looks complete if the instance ended, so it does not clear the
 // request.
 func (c *call) recordCompleteResponse(target *dispatch.Candidate, resp *direct.Response) {
-	target.Answered()
-	if resp.Framed() {
+	target.RecordCompleteResponse()
+	if resp.IsFramed() {
 		c.Quarantine.RecordComplete(c.fingerprint)
 	}
 }
@@ -349,7 +349,7 @@
 	}
 	p := &bufferedResponse{status: resp.Status, header: c.callerHeaders(resp), body: body}
 	if resp.Status >= http.StatusInternalServerError {
-		target.Failed()
+		target.RecordFailure()
 		if c.headerWritten {
 			return resultUnknown
 		}
--- a/transport/gateway/standin_test.go
+++ b/transport/gateway/standin_test.go
@@ -215,7 +215,7 @@
 	route := func(name string, kind catalog.RouteKind, service state.ServiceName) catalog.Route {
 		return catalog.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Timeout: 3 * time.Second, MaxAttempts: 2,
-			Shares: []catalog.Share{{Service: service, Weight: 1}}, Resumable: name == "stream",
+			Shares: []catalog.WeightedService{{Service: service, Weight: 1}}, Resumable: name == "stream",
 		}
 	}
 	public := route("public", catalog.Safe, "plain")
@@ -224,7 +224,7 @@
 		route("safe", catalog.Safe, "plain"), route("unsafe", catalog.Unsafe, "plain"),
 		route("stream", catalog.Stream, "lm"), route("once", catalog.Stream, "lm"), public,
 	}
-	engine := &catalog.Engine{Slots: 4, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}}}
+	engine := &catalog.Engine{BatchSlots: 4, Models: []catalog.Model{{Name: "m", GroupSize: 1, TimeFactor: 1}}}
 	services := []catalog.Service{{Name: "plain"}, {Name: "lm", Engine: engine}}
 	teams := map[string]*catalog.Team{"k": {Name: "team"}}
 	h := &harness{
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -44,7 +44,7 @@
 		if n > 0 {
 			now := c.Clock.Now()
 			w.recordData(now)
-			c.hold.Started()
+			c.hold.RecordFirstEvent()
 			pending = append(pending, buf[:n]...)
 			rest, forwardErr := c.forwardEvents(pending, resp, now)
 			if forwardErr != nil {
@@ -53,7 +53,7 @@
 			pending = append(pending[:0], rest...)
 		}
 		switch {
-		case err == io.EOF && len(pending) > 0 && !resp.Framed():
+		case err == io.EOF && len(pending) > 0 && !resp.IsFramed():
 			return c.handleBrokenStream(ctx, target, sent, io.ErrUnexpectedEOF)
 		case err == io.EOF:
 			c.recordCompleteResponse(target, resp)
--- a/transport/gateway/watch.go
+++ b/transport/gateway/watch.go
@@ -110,7 +110,7 @@
 	}
 	d.mu.Unlock()
 	for _, target := range silentTargets {
-		if target.Check(now, d.policy.CheckInterval) {
+		if target.ShouldProbeMembers(now, d.policy.CheckInterval) {
 			d.health.ProbeGroup(target)
 		}
 	}
--- a/transport/node/control.go
+++ b/transport/node/control.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		c := n.Routing.Get(g.Name)
-		if c == nil || !c.Whole(now) {
+		if c == nil || !c.IsReady(now) {
 			down++
 			continue
 		}
@@ -80,7 +80,7 @@
 
 // cleared reports whether no node, and not the group's leader either, holds a request of a group.
 func (n *Node) cleared(g *state.Group, now time.Time) bool {
-	if c := n.Routing.Get(g.Name); c != nil && c.Held() > 0 {
+	if c := n.Routing.Get(g.Name); c != nil && c.InFlight() > 0 {
 		return false
 	}
 	if n.InForce() < g.Drained || !n.Directory.IsDrained(g, now, goneAfter) {
@@ -99,7 +99,7 @@
 	case op.FreeInstance != nil:
 		hall, key = view.Assignments[op.FreeInstance.Instance].Hall, string(op.FreeInstance.Instance)
 	case op.DissolveGroup != nil:
-		hall, key = view.ByName[op.DissolveGroup.Group].Hall, string(op.DissolveGroup.Group)
+		hall, key = view.GroupsByName[op.DissolveGroup.Group].Hall, string(op.DissolveGroup.Group)
 	}
 	return hall == n.Settings.Hall && n.Directory.Owns("propose/"+key, now)
 }
@@ -150,23 +150,23 @@
 
 // repairInput gathers what the planner looks at: the groups of the domains that fall to this node.
 func (n *Node) repairInput(view *statelog.View, now time.Time) repair.Input {
-	in := repair.Input{Policy: view.Policy, MaxLoads: n.Settings.MaxLoads}
+	in := repair.Input{Policy: view.Policy, MaxConcurrentLoads: n.Settings.MaxLoads}
 	seen := map[state.InstanceID]bool{}
 	for _, g := range view.Groups {
 		if g.Hall != n.Settings.Hall || g.Releasing {
 			continue
 		}
-		one := repair.Group{Group: g, Seats: n.missingSeats(g, now, seen), Weight: 1}
+		one := repair.Group{Group: g, Vacant: n.missingSeats(g, now, seen), Weight: 1}
 		c := n.Routing.Get(g.Name)
 		mine := n.Directory.Owns("repair/"+g.Domain, now)
-		switch whole := c != nil && c.Whole(now); {
-		case len(one.Seats) > 0 && mine:
-			in.Broken = append(in.Broken, one)
-		case len(one.Seats) == 0 && whole && mine:
+		switch whole := c != nil && c.IsReady(now); {
+		case len(one.Vacant) > 0 && mine:
+			in.Incomplete = append(in.Incomplete, one)
+		case len(one.Vacant) == 0 && whole && mine:
 			one.Idle = g.DrainedFor != "" && n.cleared(g, now)
-			in.Whole = append(in.Whole, one)
-		case len(one.Seats) == 0 && !whole:
-			in.Loading++
+			in.Ready = append(in.Ready, one)
+		case len(one.Vacant) == 0 && !whole:
+			in.LoadingGroups++
 		}
 	}
 	n.missing.keep(seen)
@@ -174,17 +174,17 @@
 	return in
 }
 
-// missingSeats returns the seats of a group whose members are not there.
-func (n *Node) missingSeats(g *state.Group, now time.Time, seen map[state.InstanceID]bool) []repair.Seat {
-	var seats []repair.Seat
+// missingSeats returns the vacant ranks of a group.
+func (n *Node) missingSeats(g *state.Group, now time.Time, seen map[state.InstanceID]bool) []repair.Vacancy {
+	var seats []repair.Vacancy
 	for rank, id := range g.Members {
 		if id == "" {
-			seats = append(seats, repair.Seat{Rank: rank})
+			seats = append(seats, repair.Vacancy{Rank: rank})
 			continue
 		}
 		if n.isMissing(g, id, now) {
 			seen[id] = true
-			seats = append(seats, repair.Seat{Rank: rank, Instance: id, Missing: n.missing.since(id, now)})
+			seats = append(seats, repair.Vacancy{Rank: rank, Instance: id, MissingFor: n.missing.since(id, now)})
 		}
 	}
 	return seats
--- a/transport/node/exchange.go
+++ b/transport/node/exchange.go
@@ -119,7 +119,7 @@
 	}
 	n.Directory.Update(self)
 	mirror.ResetIfRestarted(self.Incarnation)
-	n.Quarantine.Merge(peer.DecodeLedger(resp, n.Clock.Now()), quarantine.PeerSource)
+	n.Quarantine.Merge(peer.DecodeLedgerDelta(resp, n.Clock.Now()), quarantine.PeerSource)
 	mirror.LedgerVersion = resp.GetLedgerVersion()
 	for _, m := range resp.GetNodes() {
 		if other, err := peer.DecodeNode(m, asked); err == nil {
@@ -149,7 +149,7 @@
 	}
 	n.Directory.UpdateInFlight(self, held)
 	delta, ages := peer.DecodeDelta(resp)
-	confirmed := peer.Duration(resp.GetConfirmedAgeMs())
+	confirmed := peer.FromMilliseconds(resp.GetConfirmedAgeMs())
 	for _, r := range mirror.Apply(n.Evidence, self.Incarnation, delta, self.RequestedAt, confirmed, ages) {
 		n.observed(r)
 	}
--- a/transport/node/loops.go
+++ b/transport/node/loops.go
@@ -74,7 +74,7 @@
 	var built *statelog.View
 	for {
 		changed := n.Follower.Changed()
-		applied, view := n.Follower.Applied(), n.Follower.View()
+		applied, view := n.Follower.AppliedOffset(), n.Follower.View()
 		if view != built {
 			n.rebuild(view)
 			built = view
@@ -135,7 +135,7 @@
 // look ends the time after the start in which the node would refuse all requests, since it finds
 // no group whole, once every instance of the hall has been asked what it is.
 func (n *Node) look() {
-	if _, listed := n.Places.Asked(); n.Looked.Load() || !listed || !n.HasState() || n.InForce() < n.Follower.Applied() {
+	if _, listed := n.Places.Asked(); n.Looked.Load() || !listed || !n.HasState() || n.InForce() < n.Follower.AppliedOffset() {
 		return
 	}
 	for id := range n.hallInstances() {
@@ -203,11 +203,11 @@
 		return
 	}
 	if c.Group().Members[0] == r.Instance {
-		c.Report(r.Load)
+		c.RecordLoad(r.Load)
 	}
-	was := c.Open(n.Clock.Now())
+	was := c.CanAccept(n.Clock.Now())
 	n.JudgeGroup(c)
-	if c.Open(n.Clock.Now()) != was {
+	if c.CanAccept(n.Clock.Now()) != was {
 		n.UpdateCapacity()
 	}
 }
@@ -286,7 +286,7 @@
 
 // snapshotRound appends a snapshot when one is due and it falls to this node.
 func (n *Node) snapshotRound(ctx context.Context) {
-	due := n.Follower.SnapshotDue()
+	due := n.Follower.SnapshotLag()
 	if due == 0 || !n.LogFresh() {
 		return
 	}
--- a/transport/node/node.go
+++ b/transport/node/node.go
@@ -95,13 +95,13 @@
 		Directory: dir,
 		Routing:   routing.NewTable(),
 		Picker: &routing.LeastCost{Weights: routing.Weights{
-			Held: set.HeldCost, Tokens: set.TokenCost, Recent: set.RecentCost, Prefix: set.PrefixGain,
+			InFlight: set.HeldCost, TokensInFlight: set.TokenCost, PromptSinceReport: set.RecentCost, Prefix: set.PrefixGain,
 		}},
 		Pools:   core.NewPools(clock),
 		Teams:   &admission.Teams{},
 		Budget:  retry.NewBudget(retryRatio, retryMost),
 		Claims:  claim.NewManager(set.Name+"/"+self.Incarnation, follower, clock, set.AppendRate),
-		Tickets: ticket.NewBook(set.Name, self.Incarnation, clock),
+		Tickets: ticket.NewStore(set.Name, self.Incarnation, clock),
 		Targets: target.NewClient(control,
 			exchange.New(exchange.Options{DialTimeout: dialTimeout, KeepAlive: true, IdleConns: 64}),
 			exchange.New(exchange.Options{DialTimeout: dialTimeout})),
@@ -160,7 +160,7 @@
 	}
 	if s.Addr == n.Settings.Peer.String() {
 		l = n.meter.Listener(l)
-		s.Protocols = peer.Protocols()
+		s.Protocols = peer.HTTPProtocols()
 		s.Protocols.SetHTTP1(true)
 	}
 	if n.Settings.CertFile != "" {
--- a/transport/operator/question.go
+++ b/transport/operator/question.go
@@ -85,7 +85,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
-		resp, err := s.c.Peers.At(n.Address).Ask(ctx, connect.NewRequest(&rpc.ExecuteRequest{Text: text}))
+		resp, err := s.c.Peers.ClientFor(n.Address).Ask(ctx, connect.NewRequest(&rpc.ExecuteRequest{Text: text}))
 		cancel()
 		if err != nil {
 			continue
--- a/transport/operator/show.go
+++ b/transport/operator/show.go
@@ -58,7 +58,7 @@
 		return "this node has never read the end of the log"
 	}
 	return fmt.Sprintf("no record with this id up to offset %d, the end of the log %s ago; it may still come, or be older than %s",
-		s.c.Follower.Applied(), age.Round(time.Millisecond), state.IDHorizon)
+		s.c.Follower.AppliedOffset(), age.Round(time.Millisecond), state.IDHorizon)
 }
 
 func (s *Server) showGroups(only state.GroupName) *table {
@@ -83,13 +83,13 @@
 	if g.Hall != s.c.Settings.Hall || c == nil {
 		return "not-known-here", 0
 	}
-	whole := c.Whole(s.c.Clock.Now())
+	whole := c.IsReady(s.c.Clock.Now())
 	switch {
 	case g.Releasing:
 		st = "releasing"
 	case g.Drained != 0:
 		st = "drained"
-	case whole && !c.Open(s.c.Clock.Now()):
+	case whole && !c.CanAccept(s.c.Clock.Now()):
 		st = "leaving"
 	case whole:
 		st = "whole"
@@ -149,8 +149,8 @@
 	s.c.Follower.Read(func(st *state.State) {
 		for _, svc := range st.Services() {
 			open := 0
-			for _, c := range s.c.Routing.Pool(core.ServicePool(svc.Name)) {
-				if c.Open(s.c.Clock.Now()) {
+			for _, c := range s.c.Routing.Candidates(core.ServicePool(svc.Name)) {
+				if c.CanAccept(s.c.Clock.Now()) {
 					open++
 				}
 			}
--- a/transport/operator/why.go
+++ b/transport/operator/why.go
@@ -35,7 +35,7 @@
 
 // whyGroup says why a group is or is not whole; a node of the group's hall is asked if need be.
 func (s *Server) whyGroup(ctx context.Context, t *table, name state.GroupName, text string, everywhere bool) (*rpc.ExecuteResponse, error) {
-	g := s.c.Follower.View().ByName[name]
+	g := s.c.Follower.View().GroupsByName[name]
 	if g == nil {
 		return nil, fmt.Errorf("no group %s", name)
 	}
@@ -67,7 +67,7 @@
 // askHall passes a question on to a live node of a hall.
 func (s *Server) askHall(ctx context.Context, hall state.HallName, text string) (*rpc.ExecuteResponse, error) {
 	for _, n := range s.c.Directory.LivePeers(hall, s.c.Clock.Now()) {
-		resp, err := s.c.Peers.At(n.Address).Ask(ctx, connect.NewRequest(&rpc.ExecuteRequest{Text: text}))
+		resp, err := s.c.Peers.ClientFor(n.Address).Ask(ctx, connect.NewRequest(&rpc.ExecuteRequest{Text: text}))
 		if err == nil {
 			return resp.Msg, nil
 		}
@@ -130,7 +130,7 @@
 	resp := t.message()
 	if everywhere {
 		for _, n := range s.c.Directory.LivePeers("", s.c.Clock.Now()) {
-			more, err := s.c.Peers.At(n.Address).Ask(ctx, connect.NewRequest(&rpc.ExecuteRequest{Text: text}))
+			more, err := s.c.Peers.ClientFor(n.Address).Ask(ctx, connect.NewRequest(&rpc.ExecuteRequest{Text: text}))
 			if err == nil {
 				resp.Table.Rows = append(resp.Table.Rows, more.Msg.GetTable().GetRows()...)
 			}
--- a/transport/peerapi/peerapi.go
+++ b/transport/peerapi/peerapi.go
@@ -60,7 +60,7 @@
 	d := s.c.Feed.DeltaSince(seen)
 	resp := &rpc.ExchangeResponse{Self: peer.EncodeNode(s.c.Self(), 0), Version: d.Version}
 	if !d.OldestProbe.IsZero() {
-		resp.ConfirmedAgeMs = peer.Milliseconds(now.Sub(d.OldestProbe))
+		resp.ConfirmedAgeMs = peer.CeilMilliseconds(now.Sub(d.OldestProbe))
 	}
 	for _, e := range d.Changed {
 		resp.Changed = append(resp.Changed, peer.EncodeReport(e.Report, now.Sub(e.ProbedAt)))
@@ -69,12 +69,12 @@
 		resp.Lost = append(resp.Lost, string(id))
 	}
 	for _, c := range s.c.Routing.All() {
-		if c.Held() > 0 {
-			resp.Held = append(resp.Held, &rpc.GroupHeld{Group: string(c.Name), Held: uint32(c.Held())})
+		if c.InFlight() > 0 {
+			resp.Held = append(resp.Held, &rpc.GroupHeld{Group: string(c.Name), Held: uint32(c.InFlight())})
 		}
 	}
 	endings, version := s.c.Quarantine.ChangesSince(seenLedger, quarantine.StoreSource)
-	peer.EncodeLedger(resp, endings, version, now)
+	peer.EncodeLedgerDelta(resp, endings, version, now)
 	if req.Msg.GetWantNodes() {
 		resp.Nodes = s.nodes(now)
 	}
@@ -128,7 +128,7 @@
 		return nil, connect.NewError(connect.CodeInternal, err)
 	}
 	age := s.c.Clock.Since(asked)
-	return connect.NewResponse(&rpc.InstancesResponse{List: list, AgeMs: peer.Milliseconds(age)}), nil
+	return connect.NewResponse(&rpc.InstancesResponse{List: list, AgeMs: peer.CeilMilliseconds(age)}), nil
 }
 
 // Records implements rpcconnect.PeerHandler.
@@ -136,7 +136,7 @@
 	if !s.c.HasState() {
 		return nil, errNoState()
 	}
-	entries, held := s.c.Follower.Recent(state.Offset(req.Msg.GetFrom()), int(req.Msg.GetMost()))
+	entries, held := s.c.Follower.RecentEntries(state.Offset(req.Msg.GetFrom()), int(req.Msg.GetMost()))
 	if !held {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errors.New("these entries are not held here"))
 	}
