--- a/cmd/troutmastd/onplatform.go
+++ b/cmd/troutmastd/onplatform.go
@@ -22,21 +22,21 @@
 	"github.com/troutmast/troutmast/transport/settings"
 )
 
-// Bounds of the connections to the platform.
+// Limits of the connections to the platform.
 const (
-	dialTimeout = 400 * time.Millisecond
-	silence     = 2 * time.Second
-	restTime    = 4 * time.Second
-	// logTime bounds the writing of the last log lines.
-	logTime = 200 * time.Millisecond
+	dialTimeout     = 400 * time.Millisecond
+	ackTimeout      = 2 * time.Second
+	idleConnTimeout = 4 * time.Second
+	// logCloseTimeout is the maximum time to write the remaining log lines at exit.
+	logCloseTimeout = 200 * time.Millisecond
 )
 
-// errSettings means that the platform's settings cannot be used.
-var errSettings = errors.New("settings")
+// errPlatformSettings means that the platform's settings file is invalid.
+var errPlatformSettings = errors.New("settings")
 
-// runOnPlatform runs the node by the platform's settings file until a signal ends it.
+// runOnPlatform runs a node with the platform's settings file until SIGTERM or an interrupt.
 func runOnPlatform(path string) error {
-	set, err := readPlatformSettings(path)
+	cfg, err := readPlatformSettings(path)
 	if err != nil {
 		return err
 	}
@@ -44,17 +44,17 @@
 	defer cancel()
 	signal.Ignore(syscall.SIGPIPE)
 	sink := logsink.New(os.Stdout, logsink.DefaultOptions())
-	defer sink.Close(logTime)
+	defer sink.Close(logCloseTimeout)
 	logger := &log.Logger{Handler: json.New(sink), Level: log.InfoLevel}
 	ports := entry.Ports{
-		Store:   &platform.Store{Client: newHTTPClient(4), Address: set.Store},
-		Decoder: platform.Decoder{},
-		Targets: &platform.Targets{Client: newHTTPClient(2), Fresh: newHTTPClient(noneKept)},
-		Dialect: platform.Dialect{},
+		Store:       &platform.Store{Client: newHTTPClient(4), Address: cfg.StoreAddress},
+		Decoder:     platform.Decoder{},
+		Target:      &platform.Targets{Client: newHTTPClient(2), Fresh: newHTTPClient(noIdleConns)},
+		HeaderCodec: platform.Dialect{},
 	}
 	clock := steady.NewClock()
-	node := entry.New(set, ports, clock, logger)
-	clock.OnWake(node.Woke)
+	node := entry.New(cfg, ports, clock, logger)
+	clock.OnWake(node.RecordResume)
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	go reloadOnChange(ctx, path, hup, node, logger)
@@ -62,30 +62,31 @@
 }
 
 // readPlatformSettings reads the platform's settings file, and the policy from the
-// program's own flags and environment. The error names all faults of both.
+// flags and the environment. The error lists all faults of both.
 func readPlatformSettings(path string) (*entry.Settings, error) {
 	policy := entry.DefaultPolicy()
 	p := flaggy.NewParser("troutmastd")
-	p.Description = "entry node of troutmast on a platform; every flag can also be given as an environment variable"
+	p.Description = "entry node of troutmast on a platform; every flag can also be set by an environment variable"
 	policyErr := settings.PolicyFromOS(p, &policy)
-	set, err := platform.ReadSettings(path)
+	cfg, err := platform.ReadSettings(path)
 	if err != nil {
-		err = errors.Join(errSettings, err)
+		err = errors.Join(errPlatformSettings, err)
 	}
 	if err := errors.Join(err, policyErr); err != nil {
 		return nil, err
 	}
-	set.Policy = policy
-	return set, nil
+	cfg.Policy = policy
+	return cfg, nil
 }
 
-// reloadInterval is the time between two looks at the settings file.
+// reloadInterval is the time between two checks of the settings file.
 const reloadInterval = 5 * time.Second
 
-// reloadOnChange reads the settings anew on SIGHUP and when the file's text has
-// changed. Settings that cannot be used leave the old ones in force.
+// reloadOnChange checks the settings file on SIGHUP and at every interval, and
+// applies it if its text has changed. If the new settings are invalid, the
+// previous ones stay in effect.
 func reloadOnChange(ctx context.Context, path string, hup <-chan os.Signal, node *entry.Node, logger *log.Logger) {
-	last, _ := os.ReadFile(path)
+	lastText, _ := os.ReadFile(path)
 	for {
 		select {
 		case <-ctx.Done():
@@ -94,31 +95,32 @@
 		case <-time.After(reloadInterval):
 		}
 		text, err := os.ReadFile(path)
-		if err != nil || bytes.Equal(text, last) {
+		if err != nil || bytes.Equal(text, lastText) {
 			continue
 		}
-		last = text
-		set, err := platform.ParseSettings(string(text))
+		lastText = text
+		cfg, err := platform.ParseSettings(string(text))
 		if err == nil {
-			err = node.Reload(set)
+			err = node.Reload(cfg)
 		}
 		if err != nil {
-			logger.WithError(err).Error("reload refused, the old settings stay in force")
+			logger.WithError(err).Error("reload refused, keeping the previous settings")
 		}
 	}
 }
 
-// noneKept is the number of connections kept by a client that always makes new ones.
-const noneKept = 0
+// noIdleConns is the number of idle connections of a client that opens a new connection for each
+// request.
+const noIdleConns = 0
 
-// newHTTPClient returns a client that keeps a number of connections to each address.
-func newHTTPClient(idle int) *http.Client {
-	dialer := direct.Dialer{Timeout: dialTimeout, Silence: silence}
+// newHTTPClient returns a client that keeps at most maxIdleConns idle connections to each address.
+func newHTTPClient(maxIdleConns int) *http.Client {
+	dialer := direct.Dialer{Timeout: dialTimeout, AckTimeout: ackTimeout}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
 		DisableCompression:  true,
-		DisableKeepAlives:   idle == noneKept,
-		MaxIdleConnsPerHost: idle,
-		IdleConnTimeout:     restTime,
+		DisableKeepAlives:   maxIdleConns == noIdleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleConnTimeout,
 	}}
 }
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -1,6 +1,5 @@
-// Package claim makes sure that a call which may not be repeated runs at most
-// once: its key is claimed in the log, and only the holder of the first claim
-// may send it.
+// Package claim runs a non-idempotent call at most once: the key of the call is
+// claimed in the log, and only the holder of the first claim may send the call.
 package claim
 
 import (
@@ -18,42 +17,42 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Errors of this package. All but ErrUnknown mean that the call was not run by this attempt.
+// Errors of this package. All but ErrResultUnknown mean that this attempt did not run the call.
 var (
-	// ErrKey means the key is no UUIDv7.
-	ErrKey = errors.New("claim: the key is no UUIDv7")
-	// ErrNotCovered means the claim history does not reach back to the key's age.
-	ErrNotCovered = errors.New("claim: the key is older than the claim history, or lies in the future")
-	// ErrConflict means the key was used for a different call.
-	ErrConflict = errors.New("claim: the key belongs to a different call")
-	// ErrUnsettled means the claim could not be read back in time.
-	ErrUnsettled = errors.New("claim: the log did not settle the claim in time")
-	// ErrUnknown means another attempt holds the key and its result is not known.
-	ErrUnknown = errors.New("claim: an earlier attempt holds the key and its result is not known")
+	// ErrInvalidKey means that the key is not a UUIDv7.
+	ErrInvalidKey = errors.New("claim: the key is not a UUIDv7")
+	// ErrKeyNotCovered means that the claim history does not cover the time of the key.
+	ErrKeyNotCovered = errors.New("claim: the key is older than the claim history or from the future")
+	// ErrKeyConflict means that the key was used for a different call.
+	ErrKeyConflict = errors.New("claim: the key belongs to a different call")
+	// ErrUnsettled means that the claim was not read back from the log in time.
+	ErrUnsettled = errors.New("claim: the claim was not read back from the log in time")
+	// ErrResultUnknown means that an earlier attempt holds the key and its result is unknown.
+	ErrResultUnknown = errors.New("claim: an earlier attempt holds the key and its result is unknown")
 )
 
-// Follower is the part of the agreed state that claims need.
+// Follower provides the replicated state and the log.
 type Follower interface {
 	Read(fn func(s *state.State))
 	Changed() <-chan struct{}
 	Append(ctx context.Context, r *state.Record) error
-	// Halted is closed once the state is followed no further, Stopped tells why.
+	// Halted returns a channel that is closed when replay stops; Stopped returns the reason.
 	Halted() <-chan struct{}
 	Stopped() error
 }
 
-// maxBatch is the greatest number of claim operations in one record.
+// maxBatch is the maximum number of claim operations per record.
 const maxBatch = 500
 
-// appendTimeout bounds one append of a batch.
+// appendTimeout is the timeout of one append.
 const appendTimeout = 2 * time.Second
 
-// Manager claims keys for one node; safe for concurrent use.
+// Manager claims keys for one node. It is safe for concurrent use.
 type Manager struct {
-	node     string
-	follower Follower
-	clock    clockwork.Clock
-	limiter  *rate.Limiter
+	incarnation string
+	follower    Follower
+	clock       clockwork.Clock
+	limiter     *rate.Limiter
 
 	mu      sync.Mutex
 	pending []state.ClaimOp
@@ -63,25 +62,25 @@
 // NewManager returns a Manager for a node's incarnation that appends at most perSecond records a second.
 func NewManager(incarnation string, follower Follower, clock clockwork.Clock, perSecond float64) *Manager {
 	return &Manager{
-		node:     incarnation,
-		follower: follower,
-		clock:    clock,
-		limiter:  rate.NewLimiter(rate.Limit(perSecond), 3),
-		wake:     make(chan struct{}, 1),
+		incarnation: incarnation,
+		follower:    follower,
+		clock:       clock,
+		limiter:     rate.NewLimiter(rate.Limit(perSecond), 3),
+		wake:        make(chan struct{}, 1),
 	}
 }
 
-// SetRate changes the number of appends a second.
+// SetRate sets the rate limit of appends, per second.
 func (m *Manager) SetRate(perSecond float64) { m.limiter.SetLimit(rate.Limit(perSecond)) }
 
-// Claim returns a holder that alone may run the call, or the recorded result of
-// an earlier attempt, or an error.
-func (m *Manager) Claim(ctx context.Context, key state.ClaimKey, request string) (holder string, done *state.Result, err error) {
+// Claim returns the holder that may run the call, or the recorded result of an earlier
+// attempt, or an error.
+func (m *Manager) Claim(ctx context.Context, key state.ClaimKey, request string) (holder string, recorded *state.ClaimResult, err error) {
 	if _, ok := state.IDTime(key.Key); !ok {
-		return "", nil, ErrKey
+		return "", nil, ErrInvalidKey
 	}
-	holder = m.node + "/" + uuid.NewString()
-	if settled, result, err := m.look(key, holder, request); settled {
+	holder = m.incarnation + "/" + uuid.NewString()
+	if settled, result, err := m.lookup(key, holder, request); settled {
 		return "", result, err
 	}
 	if err := m.follower.Stopped(); err != nil {
@@ -90,31 +89,32 @@
 	m.enqueue(state.ClaimOp{Key: key, Holder: holder, Request: request})
 	for {
 		changed := m.follower.Changed()
-		settled, result, err := m.look(key, holder, request)
+		settled, result, err := m.lookup(key, holder, request)
 		if settled {
-			return winner(holder, result, err), result, err
+			return ownHolder(holder, result, err), result, err
 		}
 		select {
 		case <-changed:
 		case <-m.follower.Halted():
 			return "", nil, fmt.Errorf("%w: %w", ErrUnsettled, m.follower.Stopped())
 		case <-ctx.Done():
-			m.GiveBack(key, holder)
+			m.Release(key, holder)
 			return "", nil, fmt.Errorf("%w: %w", ErrUnsettled, ctx.Err())
 		}
 	}
 }
 
-// winner returns the holder when the look found its own claim.
-func winner(holder string, result *state.Result, err error) string {
+// ownHolder returns the holder if the settled claim is its own, and an empty string otherwise.
+func ownHolder(holder string, result *state.ClaimResult, err error) string {
 	if result != nil || err != nil {
 		return ""
 	}
 	return holder
 }
 
-// look reports whether the key is settled, and how it stands for this holder.
-func (m *Manager) look(key state.ClaimKey, holder, request string) (settled bool, result *state.Result, err error) {
+// lookup reports whether the claim of a key is settled. If another attempt holds the key, it also
+// returns that attempt's result or an error.
+func (m *Manager) lookup(key state.ClaimKey, holder, request string) (settled bool, result *state.ClaimResult, err error) {
 	m.follower.Read(func(s *state.State) {
 		c, ok := s.Claim(key)
 		switch {
@@ -122,36 +122,36 @@
 			settled = true
 		case ok && !c.Released:
 			settled = true
-			result, err = earlier(c, request)
-		case !s.KeyCovered(key.Key):
-			settled, err = true, ErrNotCovered
+			result, err = earlierResult(c, request)
+		case !s.IsKeyInHorizon(key.Key):
+			settled, err = true, ErrKeyNotCovered
 		}
 	})
 	return settled, result, err
 }
 
-// earlier returns what an earlier attempt with the same key came to.
-func earlier(c state.Claim, request string) (*state.Result, error) {
+// earlierResult returns the result of an earlier attempt with the same key.
+func earlierResult(c state.Claim, request string) (*state.ClaimResult, error) {
 	if c.Request != request {
-		return nil, ErrConflict
+		return nil, ErrKeyConflict
 	}
 	if c.Result == nil || c.Result.Status == 0 {
-		return nil, ErrUnknown
+		return nil, ErrResultUnknown
 	}
 	return c.Result, nil
 }
 
-// Finish records how the claimed call ended.
-func (m *Manager) Finish(key state.ClaimKey, holder string, result *state.Result) {
+// RecordResult records the result of the claimed call.
+func (m *Manager) RecordResult(key state.ClaimKey, holder string, result *state.ClaimResult) {
 	m.enqueue(state.ClaimOp{Key: key, Holder: holder, Result: result})
 }
 
-// GiveBack records that the claimed call certainly never left.
-func (m *Manager) GiveBack(key state.ClaimKey, holder string) {
+// Release releases the claim of a call that was certainly not sent.
+func (m *Manager) Release(key state.ClaimKey, holder string) {
 	m.enqueue(state.ClaimOp{Key: key, Holder: holder, NotRun: true})
 }
 
-// enqueue puts an operation into the next batch.
+// enqueue adds an operation to the queue.
 func (m *Manager) enqueue(op state.ClaimOp) {
 	m.mu.Lock()
 	m.pending = append(m.pending, op)
@@ -162,8 +162,8 @@
 	}
 }
 
-// take removes up to maxBatch operations from the queue.
-func (m *Manager) take() []state.ClaimOp {
+// takeBatch removes at most maxBatch operations from the queue.
+func (m *Manager) takeBatch() []state.ClaimOp {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := min(len(m.pending), maxBatch)
@@ -186,7 +186,7 @@
 		case <-ctx.Done():
 			return
 		case <-m.follower.Halted():
-			return // nothing that is still to be appended would be read back
+			return // the remaining operations would not be read back
 		case <-m.wake:
 		}
 		for m.Pending() > 0 && m.follower.Stopped() == nil {
@@ -198,15 +198,15 @@
 	}
 }
 
-// flush appends one batch; after a failed or lost append the operations are
-// appended again, which is harmless since the first of them settles each.
+// flush appends one batch. After a failed append, or one whose response was lost, it queues the
+// operations again. Duplicates are harmless, since only the first of each has an effect.
 func (m *Manager) flush(ctx context.Context) {
-	batch := m.take()
+	batch := m.takeBatch()
 	err := m.appendBatch(ctx, batch)
 	if err == nil {
 		return
 	}
-	log.WithError(err).WithField("operations", len(batch)).Warn("claims not appended, trying again")
+	log.WithError(err).WithField("operations", len(batch)).Warn("claim operations not appended to the log; retrying")
 	m.mu.Lock()
 	m.pending = append(batch, m.pending...)
 	m.mu.Unlock()
@@ -218,7 +218,7 @@
 
 // appendBatch appends operations as one record.
 func (m *Manager) appendBatch(ctx context.Context, batch []state.ClaimOp) error {
-	r, err := state.NewRecord(state.KindClaims, m.node)
+	r, err := state.NewRecord(state.KindClaims, m.incarnation)
 	if err != nil {
 		return err
 	}
--- a/coordination/control/control.go
+++ b/coordination/control/control.go
@@ -1,6 +1,6 @@
-// Package control turns the agreed state and the evidence into orders for
-// target instances and into proposals for the log. Its functions are pure:
-// two nodes that know the same reach the same orders and proposals.
+// Package control derives orders for target instances and proposals for the log
+// from the replicated state and the reports of instances. Its functions are pure:
+// two nodes with the same input derive the same orders and proposals.
 package control
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Order is what an instance is told to be; a target that checks fences refuses
-// one whose epoch is lower than the last it obeyed.
+// Order assigns an instance to a group or releases it. Its epoch is a fencing token: a target
+// that checks it refuses an order with a lower epoch than the last one it obeyed.
 type Order struct {
 	Instance state.InstanceID
-	// Group is empty for an order to release whatever is held.
+	// Group is empty if the order releases the instance from any group.
 	Group state.GroupName
 	Epoch state.Epoch
 	Rank  int
@@ -21,59 +21,60 @@
 	Model state.Model
 }
 
-// Need returns the order that an instance needs after its report, or false.
+// NextOrder returns the order that brings an instance from the reported to the assigned state, or
+// false if none is needed.
 //
-// A report of a later epoch than the state knows means that this node is
-// behind: it orders nothing.
-func Need(v *statelog.View, r evidence.Report) (Order, bool) {
+// A report with a later epoch than the view's offset means that this node lags behind the log,
+// so it returns no order.
+func NextOrder(v *statelog.View, r evidence.Report) (Order, bool) {
 	if r.Epoch > v.Offset {
 		return Order{}, false
 	}
 	a := v.Assignments[r.Instance]
 	if a == nil {
-		return strayOrder(v, r)
+		return releaseOrder(v, r)
 	}
 	if a.Group == "" {
-		if Released(a, r) {
+		if IsReleased(a, r) {
 			return Order{}, false
 		}
 		return Order{Instance: r.Instance, Epoch: a.Epoch}, true
 	}
-	g := v.ByName[a.Group]
+	g := v.GroupsByName[a.Group]
 	if r.Group == a.Group && r.Epoch == a.Epoch && r.Rank == a.Rank && r.Phase != evidence.PhaseIdle {
 		return Order{}, false
 	}
 	return Order{Instance: r.Instance, Group: a.Group, Epoch: a.Epoch, Rank: a.Rank, Size: len(g.Members), Model: g.Model}, true
 }
 
-// strayOrder releases an instance that holds a group which the state does not give it.
-func strayOrder(v *statelog.View, r evidence.Report) (Order, bool) {
+// releaseOrder returns the order that releases an instance without an assignment from the group it reports.
+func releaseOrder(v *statelog.View, r evidence.Report) (Order, bool) {
 	if r.Group == "" {
 		return Order{}, false
 	}
 	return Order{Instance: r.Instance, Epoch: v.Offset}, true
 }
 
-// Released reports whether an instance has itself reported the release it was ordered.
-func Released(a *state.Assignment, r evidence.Report) bool {
+// IsReleased reports whether an instance has confirmed its release at the epoch of its assignment.
+func IsReleased(a *state.Assignment, r evidence.Report) bool {
 	return a.Group == "" && r.Group == "" && r.Phase == evidence.PhaseIdle && r.Epoch == a.Epoch
 }
 
-// Cleared reports whether no node holds a request of a group any longer.
-type Cleared func(g *state.Group) bool
+// DrainedFunc reports whether no request of a group is in flight on any node.
+type DrainedFunc func(g *state.Group) bool
 
-// Proposals returns the changes that follow from what instances have reported:
-// released instances become free, and releasing groups without requests dissolve.
-func Proposals(v *statelog.View, get func(state.InstanceID) (evidence.Entry, bool), cleared Cleared) []state.Op {
+// Proposals returns the operations that follow from the reports of instances: it frees
+// instances that confirmed their release, and dissolves releasing groups with no request in flight.
+func Proposals(v *statelog.View, getReport func(state.InstanceID) (evidence.TimedReport, bool), isDrained DrainedFunc) []state.Op {
 	var ops []state.Op
 	for _, a := range v.Assignments {
-		e, ok := get(a.Instance)
-		if ok && Released(a, e.Report) {
+		e, ok := getReport(a.Instance)
+		if ok && IsReleased(a, e.Report) {
 			ops = append(ops, state.Op{FreeInstance: &state.FreeInstance{Instance: a.Instance, Epoch: a.Epoch}})
 		}
 	}
 	for _, g := range v.Groups {
-		if g.Releasing && cleared(g) {
+		if g.Releasing && isDrained(g) {
 			ops = append(ops, state.Op{DissolveGroup: &state.DissolveGroup{Group: g.Name, Epoch: g.Epoch}})
 		}
 	}
--- a/coordination/cooldown/history_test.go
+++ b/coordination/cooldown/history_test.go
@@ -17,7 +17,7 @@
 
 // Simulations of nodes that send requests to instances of a plain service, to compare ways
 // of applying cooldowns. Some instances shed load for a while, or all are overloaded. Each
-// node picks instances with its own dispatch.Table and Book. Time is simulated.
+// node picks instances with its own dispatch.Table and Tracker. Time is simulated.
 
 // cooldownMode is a way of applying cooldowns.
 type cooldownMode struct {
@@ -63,7 +63,7 @@
 // simNode is a simulated node.
 type simNode struct {
 	table *dispatch.Table
-	book  *cooldown.Book
+	book  *cooldown.Tracker
 	// probeInFlight has an entry for each instance that has answered nothing since it asked for a
 	// cooldown: whether a request after the cooldown is in flight.
 	probeInFlight map[state.InstanceID]bool
@@ -120,7 +120,7 @@
 	c := catalog.New(1, nil, []catalog.Service{{Name: "plain"}}, nil, catalog.Limits{})
 	for range s.nodeCount {
 		n := &simNode{
-			table: dispatch.NewTable("", dispatch.DefaultPolicy()), book: cooldown.NewBook(cooldown.DefaultPolicy()),
+			table: dispatch.NewTable("", dispatch.DefaultPolicy()), book: cooldown.NewTracker(cooldown.DefaultPolicy()),
 			probeInFlight: map[state.InstanceID]bool{}, inFlight: map[state.InstanceID]int{},
 		}
 		n.table.Update(c, views, func(fleet.GroupKey) bool { return false })
@@ -165,7 +165,7 @@
 		for id, held := range all {
 			others[id] = held - n.inFlight[id]
 		}
-		n.table.SetOthers(others, nil, nil)
+		n.table.UpdateLoad(others, nil, nil)
 	}
 }
 
@@ -185,14 +185,14 @@
 		}
 		return h.isBlocked(n, c.ID)
 	})
-	if c == nil || sends >= maxSends || sends == 0 && c.Full(h.now) {
+	if c == nil || sends >= maxSends || sends == 0 && c.IsFull(h.now) {
 		h.refused++
 		return
 	}
 	if _, probing := n.probeInFlight[c.ID]; probing {
 		n.probeInFlight[c.ID] = true
 	}
-	hold := c.Hold(0, h.now)
+	hold := c.BeginRequest(0, h.now)
 	n.inFlight[c.ID]++
 	done := func() { hold.End(); n.inFlight[c.ID]-- }
 	for _, in := range h.targets {
@@ -252,7 +252,7 @@
 	}
 	d := time.Duration(float64(h.cooldown) * (1 + h.jitter*h.rng.Float64()))
 	request := func(n *simNode) {
-		n.book.Ask(fleet.Incarnation{ID: in.ID}, d, h.now)
+		n.book.Record(fleet.Incarnation{ID: in.ID}, d, h.now)
 		n.probeInFlight[in.ID] = false
 	}
 	request(n)
--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -1,6 +1,6 @@
-// Package demand measures the work that callers ask for, by service and model,
-// so that groups are placed and requests spread by what comes and not by what
-// was expected at the start.
+// Package demand measures the load that callers generate, by service and model.
+// Placement and load balancing use the measured load instead of the expected
+// load in the configuration.
 package demand
 
 import (
@@ -14,94 +14,95 @@
 	"github.com/troutmast/troutmast/state/catalog"
 )
 
-// Flow is the work that is asked of one model of a service, per second.
+// Flow is the load on one model of a service, per second.
 type Flow struct {
 	Service state.ServiceName `json:"s"`
 	Model   string            `json:"m,omitempty"`
-	// Requests are new requests, Prompt the tokens they bring, Answer those they are expected to get.
-	Requests float64 `json:"r"`
-	Prompt   float64 `json:"p,omitempty"`
-	Answer   float64 `json:"a,omitempty"`
+	// Requests is the rate of new requests, PromptTokens the rate of their prompt tokens
+	// and OutputTokens the rate of output tokens that they are expected to produce.
+	Requests     float64 `json:"r"`
+	PromptTokens float64 `json:"p,omitempty"`
+	OutputTokens float64 `json:"a,omitempty"`
 }
 
-// key names one flow.
-type key struct {
+// flowKey identifies a flow.
+type flowKey struct {
 	service state.ServiceName
 	model   string
 }
 
-// key returns what the flow belongs to.
-func (f *Flow) key() key { return key{f.Service, f.Model} }
+// key returns the service and model of the flow.
+func (f *Flow) key() flowKey { return flowKey{f.Service, f.Model} }
 
-// Meter measures the flows that one node sees; safe for concurrent use.
+// Meter measures the flows that arrive at one node. It is safe for concurrent use.
 type Meter struct {
 	policy Policy
 	mu     sync.Mutex
-	cells  map[key]*cell
+	flows  map[flowKey]*flowSum
 }
 
-// cell holds sums that decay with time.
-type cell struct {
+// flowSum holds exponentially decaying sums for one flow. Its Flow fields are sums, not rates.
+type flowSum struct {
 	Flow
-	at time.Time
+	updatedAt time.Time
 }
 
-// fade lets a cell's sums decay up to a time.
-func (c *cell) fade(now time.Time, decay time.Duration) {
-	past := now.Sub(c.at)
-	if past <= 0 {
+// decayTo decays the sums up to now.
+func (c *flowSum) decayTo(now time.Time, decay time.Duration) {
+	elapsed := now.Sub(c.updatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	left := math.Exp(-past.Seconds() / decay.Seconds())
-	c.Requests *= left
-	c.Prompt *= left
-	c.Answer *= left
-	c.at = now
+	factor := math.Exp(-elapsed.Seconds() / decay.Seconds())
+	c.Requests *= factor
+	c.PromptTokens *= factor
+	c.OutputTokens *= factor
+	c.updatedAt = now
 }
 
-// NewMeter returns a Meter that has seen nothing.
-func NewMeter(policy Policy) *Meter { return &Meter{policy: policy, cells: map[key]*cell{}} }
+// NewMeter returns an empty Meter.
+func NewMeter(policy Policy) *Meter { return &Meter{policy: policy, flows: map[flowKey]*flowSum{}} }
 
-// Add counts one new request with its numbers of tokens.
+// Add counts one new request with its prompt tokens and expected output tokens.
 func (m *Meter) Add(service state.ServiceName, model string, prompt, answer int, now time.Time) {
-	k := key{service, model}
+	k := flowKey{service, model}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.cells[k]
+	c := m.flows[k]
 	if c == nil {
-		c = &cell{Flow: Flow{Service: service, Model: model}, at: now}
-		m.cells[k] = c
+		c = &flowSum{Flow: Flow{Service: service, Model: model}, updatedAt: now}
+		m.flows[k] = c
 	}
-	c.fade(now, m.policy.Decay)
+	c.decayTo(now, m.policy.Decay)
 	c.Requests++
-	c.Prompt += float64(prompt)
-	c.Answer += float64(answer)
+	c.PromptTokens += float64(prompt)
+	c.OutputTokens += float64(answer)
 }
 
-// least is the number of requests a second below which a flow is not told.
-const least = 0.01
+// minReportedRate is the rate, in requests per second, below which a flow is not reported.
+const minReportedRate = 0.01
 
-// Flows returns the measured flows, in order.
+// Flows returns the measured flows, sorted by service and model.
 func (m *Meter) Flows(now time.Time) []Flow {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []Flow
-	for _, c := range m.cells {
-		c.fade(now, m.policy.Decay)
+	for _, c := range m.flows {
+		c.decayTo(now, m.policy.Decay)
 		f := c.Flow
 		f.Requests /= m.policy.Decay.Seconds()
-		f.Prompt /= m.policy.Decay.Seconds()
-		f.Answer /= m.policy.Decay.Seconds()
-		if f.Requests >= least {
+		f.PromptTokens /= m.policy.Decay.Seconds()
+		f.OutputTokens /= m.policy.Decay.Seconds()
+		if f.Requests >= minReportedRate {
 			list = append(list, f)
 		}
 	}
-	return sorted(list)
+	return sortFlows(list)
 }
 
-// Sum adds up the flows of several nodes.
+// Sum adds up the flows of several nodes. The result is sorted by service and model.
 func Sum(lists ...[]Flow) []Flow {
-	total := map[key]*Flow{}
+	total := map[flowKey]*Flow{}
 	for _, list := range lists {
 		for _, f := range list {
 			t := total[f.key()]
@@ -110,56 +111,57 @@
 				total[f.key()] = t
 			}
 			t.Requests += f.Requests
-			t.Prompt += f.Prompt
-			t.Answer += f.Answer
+			t.PromptTokens += f.PromptTokens
+			t.OutputTokens += f.OutputTokens
 		}
 	}
 	list := make([]Flow, 0, len(total))
 	for _, f := range total {
 		list = append(list, *f)
 	}
-	return sorted(list)
+	return sortFlows(list)
 }
 
-// sorted orders flows by service and model.
-func sorted(list []Flow) []Flow {
+// sortFlows sorts flows in place by service and model and returns them.
+func sortFlows(list []Flow) []Flow {
 	slices.SortFunc(list, func(a, b Flow) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Model, b.Model))
 	})
 	return list
 }
 
-// WorkOf returns how many places of groups of pace 1 the requests for each model
-// of an engine service hold on average, or nil while too little was measured.
-func (p Policy) WorkOf(service state.ServiceName, engine *catalog.Engine, flows []Flow) []float64 {
-	work := make([]float64, len(engine.Models))
+// OccupiedSlots returns the mean number of batch slots that the requests for each model
+// of an engine service occupy, in groups with TimeFactor 1. It returns nil while the
+// measured request rate of the service is below MinRate.
+func (p Policy) OccupiedSlots(service state.ServiceName, engine *catalog.Engine, flows []Flow) []float64 {
+	slots := make([]float64, len(engine.Models))
 	var requests float64
 	for _, f := range flows {
 		i := slices.IndexFunc(engine.Models, func(m catalog.Model) bool { return f.Service == service && m.Name == f.Model })
 		if i < 0 {
 			continue
 		}
-		work[i] = held(engine, f)
+		slots[i] = occupiedSlots(engine, f)
 		requests += f.Requests
 	}
 	if requests < p.MinRate {
 		return nil
 	}
-	return work
+	return slots
 }
 
-// held returns how many places of groups of pace 1 a flow holds on average, in
-// batches that are half full. A group that reads a prompt does nothing else, so
-// that reading holds all of its places.
-func held(engine *catalog.Engine, f Flow) float64 {
-	token := engine.Step.Seconds() + engine.PerSequence.Seconds()*float64(engine.Slots)/2
-	answer := f.Answer
-	if answer == 0 {
-		answer = f.Requests * engine.UsualAnswer
+// occupiedSlots returns the mean number of batch slots that a flow occupies, in groups with
+// TimeFactor 1 whose batches are half full. A group does nothing else during the prefill
+// of a prompt, so prefill occupies all of its slots.
+func occupiedSlots(engine *catalog.Engine, f Flow) float64 {
+	stepTime := engine.StepTime.Seconds() + engine.StepTimePerRequest.Seconds()*float64(engine.BatchSlots)/2
+	outputTokens := f.OutputTokens
+	if outputTokens == 0 {
+		outputTokens = f.Requests * engine.MeanResponseTokens
 	}
-	places := answer * token
-	if engine.ReadPerSecond > 0 {
-		places += float64(max(engine.Slots, 1)) * f.Prompt / engine.ReadPerSecond
+	slots := outputTokens * stepTime
+	if engine.PrefillTokensPerSecond > 0 {
+		slots += float64(max(engine.BatchSlots, 1)) * f.PromptTokens / engine.PrefillTokensPerSecond
 	}
-	return places
+	return slots
 }
--- a/coordination/demand/demand_test.go
+++ b/coordination/demand/demand_test.go
@@ -12,57 +12,57 @@
 
 var start = time.Unix(1000, 0)
 
-// engine has two models, the second expected to have half of the work.
+// engine has two models, each with half of the expected load.
 var engine = &catalog.Engine{
-	Slots: 10, Step: 10 * time.Millisecond, ReadPerSecond: 10_000, UsualAnswer: 100,
-	Models: []catalog.Model{{Name: "long", Size: 4, Share: 0.5}, {Name: "short", Size: 2, Share: 0.5}},
+	BatchSlots: 10, StepTime: 10 * time.Millisecond, PrefillTokensPerSecond: 10_000, MeanResponseTokens: 100,
+	Models: []catalog.Model{{Name: "long", GroupSize: 4, ExpectedShare: 0.5}, {Name: "short", GroupSize: 2, ExpectedShare: 0.5}},
 }
 
-// feed counts requests at an even rate for a time.
-func feed(m *demand.Meter, model string, perSecond int, answer int, span time.Duration) {
+// addRequests adds requests at a constant rate over a span.
+func addRequests(m *demand.Meter, model string, perSecond int, answer int, span time.Duration) {
 	n := int(span.Seconds() * float64(perSecond))
 	for i := range n {
 		m.Add("lm", model, 1000, answer, start.Add(span*time.Duration(i)/time.Duration(n)))
 	}
 }
 
-func TestAMeterMeasuresRatesAndForgets(t *testing.T) {
+func TestMeterMeasuresAndDecaysRates(t *testing.T) {
 	g := NewWithT(t)
 	m := demand.NewMeter(demand.DefaultPolicy())
-	feed(m, "long", 50, 80, 20*time.Second)
+	addRequests(m, "long", 50, 80, 20*time.Second)
 	flows := m.Flows(start.Add(20 * time.Second))
 	g.Expect(flows).To(HaveLen(1))
 	g.Expect(flows[0].Requests).To(BeNumerically("~", 50, 2))
-	g.Expect(flows[0].Prompt).To(BeNumerically("~", 50_000, 2000))
-	g.Expect(flows[0].Answer).To(BeNumerically("~", 4000, 200))
+	g.Expect(flows[0].PromptTokens).To(BeNumerically("~", 50_000, 2000))
+	g.Expect(flows[0].OutputTokens).To(BeNumerically("~", 4000, 200))
 	g.Expect(m.Flows(start.Add(60 * time.Second))).To(BeEmpty())
 }
 
-func TestWorkFollowsTheMeasuredTokens(t *testing.T) {
+func TestWorkOfFollowsMeasuredTokens(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		flows []demand.Flow
 		want  []float64
 	}{
 		{"nothing measured", nil, nil},
-		{"too little", []demand.Flow{{Service: "lm", Model: "long", Requests: 2, Answer: 300}}, nil},
-		{"another service", []demand.Flow{{Service: "x", Model: "long", Requests: 90, Answer: 300}}, nil},
-		{"by tokens, not by requests", []demand.Flow{
-			{Service: "lm", Model: "long", Requests: 10, Answer: 3000},
-			{Service: "lm", Model: "short", Requests: 30, Answer: 1000},
+		{"request rate below the minimum", []demand.Flow{{Service: "lm", Model: "long", Requests: 2, OutputTokens: 300}}, nil},
+		{"another service", []demand.Flow{{Service: "x", Model: "long", Requests: 90, OutputTokens: 300}}, nil},
+		{"demand follows tokens, not requests", []demand.Flow{
+			{Service: "lm", Model: "long", Requests: 10, OutputTokens: 3000},
+			{Service: "lm", Model: "short", Requests: 30, OutputTokens: 1000},
 		}, []float64{30, 10}},
-		{"prompts count too", []demand.Flow{
-			{Service: "lm", Model: "long", Requests: 10, Answer: 1000, Prompt: 10_000},
-			{Service: "lm", Model: "short", Requests: 10, Answer: 2000},
+		{"prompt tokens count", []demand.Flow{
+			{Service: "lm", Model: "long", Requests: 10, OutputTokens: 1000, PromptTokens: 10_000},
+			{Service: "lm", Model: "short", Requests: 10, OutputTokens: 2000},
 		}, []float64{20, 20}},
-		{"the usual answer where none is told", []demand.Flow{
+		{"usual output length if none is measured", []demand.Flow{
 			{Service: "lm", Model: "long", Requests: 10},
 			{Service: "lm", Model: "short", Requests: 30},
 		}, []float64{10, 30}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			got := demand.DefaultPolicy().WorkOf("lm", engine, c.flows)
+			got := demand.DefaultPolicy().OccupiedSlots("lm", engine, c.flows)
 			g.Expect(got).To(HaveLen(len(c.want)))
 			for i := range c.want {
 				g.Expect(got[i]).To(BeNumerically("~", c.want[i], 0.001))
@@ -71,9 +71,9 @@
 	}
 }
 
-func TestFlowsOfNodesAddUp(t *testing.T) {
+func TestSumAddsUpFlowsOfNodes(t *testing.T) {
 	g := NewWithT(t)
-	a := []demand.Flow{{Service: "lm", Model: "long", Requests: 2, Prompt: 10}}
-	b := []demand.Flow{{Service: "lm", Model: "long", Requests: 3, Prompt: 5}, {Service: "plain", Requests: 1}}
-	g.Expect(demand.Sum(a, b)).To(Equal([]demand.Flow{{Service: "lm", Model: "long", Requests: 5, Prompt: 15}, {Service: "plain", Requests: 1}}))
+	a := []demand.Flow{{Service: "lm", Model: "long", Requests: 2, PromptTokens: 10}}
+	b := []demand.Flow{{Service: "lm", Model: "long", Requests: 3, PromptTokens: 5}, {Service: "plain", Requests: 1}}
+	g.Expect(demand.Sum(a, b)).To(Equal([]demand.Flow{{Service: "lm", Model: "long", Requests: 5, PromptTokens: 15}, {Service: "plain", Requests: 1}}))
 }
--- a/coordination/dispatch/candidate_test.go
+++ b/coordination/dispatch/candidate_test.go
@@ -14,9 +14,9 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// config has a plain service and one with groups of two.
-func config() *catalog.Catalog {
-	engine := &catalog.Engine{Slots: 10, Models: []catalog.Model{{Name: "m", Size: 2, Pace: 1}}}
+// testCatalog returns a catalog with a plain service and a service with groups of two.
+func testCatalog() *catalog.Catalog {
+	engine := &catalog.Engine{BatchSlots: 10, Models: []catalog.Model{{Name: "m", GroupSize: 2, TimeFactor: 1}}}
 	return catalog.New(1, nil, []catalog.Service{{Name: "plain"}, {Name: "lm", Engine: engine}}, nil, catalog.Limits{})
 }
 
@@ -33,114 +33,114 @@
 	}}
 }
 
-// start is when the tests take place.
+// start is the current time in the tests.
 var start = time.Unix(1000, 0)
 
-// nobody avoids no instance.
-func nobody(*dispatch.Candidate) bool { return false }
+// excludeNone excludes no candidate.
+func excludeNone(*dispatch.Candidate) bool { return false }
 
-func TestOnlySoundTargetsAreCandidates(t *testing.T) {
+func TestPickSkipsUnavailableTargets(t *testing.T) {
 	with := func(v roster.View, change func(*roster.View)) roster.View {
 		change(&v)
 		return v
 	}
 	for _, c := range []struct {
-		name    string
-		service state.ServiceName
-		views   []roster.View
-		avoided bool
-		found   bool
+		name     string
+		service  state.ServiceName
+		views    []roster.View
+		excluded bool
+		found    bool
 	}{
 		{"a plain instance", "plain", []roster.View{plain("a")}, false, true},
-		{"one that is leaving", "plain", []roster.View{with(plain("a"), func(v *roster.View) { v.Draining = true })}, false, false},
-		{"one that does not answer", "plain", []roster.View{with(plain("a"), func(v *roster.View) { v.Lost = true })}, false, false},
-		{"a whole open group", "lm", []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, false, true},
+		{"a draining instance", "plain", []roster.View{with(plain("a"), func(v *roster.View) { v.Draining = true })}, false, false},
+		{"an unreachable instance", "plain", []roster.View{with(plain("a"), func(v *roster.View) { v.Unreachable = true })}, false, false},
+		{"an open group with all members", "lm", []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, false, true},
 		{"a group that is not open", "lm", []roster.View{member("a", 0, fleet.Ready), member("b", 1, fleet.Ready)}, false, false},
 		{"a group that lacks a member", "lm", []roster.View{member("a", 0, fleet.Open)}, false, false},
-		{"a group whose member does not answer", "lm",
-			[]roster.View{member("a", 0, fleet.Open), with(member("b", 1, fleet.Ready), func(v *roster.View) { v.Lost = true })}, false, false},
-		{"a group whose head is leaving", "lm",
+		{"a group with an unreachable member", "lm",
+			[]roster.View{member("a", 0, fleet.Open), with(member("b", 1, fleet.Ready), func(v *roster.View) { v.Unreachable = true })}, false, false},
+		{"a group with a draining head", "lm",
 			[]roster.View{with(member("a", 0, fleet.Open), func(v *roster.View) { v.Draining = true }), member("b", 1, fleet.Ready)}, false, false},
-		{"a group that is taken apart", "lm", []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, true, false},
+		{"an excluded group", "lm", []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := dispatch.NewTable("h", dispatch.DefaultPolicy())
-			table.Update(config(), c.views, func(fleet.GroupKey) bool { return c.avoided })
+			table.Update(testCatalog(), c.views, func(fleet.GroupKey) bool { return c.excluded })
 			model := ""
 			if c.service == "lm" {
 				model = "m"
 			}
-			NewWithT(t).Expect(table.Pick(c.service, model, start, nobody) != nil).To(Equal(c.found))
+			NewWithT(t).Expect(table.Pick(c.service, model, start, excludeNone) != nil).To(Equal(c.found))
 		})
 	}
 }
 
-func TestTheLeastLoadedIsPickedOverWhatAllNodesHold(t *testing.T) {
+func TestPickPrefersLeastLoadedAcrossNodes(t *testing.T) {
 	g := NewWithT(t)
 	table := dispatch.NewTable("h", dispatch.DefaultPolicy())
-	table.Update(config(), []roster.View{plain("a"), plain("b")}, func(fleet.GroupKey) bool { return false })
-	table.SetOthers(map[state.InstanceID]int{"a": 3}, nil, nil)
+	table.Update(testCatalog(), []roster.View{plain("a"), plain("b")}, func(fleet.GroupKey) bool { return false })
+	table.UpdateLoad(map[state.InstanceID]int{"a": 3}, nil, nil)
 	for range 20 {
-		g.Expect(table.Pick("plain", "", start, nobody).ID).To(Equal(state.InstanceID("b")))
+		g.Expect(table.Pick("plain", "", start, excludeNone).ID).To(Equal(state.InstanceID("b")))
 	}
-	held := table.Pick("plain", "", start, nobody)
+	picked := table.Pick("plain", "", start, excludeNone)
 	for range 4 {
-		held.Hold(0, start)
+		picked.BeginRequest(0, start)
 	}
-	g.Expect(table.Held()).To(Equal(map[state.InstanceID]int{"b": 4}))
+	g.Expect(table.InFlight()).To(Equal(map[state.InstanceID]int{"b": 4}))
 	for range 20 {
-		g.Expect(table.Pick("plain", "", start, nobody).ID).To(Equal(state.InstanceID("a")))
+		g.Expect(table.Pick("plain", "", start, excludeNone).ID).To(Equal(state.InstanceID("a")))
 	}
 }
 
-func TestAGroupIsFullBelowItsPlaces(t *testing.T) {
+func TestGroupIsFullBelowItsSlots(t *testing.T) {
 	g := NewWithT(t)
 	table := dispatch.NewTable("h", dispatch.DefaultPolicy())
-	table.Update(config(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, func(fleet.GroupKey) bool { return false })
-	head := table.Pick("lm", "m", start, nobody)
+	table.Update(testCatalog(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready)}, func(fleet.GroupKey) bool { return false })
+	head := table.Pick("lm", "m", start, excludeNone)
 	for range 8 {
-		head.Hold(0, start)
+		head.BeginRequest(0, start)
 	}
-	g.Expect(head.Full(start)).To(BeFalse())
-	last := head.Hold(0, start)
-	g.Expect(head.Full(start)).To(BeTrue())
+	g.Expect(head.IsFull(start)).To(BeFalse())
+	last := head.BeginRequest(0, start)
+	g.Expect(head.IsFull(start)).To(BeTrue())
 	last.End()
-	g.Expect(head.Full(start)).To(BeFalse())
+	g.Expect(head.IsFull(start)).To(BeFalse())
 }
 
-// With old knowledge of the others, requests go to all that will be cheapest
-// meanwhile, each by its share, and to none that stays dearer.
-func TestComingRequestsAreSpread(t *testing.T) {
+// With stale load data, requests go to every candidate that becomes the cheapest
+// within the horizon, in proportion to its share, and to none that stays more expensive.
+func TestPickSpreadsExpectedArrivals(t *testing.T) {
 	g := NewWithT(t)
 	policy := dispatch.DefaultPolicy()
 	policy.SpreadHorizon = 250 * time.Millisecond
 	table := dispatch.NewTable("h", policy)
-	table.Update(config(), []roster.View{plain("a"), plain("b"), plain("c")}, func(fleet.GroupKey) bool { return false })
-	asked := []demand.Flow{{Service: "plain", Requests: 16}} // four in the horizon
-	table.SetOthers(map[state.InstanceID]int{"b": 2, "c": 9}, asked, nil)
+	table.Update(testCatalog(), []roster.View{plain("a"), plain("b"), plain("c")}, func(fleet.GroupKey) bool { return false })
+	total := []demand.Flow{{Service: "plain", Requests: 16}} // four within the horizon
+	table.UpdateLoad(map[state.InstanceID]int{"b": 2, "c": 9}, total, nil)
 	const draws = 6000
-	got := map[state.InstanceID]int{}
+	picks := map[state.InstanceID]int{}
 	for range draws {
-		got[table.Pick("plain", "", start, nobody).ID]++
+		picks[table.Pick("plain", "", start, excludeNone).ID]++
 	}
-	g.Expect(got["c"]).To(BeZero())
-	g.Expect(got["a"]).To(BeNumerically("~", 3*draws/4, draws/20))
-	g.Expect(got["b"]).To(BeNumerically("~", draws/4, draws/20))
+	g.Expect(picks["c"]).To(BeZero())
+	g.Expect(picks["a"]).To(BeNumerically("~", 3*draws/4, draws/20))
+	g.Expect(picks["b"]).To(BeNumerically("~", draws/4, draws/20))
 }
 
-func TestAFullGroupIsPickedOnlyWhereAllAre(t *testing.T) {
+func TestFullGroupIsPickedOnlyIfAllAreFull(t *testing.T) {
 	g := NewWithT(t)
 	table := dispatch.NewTable("h", dispatch.DefaultPolicy())
-	other := member("c", 0, fleet.Open)
-	other.Membership.Group = "h"
-	mate := member("d", 1, fleet.Ready)
-	mate.Membership.Group = "h"
-	table.Update(config(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready), other, mate}, func(fleet.GroupKey) bool { return false })
-	asked := []demand.Flow{{Service: "lm", Model: "m", Requests: 1000}}
-	table.SetOthers(map[state.InstanceID]int{"a": 9, "c": 5}, asked, nil)
+	otherHead := member("c", 0, fleet.Open)
+	otherHead.Membership.Group = "h"
+	otherMember := member("d", 1, fleet.Ready)
+	otherMember.Membership.Group = "h"
+	table.Update(testCatalog(), []roster.View{member("a", 0, fleet.Open), member("b", 1, fleet.Ready), otherHead, otherMember}, func(fleet.GroupKey) bool { return false })
+	total := []demand.Flow{{Service: "lm", Model: "m", Requests: 1000}}
+	table.UpdateLoad(map[state.InstanceID]int{"a": 9, "c": 5}, total, nil)
 	for range 50 {
-		g.Expect(table.Pick("lm", "m", start, nobody).ID).To(Equal(state.InstanceID("c")))
+		g.Expect(table.Pick("lm", "m", start, excludeNone).ID).To(Equal(state.InstanceID("c")))
 	}
-	table.SetOthers(map[state.InstanceID]int{"a": 9, "c": 9}, asked, nil)
-	g.Expect(table.Pick("lm", "m", start, nobody).Full(start)).To(BeTrue())
+	table.UpdateLoad(map[state.InstanceID]int{"a": 9, "c": 9}, total, nil)
+	g.Expect(table.Pick("lm", "m", start, excludeNone).IsFull(start)).To(BeTrue())
 }
--- a/coordination/placement/relayout_test.go
+++ b/coordination/placement/relayout_test.go
@@ -17,10 +17,10 @@
 // unequalEngine returns an engine in which a large group needs the members of four small ones.
 func unequalEngine() *catalog.Engine {
 	return &catalog.Engine{
-		Slots: 23, LoadsPerSecond: 25, LoadsAtOnce: 37, Form: openTime,
+		BatchSlots: 23, MaxLoadsPerSecond: 25, MaxConcurrentLoads: 37, FormTime: openTime,
 		Models: []catalog.Model{
-			{Name: "large", Size: 16, Share: 0.5, Pace: 1, Load: 16 * time.Second, Warm: warmLoadTime},
-			{Name: "small", Size: 4, Share: 0.5, Pace: 0.6, Load: 12 * time.Second, Warm: warmLoadTime},
+			{Name: "large", GroupSize: 16, ExpectedShare: 0.5, TimeFactor: 1, LoadTime: 16 * time.Second, HostLoadTime: warmLoadTime},
+			{Name: "small", GroupSize: 4, ExpectedShare: 0.5, TimeFactor: 0.6, LoadTime: 12 * time.Second, HostLoadTime: warmLoadTime},
 		},
 	}
 }
@@ -72,8 +72,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-			p.Work = c.demand
+			p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next)
+			p.Demand = c.demand
 			members := func() []placement.Member { return groupsOfFour("d", 9, "large", "small") }
 			eligibleAt := testStart.Add(placement.DefaultPolicy().DonorAge)
 			p.Step(testStart, members())
@@ -96,8 +96,8 @@
 	for n := range 15 {
 		members = append(members, freeInstance(state.InstanceID(fmt.Sprintf("z%02d", n)), "large", "small"))
 	}
-	p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochs(0, 1).Next)
-	p.Work = []float64{80, 250}
+	p := placement.NewPlanner(unequalEngine(), placement.DefaultPolicy(), placement.NewEpochGenerator(0, 1).Next)
+	p.Demand = []float64{80, 250}
 	p.Step(testStart, members)
 	knownAt := testStart.Add(placement.DefaultPolicy().UnknownMemberTimeout)
 	g.Expect(closedGroups(p.Step(knownAt.Add(-time.Second), members))).To(BeEmpty(), "members may still be unknown")
--- a/coordination/placement/world_test.go
+++ b/coordination/placement/world_test.go
@@ -29,10 +29,10 @@
 // engine returns the engine service of the simulation.
 func engine() *catalog.Engine {
 	return &catalog.Engine{
-		Slots: 8, LoadsPerSecond: 4, LoadsAtOnce: 6, ReportLag: reportLag, Form: openTime,
+		BatchSlots: 8, MaxLoadsPerSecond: 4, MaxConcurrentLoads: 6, MaxReportAge: reportLag, FormTime: openTime,
 		Models: []catalog.Model{
-			{Name: "large", Size: 4, Share: 0.6, Pace: 1, Load: 16 * time.Second, Warm: warmLoadTime},
-			{Name: "small", Size: 2, Share: 0.4, Pace: 1, Load: 12 * time.Second, Warm: warmLoadTime},
+			{Name: "large", GroupSize: 4, ExpectedShare: 0.6, TimeFactor: 1, LoadTime: 16 * time.Second, HostLoadTime: warmLoadTime},
+			{Name: "small", GroupSize: 2, ExpectedShare: 0.4, TimeFactor: 1, LoadTime: 12 * time.Second, HostLoadTime: warmLoadTime},
 		},
 	}
 }
@@ -66,7 +66,7 @@
 // node simulates a node with its own view of the targets; it plans placement while it leads.
 type node struct {
 	number       uint64
-	epochs       *placement.Epochs
+	epochs       *placement.EpochGenerator
 	roster       *roster.Roster
 	planner      *placement.Planner
 	leading      bool
@@ -152,11 +152,11 @@
 	sim.registrationTimes = append(sim.registrationTimes, sim.now)
 	n := &node{
 		number: number,
-		epochs: placement.NewEpochs(sim.era, int64(len(sim.registrationTimes))),
-		roster: roster.New(roster.Config{Beat: heartbeatInterval, Stall: stallTimeout, ReportLag: reportLag + 80*time.Millisecond, Policy: roster.DefaultPolicy()}),
-		cursor: &source.Cursor{Settle: settleTime},
+		epochs: placement.NewEpochGenerator(sim.era, int64(len(sim.registrationTimes))),
+		roster: roster.New(roster.Config{HeartbeatInterval: heartbeatInterval, StallTimeout: stallTimeout, MaxReportLag: reportLag + 80*time.Millisecond, Policy: roster.DefaultPolicy()}),
+		cursor: &source.Cursor{SettleTime: settleTime},
 	}
-	n.cursor.Take(-1, source.Tail{Era: sim.era}, sim.now)
+	n.cursor.Record(-1, source.ReadResult{Era: sim.era}, sim.now)
 	return n
 }
 
@@ -271,9 +271,9 @@
 func (sim *simulation) handleOrder(t *target, o placement.Order) placement.Reply {
 	if sim.trace != nil {
 		sim.trace(fmt.Sprintf("%s: %s %s %s %s (%s), membership %+v, orders accepted %d, expected %v", sim.now.Sub(time.Unix(1000, 0)), o.Action, o.Instance,
-			o.Key.Group, o.Model, o.Why, t.Membership, t.orders, expectedOrders(o)))
+			o.Key.Group, o.Model, o.Reason, t.Membership, t.orders, expectedOrders(o)))
 	}
-	if t.dead || (o.Expect != nil && *o.Expect != t.orders) {
+	if t.dead || (o.ExpectedOrders != nil && *o.ExpectedOrders != t.orders) {
 		return placement.Refused
 	}
 	if o.Action == placement.Join {
@@ -285,7 +285,7 @@
 			t.Staged = append(slices.Clone(t.Staged), o.Model)
 		}
 		sim.recordChange(t)
-		return placement.Begun
+		return placement.Started
 	}
 	if t.Membership.Key() != o.Key {
 		return placement.Refused
@@ -313,15 +313,15 @@
 	}
 	t.orders++
 	sim.recordChange(t)
-	return placement.Begun
+	return placement.Started
 }
 
 // expectedOrders returns the number of accepted orders that an order expects, or -1.
 func expectedOrders(o placement.Order) int64 {
-	if o.Expect == nil {
+	if o.ExpectedOrders == nil {
 		return -1
 	}
-	return *o.Expect
+	return *o.ExpectedOrders
 }
 
 // handleJoin makes a target a member of a group, and checks that its current group does not serve.
@@ -347,7 +347,7 @@
 	t.readyAt = sim.now.Add(joinTime)
 	t.orders++
 	sim.recordChange(t)
-	return placement.Begun
+	return placement.Started
 }
 
 // advance applies the state changes of a target that are due.
@@ -426,22 +426,22 @@
 	if n.isCutOff {
 		return
 	}
-	from := n.cursor.From(sim.now)
+	from := n.cursor.NextOffset(sim.now)
 	if from > int64(len(sim.records)) {
 		n.cursor.Reset() // records up to the offset do not exist
 		return
 	}
-	switch n.cursor.Take(from, source.Tail{Era: sim.era, End: int64(len(sim.records))}, sim.now) {
-	case source.Stale:
+	switch n.cursor.Record(from, source.ReadResult{Era: sim.era, NextOffset: int64(len(sim.records))}, sim.now) {
+	case source.ReadStale:
 		return
-	case source.Further:
+	case source.ReadIncremental:
 		sim.readFrom(n, from)
-	case source.All:
-		n.roster.Snapshot(sim.latestInstances(n), source.Position(sim.era, int64(len(sim.records))), sim.now)
-	case source.Restored:
-		n.roster.Restore(sim.latestInstances(n), sim.now)
+	case source.ReadFull:
+		n.roster.ApplySnapshot(sim.latestInstances(n), source.Position(sim.era, int64(len(sim.records))), sim.now)
+	case source.ReadRestored:
+		n.roster.ApplyBackup(sim.latestInstances(n), sim.now)
 	}
-	n.roster.Confirm(sim.now)
+	n.roster.RecordListRead(sim.now)
 }
 
 // readFrom makes a node read the records of the list from an offset.
@@ -450,13 +450,13 @@
 		l := sim.records[offset]
 		position := source.Position(sim.era, offset)
 		if l.instance == nil {
-			n.roster.Unlisted(l.id, position, sim.now)
+			n.roster.MarkUnlisted(l.id, position, sim.now)
 			continue
 		}
 		in := *l.instance
 		in.Position = position
 		n.epochs.Observe(in.Membership.Epoch)
-		n.roster.Listed(in, sim.now)
+		n.roster.ApplyFreshEntry(in, sim.now)
 	}
 }
 
@@ -484,12 +484,12 @@
 	askedAt := sim.now
 	t := sim.targets[id]
 	if !sim.reaches(n, t) {
-		sim.schedule(160*time.Millisecond, func() { n.roster.Failed(id, askedAt) })
+		sim.schedule(160*time.Millisecond, func() { n.roster.RecordFailure(id, askedAt) })
 		return
 	}
 	p := t.stateAt(askedAt.Add(-time.Duration(sim.rng.Int64N(int64(reportLag)))))
 	rep := fleet.Report{Born: t.Born, Membership: p.membership, Model: t.Loaded, Staged: t.Staged, Orders: p.orders, Asked: askedAt}
-	sim.schedule(4*time.Millisecond, func() { n.roster.Reported(id, rep) })
+	sim.schedule(4*time.Millisecond, func() { n.roster.RecordReport(id, rep) })
 }
 
 // step runs one planning step of a node, and sends its orders and probes.
@@ -499,12 +499,12 @@
 	}
 	plan := n.planner.Step(sim.now, n.roster.Members("lm", n.leadingSince, sim.now))
 	for _, o := range plan.Orders {
-		sim.send(n, o, n.roster.Ordering(o.Instance))
+		sim.send(n, o, n.roster.BeginOrder(o.Instance))
 	}
-	for _, id := range plan.Ask {
+	for _, id := range plan.Probes {
 		sim.probe(n, id)
 	}
-	for _, in := range n.roster.Doubtful(sim.now) {
+	for _, in := range n.roster.ProbeCandidates(sim.now) {
 		sim.probe(n, in.ID)
 	}
 }
@@ -515,7 +515,7 @@
 }
 
 // send delivers an order to its target: promptly, late and without an answer, or with a lost answer.
-func (sim *simulation) send(n *node, o placement.Order, life roster.Life) {
+func (sim *simulation) send(n *node, o placement.Order, life roster.IncarnationNumber) {
 	sim.checkUnique(n, o)
 	if sim.onOrder != nil {
 		sim.onOrder(o)
@@ -526,24 +526,24 @@
 	t := sim.targets[o.Instance]
 	delay := time.Duration(1+sim.rng.IntN(8)) * time.Millisecond
 	if !sim.reaches(n, t) {
-		sim.schedule(400*time.Millisecond, func() { n.roster.Ordered(o, life, placement.Unanswered, sim.now) })
+		sim.schedule(400*time.Millisecond, func() { n.roster.RecordOrderReply(o, life, placement.Unanswered, sim.now) })
 		return
 	}
 	if sim.faultsEnabled && sim.rng.Float64() < sim.orderFaultProbability {
 		sim.schedule(2*time.Second+time.Duration(sim.rng.Int64N(int64(10*time.Second))), func() { sim.handleOrder(t, o) })
-		sim.schedule(800*time.Millisecond, func() { n.roster.Ordered(o, life, placement.Unanswered, sim.now) })
+		sim.schedule(800*time.Millisecond, func() { n.roster.RecordOrderReply(o, life, placement.Unanswered, sim.now) })
 		return
 	}
 	lost := sim.faultsEnabled && sim.rng.Float64() < sim.orderFaultProbability
 	sim.schedule(delay, func() {
 		reply := sim.handleOrder(t, o)
 		if lost {
-			sim.schedule(800*time.Millisecond, func() { n.roster.Ordered(o, life, placement.Unanswered, sim.now) })
+			sim.schedule(800*time.Millisecond, func() { n.roster.RecordOrderReply(o, life, placement.Unanswered, sim.now) })
 			return
 		}
-		n.roster.Ordered(o, life, reply, sim.now)
+		n.roster.RecordOrderReply(o, life, reply, sim.now)
 		if reply == placement.Superseded {
-			n.epochs.Behind()
+			n.epochs.SkipAhead()
 		}
 	})
 }
@@ -555,7 +555,7 @@
 	}
 	n.leading, n.leadingSince = leading, sim.now
 	n.planner = placement.NewPlanner(sim.engine, placement.DefaultPolicy(), n.epochs.Next)
-	n.planner.Work = sim.demand
+	n.planner.Demand = sim.demand
 }
 
 // injectFault injects a random fault with a low probability.
--- a/coordination/statelog/fake_test.go
+++ b/coordination/statelog/fake_test.go
@@ -10,21 +10,22 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// errLost is an append whose answer was lost.
-var errLost = errors.New("answer lost")
+// errResponseLost is the error of an append whose response was lost.
+var errResponseLost = errors.New("response lost")
 
-// fakeLog is a log in memory with faults.
+// fakeLog is an in-memory log with fault injection.
 type fakeLog struct {
 	mu      sync.Mutex
 	first   state.Offset
 	entries []state.Entry
 	now     time.Time
-	// appendFault is asked before each append: whether it takes effect, how often, and the error returned.
+	// appendFault is called for each append. It returns how many times the record is appended, and the
+	// error of the append.
 	appendFault func() (times int, err error)
 	down        bool
 }
 
-// newFakeLog returns an empty log without faults.
+// newFakeLog returns an empty log that injects no faults.
 func newFakeLog(now time.Time) *fakeLog {
 	return &fakeLog{first: 1, now: now, appendFault: func() (int, error) { return 1, nil }}
 }
@@ -45,7 +46,7 @@
 }
 
 // Read implements statelog.Log; it never waits.
-func (l *fakeLog) Read(_ context.Context, from state.Offset, most int, _ time.Duration) (statelog.Page, error) {
+func (l *fakeLog) Read(_ context.Context, from state.Offset, limit int, _ time.Duration) (statelog.Page, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
@@ -54,7 +55,7 @@
 	page := statelog.Page{First: l.first, Head: l.first + state.Offset(len(l.entries)) - 1}
 	if from >= l.first && from <= page.Head {
 		i := int(from - l.first)
-		page.Entries = append(page.Entries, l.entries[i:min(i+most, len(l.entries))]...)
+		page.Entries = append(page.Entries, l.entries[i:min(i+limit, len(l.entries))]...)
 	}
 	return page, nil
 }
@@ -71,14 +72,14 @@
 	l.first += state.Offset(n)
 }
 
-// fakePeers serve from one follower.
+// fakePeers serves the state of one follower.
 type fakePeers struct{ f *statelog.Follower }
 
 // Snapshot implements statelog.Peers.
 func (p *fakePeers) Snapshot(_ context.Context, newerThan state.Offset) (snap *state.Snapshot, err error) {
 	p.f.Read(func(s *state.State) {
 		if s.Offset() <= newerThan {
-			err = errors.New("nothing newer")
+			err = errors.New("no newer snapshot")
 			return
 		}
 		snap, err = s.Snapshot()
@@ -87,10 +88,10 @@
 }
 
 // Records implements statelog.Peers.
-func (p *fakePeers) Records(_ context.Context, from state.Offset, most int) ([]state.Entry, error) {
-	entries, held := p.f.Recent(from, most)
+func (p *fakePeers) Records(_ context.Context, from state.Offset, limit int) ([]state.Entry, error) {
+	entries, held := p.f.RecentEntries(from, limit)
 	if !held {
-		return nil, errors.New("not held")
+		return nil, errors.New("entries not retained")
 	}
 	return entries, nil
 }
--- a/protocol/direct/direct.go
+++ b/protocol/direct/direct.go
@@ -1,7 +1,7 @@
-// Package direct sends one HTTP/1.1 request over one connection and reads its
-// answer, without ever sending it a second time. It keeps connections for later
-// requests, reports whether a failed request can have arrived, and lets out no
-// answer that belongs to another request.
+// Package direct sends an HTTP/1.1 request over one connection and reads its
+// response. It never retries a request. It keeps idle connections for later
+// requests, reports whether a failed request may have reached the server, and
+// never returns a response that belongs to another request.
 package direct
 
 import (
@@ -18,92 +18,94 @@
 	"time"
 )
 
-// The errors of an exchange.
+// Errors that Pool.Do returns.
 var (
-	// ErrUnsent means that no byte of the request left.
-	ErrUnsent = errors.New("direct: not sent")
-	// ErrUnknown means that the request may have arrived, and no answer to it did.
-	ErrUnknown = errors.New("direct: no answer")
+	// ErrNotSent means that no byte of the request was sent.
+	ErrNotSent = errors.New("direct: request not sent")
+	// ErrNoResponse means that the request may have reached the server but no response was received.
+	ErrNoResponse = errors.New("direct: no response received")
 )
 
-// maxForeign is how many answers to other requests are read past before a connection is given up.
-const maxForeign = 2
+// maxSkippedResponses is the number of responses to other requests that are skipped before the
+// connection is closed.
+const maxSkippedResponses = 2
 
-// Request is one request to send.
+// Request is an HTTP request to send.
 type Request struct {
 	Method string
-	// URI is the request's target as it stands in the request line.
+	// URI is the request target as written in the request line.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody tells that the request has a body, if an empty one.
+	// HasBody is set if the request has a body, even an empty one.
 	HasBody bool
-	// Match reports whether an answer belongs to the request.
-	Match func(http.Header) bool
-	// Fresh asks for a connection that has not rested for longer than a moment.
-	Fresh bool
-	// Check, if set, is called once a connection is there, right before the first byte leaves:
-	// a dial may take long. Its error keeps the request from being sent, as ErrUnsent.
-	Check func() error
+	// MatchesResponse, if set, reports whether a response with these headers belongs to the request.
+	MatchesResponse func(http.Header) bool
+	// RequireFreshConn requires a connection that is new or has been idle for at most maxFreshIdle.
+	RequireFreshConn bool
+	// BeforeSend, if set, is called once the connection is established, right before the first byte is
+	// sent, since its result may change during a slow dial. If it returns an error, the request is
+	// not sent and Do returns ErrNotSent.
+	BeforeSend func() error
 }
 
-// Response is an answer whose body is still to be read. Close must be called.
+// Response is a response whose body has not been read yet. The caller must call Close.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Length is the length of the body, or -1 when it is not told.
+	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
 
-	conn  *conn
-	pool  *Pool
-	inner *http.Response
-	stop  func() bool
-	whole bool
+	conn         *conn
+	pool         *Pool
+	inner        *http.Response
+	stop         func() bool
+	bodyComplete bool
 }
 
-// Do sends a request and reads the head of its answer. Ending ctx ends the
-// exchange, also while the body is read.
-func (p *Pool) Do(ctx context.Context, at netip.AddrPort, r *Request) (*Response, error) {
-	c, err := p.get(ctx, at, r.Fresh)
+// Do sends a request and reads the status line and the headers of its response.
+// Cancelling ctx aborts the exchange, also while the body is being read.
+func (p *Pool) Do(ctx context.Context, addr netip.AddrPort, r *Request) (*Response, error) {
+	c, err := p.get(ctx, addr, r.RequireFreshConn)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	if err := r.check(); err != nil {
-		c.rest("")
+	if err := r.runCheck(); err != nil {
+		c.setIdleTimeout("")
 		p.put(c)
-		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	stop := context.AfterFunc(ctx, c.kill)
-	req := r.http()
+	stop := context.AfterFunc(ctx, c.abort)
+	req := r.httpRequest()
 	err = c.send(req)
 	if err != nil {
 		stop()
-		p.drop(c)
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		p.discard(c)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
-	resp, err := c.answer(req, r.Match) //nolint:bodyclose // Response.Close ends the exchange
+	resp, err := c.readResponse(req, r.MatchesResponse) //nolint:bodyclose // Response.Close ends the exchange
 	if err != nil {
 		stop()
-		p.drop(c)
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		p.discard(c)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	out := &Response{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, conn: c, pool: p, inner: resp, stop: stop}
 	out.Body = &bodyReader{r: out}
 	return out, nil
 }
 
-// check reports why the request must not be sent now, or nil.
-func (r *Request) check() error {
-	if r.Check == nil {
+// runCheck returns the error of BeforeSend, or nil if BeforeSend is not set.
+func (r *Request) runCheck() error {
+	if r.BeforeSend == nil {
 		return nil
 	}
-	return r.Check()
+	return r.BeforeSend()
 }
 
-// http returns the request as net/http writes it.
-func (r *Request) http() *http.Request {
+// httpRequest returns the request as an *http.Request.
+func (r *Request) httpRequest() *http.Request {
 	req := &http.Request{
 		Method:        r.Method,
 		URL:           &url.URL{Opaque: r.URI},
@@ -117,7 +119,7 @@
 	if strings.HasPrefix(r.URI, "//") {
 		req.URL = &url.URL{Path: r.URI}
 	}
-	if _, named := r.Header["User-Agent"]; !named {
+	if _, hasUserAgent := r.Header["User-Agent"]; !hasUserAgent {
 		r.Header["User-Agent"] = []string{""}
 	}
 	if len(r.Body) > 0 {
@@ -128,7 +130,7 @@
 	return req
 }
 
-// send writes a request as a whole.
+// send writes a request and flushes the buffer.
 func (c *conn) send(req *http.Request) error {
 	c.wrote = true
 	if err := req.Write(c.bw); err != nil {
@@ -137,9 +139,10 @@
 	return c.bw.Flush()
 }
 
-// answer reads the head of the request's own answer, reading past answers to others.
-func (c *conn) answer(req *http.Request, match func(http.Header) bool) (*http.Response, error) {
-	for foreign := 0; ; {
+// readResponse reads the head of the response to a request. It skips informational
+// responses and responses to other requests.
+func (c *conn) readResponse(req *http.Request, match func(http.Header) bool) (*http.Response, error) {
+	for skipped := 0; ; {
 		resp, err := http.ReadResponse(c.br, req)
 		switch {
 		case err != nil:
@@ -148,53 +151,56 @@
 			continue
 		case match == nil || match(resp.Header):
 			return resp, nil
-		case foreign == maxForeign || resp.Close || resp.ContentLength < 0:
-			return nil, errors.New("answer to another request")
+		case skipped == maxSkippedResponses || resp.Close || resp.ContentLength < 0:
+			return nil, errors.New("response belongs to another request")
 		}
-		foreign++
+		skipped++
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// bodyReader reads a body and notes its end.
+// bodyReader reads a body and records that its end was reached.
 type bodyReader struct{ r *Response }
 
 // Read implements io.Reader.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	n, err := b.r.inner.Body.Read(p)
 	if err == io.EOF {
-		b.r.whole = true
+		b.r.bodyComplete = true
 	}
 	return n, err
 }
 
-// Framed reports whether the answer itself says where it ends, apart from the end of its connection.
-func (r *Response) Framed() bool { return r.Length >= 0 || len(r.inner.TransferEncoding) > 0 }
+// IsFramed reports whether the end of the body is known from a content length or a transfer encoding,
+// not only from the end of the connection.
+func (r *Response) IsFramed() bool { return r.Length >= 0 || len(r.inner.TransferEncoding) > 0 }
 
-// Close ends the exchange. The connection is kept if the whole answer was read, else it is cut.
+// Close ends the exchange. The connection returns to the pool if the complete response was read;
+// otherwise it is closed.
 func (r *Response) Close() {
-	undisturbed := r.stop()
-	if !undisturbed || !r.whole || r.inner.Close || r.conn.br.Buffered() > 0 {
-		r.pool.drop(r.conn)
+	notCancelled := r.stop()
+	if !notCancelled || !r.bodyComplete || r.inner.Close || r.conn.br.Buffered() > 0 {
+		r.pool.discard(r.conn)
 		return
 	}
-	r.conn.rest(r.Header.Get("Keep-Alive"))
+	r.conn.setIdleTimeout(r.Header.Get("Keep-Alive"))
 	r.pool.put(r.conn)
 }
 
-// ReadDeadline lets reading of the body fail at a time.
-func (r *Response) ReadDeadline(t time.Time) { _ = r.conn.SetReadDeadline(t) }
+// SetReadDeadline sets the time after which reading the body fails.
+func (r *Response) SetReadDeadline(t time.Time) { _ = r.conn.SetReadDeadline(t) }
 
-// Cut ends the exchange from another goroutine: what is being read fails at once.
-func (r *Response) Cut() { r.conn.kill() }
+// Abort ends the exchange at once: a read in progress fails. It may be called from another
+// goroutine.
+func (r *Response) Abort() { r.conn.abort() }
 
-// readerSize is the size of a connection's buffers, in bytes.
-const readerSize = 4096
+// bufferSize is the size of the read buffer and of the write buffer of a connection, in bytes.
+const bufferSize = 4096
 
-// newBuffers gives a connection its buffers.
-func (c *conn) newBuffers() {
-	c.br = bufio.NewReaderSize(c.Conn, readerSize)
-	c.bw = bufio.NewWriterSize(c.Conn, readerSize)
+// initBuffers allocates the buffers of a connection.
+func (c *conn) initBuffers() {
+	c.br = bufio.NewReaderSize(c.Conn, bufferSize)
+	c.bw = bufio.NewWriterSize(c.Conn, bufferSize)
 }
--- a/protocol/peer/convert.go
+++ b/protocol/peer/convert.go
@@ -10,15 +10,16 @@
 	"github.com/troutmast/troutmast/state"
 )
 
-// Milliseconds returns a duration in whole milliseconds, rounded up so that an age never looks younger.
-func Milliseconds(d time.Duration) uint32 {
+// CeilMilliseconds returns a duration in whole milliseconds. It rounds up, so that an age is never
+// understated.
+func CeilMilliseconds(d time.Duration) uint32 {
 	return uint32(max(0, (d+time.Millisecond-1)/time.Millisecond))
 }
 
-// Duration is the reverse of Milliseconds.
-func Duration(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
+// FromMilliseconds returns a number of milliseconds as a time.Duration.
+func FromMilliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// EncodeNode returns a node as a message; age is how old its words are.
+// EncodeNode returns a node's status as a message; age is the age of that status.
 func EncodeNode(n membership.Node, age time.Duration) *rpc.Node {
 	return &rpc.Node{
 		Name:        n.Name,
@@ -28,16 +29,17 @@
 		Applied:     uint64(n.Applied),
 		Ready:       n.Ready,
 		Stopping:    n.Stopping,
-		LogAgeMs:    Milliseconds(n.LogAge),
-		Held:        uint32(max(0, n.Held)),
-		Demand:      uint32(max(0, n.Demand)),
-		AgeMs:       Milliseconds(age),
+		LogAgeMs:    CeilMilliseconds(n.LogLag),
+		Held:        uint32(max(0, n.InFlight)),
+		Demand:      uint32(max(0, n.RequestRate)),
+		AgeMs:       CeilMilliseconds(age),
 		Models:      n.Models,
 	}
 }
 
-// DecodeNode returns what a message says of a node; asked is when the question was asked.
-func DecodeNode(m *rpc.Node, asked time.Time) (membership.Node, error) {
+// DecodeNode returns the node status in a message; requestedAt is the time of the request that
+// the message answers.
+func DecodeNode(m *rpc.Node, requestedAt time.Time) (membership.Node, error) {
 	addr, err := netip.ParseAddrPort(m.GetAddress())
 	if err != nil {
 		return membership.Node{}, err
@@ -50,15 +52,15 @@
 		Applied:     state.Offset(m.GetApplied()),
 		Ready:       m.GetReady(),
 		Stopping:    m.GetStopping(),
-		LogAge:      Duration(m.GetLogAgeMs()),
-		Held:        int(m.GetHeld()),
-		Demand:      int(m.GetDemand()),
+		LogLag:      FromMilliseconds(m.GetLogAgeMs()),
+		InFlight:    int(m.GetHeld()),
+		RequestRate: int(m.GetDemand()),
 		Models:      m.GetModels(),
-		SaidAt:      asked.Add(-Duration(m.GetAgeMs())),
+		RequestedAt: requestedAt.Add(-FromMilliseconds(m.GetAgeMs())),
 	}, nil
 }
 
-// EncodeReport returns a report as a message; age is how long ago it was asked for.
+// EncodeReport returns a report as a message; age is the time since the probe that it answers.
 func EncodeReport(r evidence.Report, age time.Duration) *rpc.Report {
 	return &rpc.Report{
 		Instance:    string(r.Instance),
@@ -68,14 +70,14 @@
 		Rank:        uint32(r.Rank),
 		Phase:       string(r.Phase),
 		Leaving:     r.Leaving,
-		Held:        uint32(r.Load.Held),
+		Held:        uint32(r.Load.InFlight),
 		Tokens:      uint64(r.Load.Tokens),
-		Slots:       uint32(r.Load.Slots),
-		AgeMs:       Milliseconds(age),
+		Slots:       uint32(r.Load.BatchSlots),
+		AgeMs:       CeilMilliseconds(age),
 	}
 }
 
-// decodeReport is the reverse of EncodeReport.
+// decodeReport returns the report in a message, without its age.
 func decodeReport(m *rpc.Report) evidence.Report {
 	return evidence.Report{
 		Instance:    state.InstanceID(m.GetInstance()),
@@ -85,20 +87,21 @@
 		Rank:        int(m.GetRank()),
 		Phase:       evidence.Phase(m.GetPhase()),
 		Leaving:     m.GetLeaving(),
-		Load:        evidence.Load{Held: int(m.GetHeld()), Tokens: int64(m.GetTokens()), Slots: int(m.GetSlots())},
+		Load:        evidence.Load{InFlight: int(m.GetHeld()), Tokens: int64(m.GetTokens()), BatchSlots: int(m.GetSlots())},
 	}
 }
 
-// DecodeDelta returns what a response says of instances, with the age of each changed report.
+// DecodeDelta returns the instance reports that changed or expired according to a response, and
+// the age of each changed report.
 func DecodeDelta(m *rpc.ExchangeResponse) (evidence.Delta, []time.Duration) {
 	d := evidence.Delta{Version: m.GetVersion()}
 	ages := make([]time.Duration, 0, len(m.GetChanged()))
 	for _, r := range m.GetChanged() {
-		d.Changed = append(d.Changed, evidence.Entry{Report: decodeReport(r)})
-		ages = append(ages, Duration(r.GetAgeMs()))
+		d.Changed = append(d.Changed, evidence.TimedReport{Report: decodeReport(r)})
+		ages = append(ages, FromMilliseconds(r.GetAgeMs()))
 	}
 	for _, id := range m.GetLost() {
-		d.Lost = append(d.Lost, state.InstanceID(id))
+		d.Expired = append(d.Expired, state.InstanceID(id))
 	}
 	return d, ages
 }
--- a/protocol/target/target.go
+++ b/protocol/target/target.go
@@ -1,5 +1,5 @@
 // Package target is the adapter to target instances: model engines and plain
-// services, over HTTP. Another engine is fitted by replacing this file.
+// services, over HTTP. To support another engine, replace this file.
 package target
 
 import (
@@ -27,37 +27,38 @@
 
 // Errors of this package.
 var (
-	// ErrTarget means a target did not answer as it should.
-	ErrTarget = errors.New("target: no usable answer")
-	// ErrFenced means a target refused an order as older than the last it obeyed.
-	ErrFenced = errors.New("target: order refused as stale")
-	// ErrUnreachable means that no byte of a call can have reached a target.
-	ErrUnreachable = fmt.Errorf("%w: not reached", ErrTarget)
-	// ErrRefused means a target said that it did not run a call.
-	ErrRefused = fmt.Errorf("%w: refused", ErrTarget)
-	// ErrMismatch means an answer was not bound to the request it came for.
-	ErrMismatch = errors.New("target: the answer is of another request")
+	// ErrTarget means that a target could not be reached or sent an unusable response.
+	ErrTarget = errors.New("target: no usable response")
+	// ErrFenced means that a target rejected an order whose epoch is older than that of the last
+	// order it accepted.
+	ErrFenced = errors.New("target: order rejected: a newer epoch was already accepted")
+	// ErrUnreachable means that no byte of a call can have reached the target.
+	ErrUnreachable = fmt.Errorf("%w: target unreachable", ErrTarget)
+	// ErrNotRun means that a target responded that it did not run a call.
+	ErrNotRun = fmt.Errorf("%w: target did not run the call", ErrTarget)
+	// ErrRequestIDMismatch means that a response does not carry the ID of its request.
+	ErrRequestIDMismatch = errors.New("target: request ID of the response differs from that of the request")
 )
 
-// Header names that the adapter sends and expects.
+// Names of the headers that the adapter sends and reads.
 const (
-	// HeaderRequestID binds an answer to its request: the target echoes it.
+	// HeaderRequestID is the ID of a request. The target repeats it in the response.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderGroup and HeaderEpoch name the group that is meant; a target in another one refuses.
+	// HeaderGroup and HeaderEpoch identify the group at one epoch that a request is for. A target in
+	// another group or epoch rejects the request.
 	HeaderGroup = "Troutmast-Group"
 	HeaderEpoch = "Troutmast-Epoch"
-	// HeaderResume is the number of tokens already delivered of a stream to be resumed.
-	HeaderResume = "Troutmast-Resume-Tokens"
-	// HeaderKey carries the key of a call that may not be repeated.
-	HeaderKey = "Idempotency-Key"
-	// HeaderRetryAfter is, on a refusal, for how many seconds a target wants no further request
-	// of this node.
+	// HeaderResumeTokens is the number of tokens already delivered of the stream to resume.
+	HeaderResumeTokens = "Troutmast-Resume-Tokens"
+	// HeaderIdempotencyKey is the idempotency key of a call that must not be run twice.
+	HeaderIdempotencyKey = "Idempotency-Key"
+	// HeaderRetryAfter is the cooldown that an overloaded target requests from this node, in seconds.
 	HeaderRetryAfter = "Retry-After"
-	// HeaderNotRun is set by a target on an answer that says it did not run the request.
+	// HeaderNotRun is set by a target on a response to a request that it did not run.
 	HeaderNotRun = "Troutmast-Not-Run"
 )
 
-// Report is what a target answers to a probe.
+// Report is the response of a target to a probe.
 type Report struct {
 	Instance    state.InstanceID `json:"instance"`
 	Incarnation string           `json:"incarnation"`
@@ -66,12 +67,12 @@
 	Rank        int              `json:"rank"`
 	Phase       evidence.Phase   `json:"phase"`
 	Leaving     bool             `json:"leaving,omitempty"`
-	Held        int              `json:"held"`
+	InFlight    int              `json:"held"`
 	Tokens      int64            `json:"tokens"`
-	Slots       int              `json:"slots"`
+	BatchSlots  int              `json:"slots"`
 }
 
-// Order is what a target is told to be.
+// Order assigns a target its group, epoch, rank and model.
 type Order struct {
 	Group state.GroupName `json:"group,omitempty"`
 	Epoch state.Epoch     `json:"epoch"`
@@ -80,32 +81,33 @@
 	Model state.Model     `json:"model"`
 }
 
-// maxReportBytes bounds the answer to a probe.
+// maxReportBytes is the maximum size of the response to a probe.
 const maxReportBytes = 64 << 10
 
-// Client speaks to targets.
+// Client calls targets.
 type Client struct {
-	control *exchange.Client
-	serve   *exchange.Client
-	once    *exchange.Client
+	controlHTTP *exchange.Client
+	serveHTTP   *exchange.Client
+	onceHTTP    *exchange.Client
 
-	mu   sync.Mutex
-	last map[netip.AddrPort]tagged
+	mu          sync.Mutex
+	lastReports map[netip.AddrPort]taggedReport
 }
 
-// tagged is the last report of a target, with the tag that the target gave it.
-type tagged struct {
+// taggedReport is the last report of a target with its ETag.
+type taggedReport struct {
 	etag   string
 	report evidence.Report
 }
 
-// NewClient returns a Client. once must not keep connections alive.
-func NewClient(controlX, serve, once *exchange.Client) *Client {
-	return &Client{control: controlX, serve: serve, once: once, last: map[netip.AddrPort]tagged{}}
+// NewClient returns a Client. controlHTTP sends probes and orders, serveHTTP sends calls, and
+// onceHTTP sends calls that need a connection of their own: it must not keep connections alive.
+func NewClient(controlHTTP, serveHTTP, onceHTTP *exchange.Client) *Client {
+	return &Client{controlHTTP: controlHTTP, serveHTTP: serveHTTP, onceHTTP: onceHTTP, lastReports: map[netip.AddrPort]taggedReport{}}
 }
 
-// Probe asks a target what it is. A target that tags its reports answers one
-// that has not changed in a few bytes.
+// Probe requests the report of a target. If the target sends an ETag with its
+// reports, an unchanged report is not transferred again.
 func (c *Client) Probe(ctx context.Context, addr netip.AddrPort) (evidence.Report, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/v1/report", nil)
 	if err != nil {
@@ -116,10 +118,10 @@
 	if last.etag != "" {
 		req.Header.Set("If-None-Match", last.etag)
 	}
-	resp, _, err := c.control.Do(req)
+	resp, _, err := c.controlHTTP.Do(req)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return evidence.Report{}, fmt.Errorf("%w: %w", probe.ErrDown, err)
+		return evidence.Report{}, fmt.Errorf("%w: %w", probe.ErrNotListening, err)
 	case err != nil:
 		return evidence.Report{}, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
@@ -128,48 +130,48 @@
 	case resp.StatusCode == http.StatusNotModified && last.etag != "":
 		return last.report, nil
 	case resp.StatusCode != http.StatusOK:
-		return evidence.Report{}, fmt.Errorf("%w: %s", ErrTarget, resp.Status)
+		return evidence.Report{}, fmt.Errorf("%w: want status 200, got %s", ErrTarget, resp.Status)
 	}
 	r, err := DecodeReport(io.LimitReader(resp.Body, maxReportBytes))
 	if err == nil {
-		c.keepReport(addr, tagged{etag: resp.Header.Get("ETag"), report: r})
+		c.storeReport(addr, taggedReport{etag: resp.Header.Get("ETag"), report: r})
 	}
 	return r, err
 }
 
-// lastReport returns the last tagged report of an address.
-func (c *Client) lastReport(addr netip.AddrPort) tagged {
+// lastReport returns the last report of the target at an address.
+func (c *Client) lastReport(addr netip.AddrPort) taggedReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last[addr]
+	return c.lastReports[addr]
 }
 
-// keepReport remembers the last report of an address.
-func (c *Client) keepReport(addr netip.AddrPort, t tagged) {
+// storeReport records the last report of the target at an address.
+func (c *Client) storeReport(addr netip.AddrPort, t taggedReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last[addr] = t
+	c.lastReports[addr] = t
 }
 
-// DecodeReport reads and checks what a target reported.
+// DecodeReport decodes and validates the report of a target.
 func DecodeReport(r io.Reader) (evidence.Report, error) {
-	var w Report
-	if err := json.NewDecoder(r).Decode(&w); err != nil {
+	var msg Report
+	if err := json.NewDecoder(r).Decode(&msg); err != nil {
 		return evidence.Report{}, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
-	known := w.Phase == evidence.PhaseIdle || w.Phase == evidence.PhaseLoading || w.Phase == evidence.PhaseReady
-	if w.Instance == "" || w.Incarnation == "" || !known || w.Held < 0 || w.Tokens < 0 || w.Slots < 0 {
-		return evidence.Report{}, fmt.Errorf("%w: incomplete report", ErrTarget)
+	phaseKnown := msg.Phase == evidence.PhaseIdle || msg.Phase == evidence.PhaseLoading || msg.Phase == evidence.PhaseReady
+	if msg.Instance == "" || msg.Incarnation == "" || !phaseKnown || msg.InFlight < 0 || msg.Tokens < 0 || msg.BatchSlots < 0 {
+		return evidence.Report{}, fmt.Errorf("%w: report has a missing ID, an unknown phase or a negative load", ErrTarget)
 	}
 	return evidence.Report{
-		Instance:    w.Instance,
-		Incarnation: w.Incarnation,
-		Group:       w.Group,
-		Epoch:       w.Epoch,
-		Rank:        w.Rank,
-		Phase:       w.Phase,
-		Leaving:     w.Leaving,
-		Load:        evidence.Load{Held: w.Held, Tokens: w.Tokens, Slots: w.Slots},
+		Instance:    msg.Instance,
+		Incarnation: msg.Incarnation,
+		Group:       msg.Group,
+		Epoch:       msg.Epoch,
+		Rank:        msg.Rank,
+		Phase:       msg.Phase,
+		Leaving:     msg.Leaving,
+		Load:        evidence.Load{InFlight: msg.InFlight, Tokens: msg.Tokens, BatchSlots: msg.BatchSlots},
 	}, nil
 }
 
@@ -183,7 +185,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTarget, err)
 	}
-	resp, _, err := c.control.Do(req)
+	resp, _, err := c.controlHTTP.Do(req)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTarget, err)
 	}
@@ -192,12 +194,12 @@
 	case resp.StatusCode == http.StatusConflict:
 		return ErrFenced
 	case resp.StatusCode/100 != 2:
-		return fmt.Errorf("%w: %s", ErrTarget, resp.Status)
+		return fmt.Errorf("%w: want status 2xx, got %s", ErrTarget, resp.Status)
 	}
 	return nil
 }
 
-// Call is one request to a target.
+// Call is a request to a target.
 type Call struct {
 	Address     netip.AddrPort
 	Method      string
@@ -205,33 +207,34 @@
 	ContentType string
 	Body        []byte
 	RequestID   string
-	// Group and Epoch are set for a request to a replica group.
+	// Group and Epoch are set if the call is for a replica group.
 	Group state.GroupName
 	Epoch state.Epoch
-	// Resume is the number of tokens already delivered.
-	Resume int
-	// Key is set for a call that may not be repeated.
-	Key string
-	// Once gives the call a connection of its own.
-	Once bool
-	// Check, if set, is asked right before the call leaves; its error keeps it from leaving.
-	Check func() error
+	// ResumeTokens is the number of tokens already delivered of the stream to resume.
+	ResumeTokens int
+	// IdempotencyKey is the idempotency key of a call that must not be run twice.
+	IdempotencyKey string
+	// NewConnection makes the call use a connection of its own.
+	NewConnection bool
+	// BeforeSend, if set, is called right before the call is sent. If it returns an error, the call is
+	// not sent.
+	BeforeSend func() error
 }
 
-// Refusal means that a target said it did not run a call. It is an ErrRefused.
-type Refusal struct {
+// NotRunError means that a target responded that it did not run a call. It wraps ErrNotRun.
+type NotRunError struct {
 	Status string
 	fleet.Notice
 }
 
 // Error implements error.
-func (r *Refusal) Error() string { return fmt.Sprintf("%v: %s", ErrRefused, r.Status) }
+func (r *NotRunError) Error() string { return fmt.Sprintf("%v: %s", ErrNotRun, r.Status) }
 
-// Unwrap makes a Refusal an ErrRefused.
-func (r *Refusal) Unwrap() error { return ErrRefused }
+// Unwrap returns ErrNotRun.
+func (r *NotRunError) Unwrap() error { return ErrNotRun }
 
-// notice reads for how long a target that is overloaded wants no further call.
-func notice(resp *http.Response) fleet.Notice {
+// parseNotice returns the cooldown that an overloaded target requests in its response.
+func parseNotice(resp *http.Response) fleet.Notice {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return fleet.Notice{}
 	}
@@ -239,27 +242,28 @@
 	return fleet.Notice{Cooldown: d, CooldownFault: err}
 }
 
-// Answer is the head of a target's answer; Body must be closed.
-type Answer struct {
+// Response is the response of a target. The caller must close Body.
+type Response struct {
 	Status      int
 	ContentType string
-	// Delimited is set when a cut in the body can be told from its end.
-	Delimited bool
-	Body      io.ReadCloser
+	// IsDelimited is set if a truncated body can be told from a complete one.
+	IsDelimited bool
+	Body        io.ReadCloser
 	fleet.Notice
 }
 
-// Send sends a call and returns the head of the answer, or what is certain about the attempt.
-func (c *Client) Send(ctx context.Context, call Call) (*Answer, retry.Outcome, error) {
+// Send sends a call and returns the head of the response. The outcome states whether the target ran
+// the call, as far as this is known.
+func (c *Client) Send(ctx context.Context, call Call) (*Response, retry.Outcome, error) {
 	req, err := call.request(ctx)
 	if err != nil {
 		return nil, retry.NotRun, fmt.Errorf("%w: %w", ErrTarget, err)
 	}
-	x := c.serve
-	if call.Once {
-		x = c.once
+	httpClient := c.serveHTTP
+	if call.NewConnection {
+		httpClient = c.onceHTTP
 	}
-	resp, sent, err := x.DoIf(req, call.Check)
+	resp, sent, err := httpClient.DoIf(req, call.BeforeSend)
 	switch {
 	case errors.Is(err, exchange.ErrHeldBack):
 		return nil, retry.NotRun, err
@@ -270,19 +274,19 @@
 	}
 	if resp.Header.Get(HeaderRequestID) != call.RequestID {
 		_ = resp.Body.Close()
-		return nil, retry.Unknown, ErrMismatch
+		return nil, retry.Unknown, ErrRequestIDMismatch
 	}
 	if resp.Header.Get(HeaderNotRun) != "" {
 		_ = resp.Body.Close()
-		return nil, retry.NotRun, &Refusal{Status: resp.Status, Notice: notice(resp)}
+		return nil, retry.NotRun, &NotRunError{Status: resp.Status, Notice: parseNotice(resp)}
 	}
-	return &Answer{
+	return &Response{
 		Status:      resp.StatusCode,
 		ContentType: resp.Header.Get("Content-Type"),
-		Delimited:   resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
+		IsDelimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
 		Body:        resp.Body,
-		Notice:      notice(resp),
-	}, retry.Run, nil
+		Notice:      parseNotice(resp),
+	}, retry.Completed, nil
 }
 
 // request builds the HTTP request of a call.
@@ -291,20 +295,20 @@
 	if err != nil {
 		return nil, err
 	}
-	set := func(name, value string) {
+	setHeader := func(name, value string) {
 		if value != "" {
 			req.Header.Set(name, value)
 		}
 	}
-	set(HeaderRequestID, c.RequestID)
-	set("Content-Type", c.ContentType)
-	set(HeaderGroup, string(c.Group))
-	set(HeaderKey, c.Key)
+	setHeader(HeaderRequestID, c.RequestID)
+	setHeader("Content-Type", c.ContentType)
+	setHeader(HeaderGroup, string(c.Group))
+	setHeader(HeaderIdempotencyKey, c.IdempotencyKey)
 	if c.Epoch != 0 {
 		req.Header.Set(HeaderEpoch, strconv.FormatUint(uint64(c.Epoch), 10))
 	}
-	if c.Resume > 0 {
-		req.Header.Set(HeaderResume, strconv.Itoa(c.Resume))
+	if c.ResumeTokens > 0 {
+		req.Header.Set(HeaderResumeTokens, strconv.Itoa(c.ResumeTokens))
 	}
 	return req, nil
 }
--- a/state/errors.go
+++ b/state/errors.go
@@ -5,46 +5,49 @@
 	"fmt"
 )
 
-// Errors that stop a fold: the node must not go on from such a record.
+// Errors of Apply, of decoding and of snapshots. A node must not skip an entry that fails with
+// ErrOffsetGap or ErrUnknownRecord.
 var (
-	// ErrUnknownRecord means the record is of a kind or version this program does not know.
-	ErrUnknownRecord = errors.New("state: record not understood")
-	// ErrGap means a record was offered whose offset does not follow the last one.
-	ErrGap = errors.New("state: gap in the log")
-	// ErrBackwards means a snapshot older than the held state was offered.
-	ErrBackwards = errors.New("state: snapshot is older than the state held")
-	// ErrSnapshot means a snapshot is damaged or does not match its digest.
-	ErrSnapshot = errors.New("state: snapshot not usable")
+	// ErrUnknownRecord means that a record is malformed or has a kind, version or field that this
+	// program does not know.
+	ErrUnknownRecord = errors.New("state: unknown record format")
+	// ErrOffsetGap means that the offset of an entry is not the one after the last entry applied.
+	ErrOffsetGap = errors.New("state: gap in the log")
+	// ErrStaleSnapshot means that a snapshot is not newer than the current state.
+	ErrStaleSnapshot = errors.New("state: snapshot is not newer than the current state")
+	// ErrInvalidSnapshot means that a snapshot is damaged or does not match its digest.
+	ErrInvalidSnapshot = errors.New("state: invalid snapshot")
 )
 
-// Reason is the code of why a record was refused.
+// Reason is the code of the reason for which a record was refused.
 type Reason string
 
-// The reasons for which the fold refuses a record.
+// The reasons for which a record is refused.
 const (
 	ReasonVoided         Reason = "voided"
 	ReasonAlreadySettled Reason = "already-settled"
-	ReasonExpired        Reason = "expired"
+	ReasonIDExpired      Reason = "expired"
 	ReasonBadID          Reason = "bad-id"
-	ReasonEmpty          Reason = "empty"
+	ReasonEmptyCommand   Reason = "empty"
 	ReasonGroupExists    Reason = "group-exists"
 	ReasonNoGroup        Reason = "no-such-group"
 	ReasonEpochChanged   Reason = "epoch-changed"
-	ReasonInUse          Reason = "instance-in-use"
+	ReasonInstanceInUse  Reason = "instance-in-use"
 	ReasonNotMember      Reason = "not-a-member"
 	ReasonNotReleasing   Reason = "not-releasing"
-	ReasonDomain         Reason = "domain-mismatch"
-	ReasonSize           Reason = "group-size"
+	ReasonDomainMismatch Reason = "domain-mismatch"
+	ReasonGroupSize      Reason = "group-size"
 	ReasonTeamExists     Reason = "team-exists"
 	ReasonNoTeam         Reason = "no-such-team"
 	ReasonServiceExists  Reason = "service-exists"
 	ReasonNoService      Reason = "no-such-service"
 	ReasonBadValue       Reason = "bad-value"
-	ReasonOffset         Reason = "state-changed"
-	ReasonDraining       Reason = "group-draining"
+	ReasonStateChanged   Reason = "state-changed"
+	ReasonGroupDraining  Reason = "group-draining"
 )
 
-// Refusal says why the fold refused a record.
+// Refusal is the reason for which a record was refused. Its Detail is stored in the state and enters
+// the digest, so its wording must be the same in every node.
 type Refusal struct {
 	Reason Reason
 	Detail string
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// maxSnapshotBytes bounds the decompressed size of a snapshot that is read.
+// maxSnapshotBytes bounds the decompressed size of a snapshot on restore.
 const maxSnapshotBytes = 256 << 20
 
-// Snapshot is the whole state at an offset, compressed; equal states give equal snapshots.
+// Snapshot is the complete state at an offset, compressed; equal states have equal snapshots.
 type Snapshot struct {
 	At Offset `json:"at"`
 	// Digest is the SHA-256 of the uncompressed content, in hexadecimal.
@@ -23,8 +23,9 @@
 	Data   []byte `json:"data"`
 }
 
-// content is what a snapshot holds; slices are in a fixed order.
-type content struct {
+// snapshotContent is the uncompressed form of a snapshot. The order of every slice is deterministic,
+// so that equal states have equal digests.
+type snapshotContent struct {
 	Offset       Offset        `json:"offset"`
 	LastAccepted Offset        `json:"last_accepted"`
 	Now          time.Time     `json:"now"`
@@ -34,14 +35,14 @@
 	Services     []*Service    `json:"services"`
 	Policy       Policy        `json:"policy"`
 	Outcomes     []Outcome     `json:"outcomes"`
-	IDs          []expiring    `json:"ids"`
+	IDs          []expiringID  `json:"ids"`
 	Claims       []Claim       `json:"claims"`
 	Keys         []expiringKey `json:"keys"`
 }
 
 // encodeContent returns the uncompressed content of the state.
 func (s *State) encodeContent() ([]byte, error) {
-	c := content{
+	c := snapshotContent{
 		Offset:       s.offset,
 		LastAccepted: s.lastAccepted,
 		Now:          s.now.UTC(),
@@ -51,25 +52,25 @@
 		Services:     s.Services(),
 		Policy:       s.policy,
 		Outcomes:     s.Outcomes(),
-		IDs:          append([]expiring{}, s.idQueue...),
+		IDs:          append([]expiringID{}, s.idQueue...),
 		Keys:         append([]expiringKey{}, s.keyQueue...),
 	}
 	for _, claim := range s.claims {
 		c.Claims = append(c.Claims, claim)
 	}
-	slices.SortFunc(c.Claims, func(a, b Claim) int { return compareKeys(a.ClaimKey, b.ClaimKey) })
+	slices.SortFunc(c.Claims, func(a, b Claim) int { return compareClaimKeys(a.ClaimKey, b.ClaimKey) })
 	return json.Marshal(c)
 }
 
-// compareKeys orders claim keys.
-func compareKeys(a, b ClaimKey) int {
+// compareClaimKeys orders claim keys by key, then by team and service.
+func compareClaimKeys(a, b ClaimKey) int {
 	if a.Key != b.Key {
 		return bytes.Compare([]byte(a.Key), []byte(b.Key))
 	}
 	return bytes.Compare([]byte(a.Team+"/"+TeamName(a.Service)), []byte(b.Team+"/"+TeamName(b.Service)))
 }
 
-// Digest returns the SHA-256 of the whole state, in hexadecimal.
+// Digest returns the SHA-256 of the complete state, in hexadecimal.
 func (s *State) Digest() (string, error) {
 	data, err := s.encodeContent()
 	if err != nil {
@@ -84,7 +85,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns a snapshot of the complete state.
 func (s *State) Snapshot() (*Snapshot, error) {
 	data, err := s.encodeContent()
 	if err != nil {
@@ -101,31 +102,31 @@
 	return &Snapshot{At: s.offset, Digest: digestOf(data), Data: buf.Bytes()}, nil
 }
 
-// Restore returns the state that a snapshot holds, or ErrSnapshot.
+// Restore returns the state in a snapshot, or ErrInvalidSnapshot if it is damaged.
 func Restore(snap *Snapshot) (*State, error) {
 	r, err := gzip.NewReader(bytes.NewReader(snap.Data))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	data, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	if digestOf(data) != snap.Digest {
-		return nil, fmt.Errorf("%w: digest does not match", ErrSnapshot)
+		return nil, fmt.Errorf("%w: content does not match its digest", ErrInvalidSnapshot)
 	}
-	var c content
+	var c snapshotContent
 	if err := json.Unmarshal(data, &c); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	if c.Offset != snap.At {
-		return nil, fmt.Errorf("%w: content is of offset %d, label says %d", ErrSnapshot, c.Offset, snap.At)
+		return nil, fmt.Errorf("%w: content has offset %d, expected %d", ErrInvalidSnapshot, c.Offset, snap.At)
 	}
-	return c.state(), nil
+	return c.toState(), nil
 }
 
-// state builds the State that the content describes.
-func (c *content) state() *State {
+// toState returns the State with this content.
+func (c *snapshotContent) toState() *State {
 	s := New()
 	s.offset, s.lastAccepted, s.now, s.policy = c.Offset, c.LastAccepted, c.Now, c.Policy
 	s.idQueue, s.keyQueue = c.IDs, c.Keys
--- a/transport/caller/caller.go
+++ b/transport/caller/caller.go
@@ -128,7 +128,7 @@
 		return
 	}
 	names := s.c.OpenModels()
-	for _, n := range s.c.Directory.Live("", s.c.Clock.Now()) {
+	for _, n := range s.c.Directory.LivePeers("", s.c.Clock.Now()) {
 		names = append(names, n.Models...)
 	}
 	slices.Sort(names)
@@ -165,7 +165,7 @@
 // openHere reports whether a pool has an open candidate in this hall.
 func (s *Server) openHere(pool string) bool {
 	now := s.c.Clock.Now()
-	return slices.ContainsFunc(s.c.Routing.Pool(pool), func(c *routing.Candidate) bool { return s.c.Open(c, now) })
+	return slices.ContainsFunc(s.c.Routing.Candidates(pool), func(c *routing.Candidate) bool { return s.c.Open(c, now) })
 }
 
 // unroutable says why a request cannot be served here or anywhere else.
@@ -176,7 +176,7 @@
 	if !s.known(pool) {
 		return notRun(http.StatusNotFound, CodeNotFound, "%s is not configured", pool)
 	}
-	f := notRun(http.StatusServiceUnavailable, Code(admission.CodeNoGroup), "no hall that team %s may use has a whole group for %s", q.team.Name, pool)
+	f := notRun(http.StatusServiceUnavailable, Code(admission.CodeNoWholeGroup), "no hall that team %s may use has a whole group for %s", q.team.Name, pool)
 	return s.comeBack(f, pool)
 }
 
@@ -210,13 +210,13 @@
 // again reports whether a failed attempt may be repeated, and counts why or why not.
 func (s *Server) again(ctx context.Context, q *request, o retry.Outcome, f *Failure, repeatable bool) bool {
 	switch {
-	case !retry.Allowed(o, repeatable):
+	case !retry.CanRetry(o, repeatable):
 		s.c.Count("retry-denied.not-repeatable")
 	case ctx.Err() != nil || !s.c.Clock.Now().Before(q.deadline):
 		s.c.Count("retry-denied.deadline")
 	case s.quarantined(q) != nil:
 		s.c.Count("retry-denied.quarantined")
-	case !s.c.Budget.Take():
+	case !s.c.Budget.TryTake():
 		s.c.Count("retry-denied.budget")
 	default:
 		s.c.Count("retry." + string(f.Code))
@@ -231,16 +231,16 @@
 // The booking is made before the last look: a drain that comes in between
 // either sees the booking or is seen by the look.
 func (s *Server) pick(q *request, pool string, avoid state.GroupName) *routing.Dispatch {
-	r := routing.Request{Tokens: q.tokens, Prompt: int64(len(q.body) / bytesPerToken), Prefix: q.prefix, Avoid: avoid}
+	r := routing.Request{Tokens: q.tokens, Prompt: int64(len(q.body) / bytesPerToken), Prefix: q.prefix, ExcludedGroup: avoid}
 	for {
 		now := s.c.Clock.Now()
 		c := s.c.Picker.Pick(s.c.Usable(pool, now), r, now)
 		if c == nil {
 			return nil
 		}
-		d := c.Begin(r)
-		if c.Open(s.c.Clock.Now()) {
-			c.Remember(q.prefix)
+		d := c.BeginRequest(r)
+		if c.CanAccept(s.c.Clock.Now()) {
+			c.RecordPrefix(q.prefix)
 			q.lives, q.sentAt = s.lives(d), s.c.Clock.Now()
 			s.note(q, "sent to %s, epoch %d, with %d requests there", c.Name, d.Group().Epoch, c.Load())
 			return d
--- a/transport/caller/forward.go
+++ b/transport/caller/forward.go
@@ -41,7 +41,7 @@
 		}
 		s.note(q, "%s failed: %v", n.Name, err)
 		if ctx.Err() == nil {
-			s.c.Directory.Suspect(n.Name, s.c.Clock.Now())
+			s.c.Directory.MarkSuspected(n.Name, s.c.Clock.Now())
 		}
 		worst = worse(worst, outcome)
 		f := withOutcome(worst, CodePeerFailed, "the node that the request was passed on to failed")
@@ -55,11 +55,11 @@
 // helpers returns the nodes of other halls that the team may use and that can serve the pool, the least loaded first.
 func (s *Server) helpers(q *request, pool string) []membership.Node {
 	own := s.c.Directory.Self().Hall
-	nodes := s.c.Directory.Live("", s.c.Clock.Now())
+	nodes := s.c.Directory.LivePeers("", s.c.Clock.Now())
 	nodes = slices.DeleteFunc(nodes, func(n membership.Node) bool {
 		return n.Hall == own || !n.Ready || n.Stopping || q.team.Halls[n.Hall].Places == 0 || !slices.Contains(n.Models, pool)
 	})
-	slices.SortStableFunc(nodes, func(a, b membership.Node) int { return a.Held - b.Held })
+	slices.SortStableFunc(nodes, func(a, b membership.Node) int { return a.InFlight - b.InFlight })
 	return nodes
 }
 
@@ -78,7 +78,7 @@
 		return retry.NotRun, err
 	}
 	h := req.Header
-	h.Set("Authorization", peer.Bearer(s.c.Settings.PeerSecret))
+	h.Set("Authorization", peer.BearerHeader(s.c.Settings.PeerSecret))
 	h.Set(headerTeam, string(q.team.Name))
 	h.Set(HeaderRequestID, q.id)
 	h.Set(HeaderTimeout, s.c.Clock.Until(q.deadline).String())
@@ -95,11 +95,11 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get(HeaderRequestID) != q.id {
-		return retry.Unknown, target.ErrMismatch
+		return retry.Unknown, target.ErrRequestIDMismatch
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		s.relayStream(w, q, resp)
-		return retry.Run, nil
+		return retry.Completed, nil
 	}
 	return s.relayWhole(w, resp)
 }
@@ -109,7 +109,7 @@
 
 // relayWhole passes a whole answer back once all of it is there.
 func (s *Server) relayWhole(w http.ResponseWriter, resp *http.Response) (retry.Outcome, error) {
-	ans := &target.Answer{Delimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0, Body: resp.Body}
+	ans := &target.Response{IsDelimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0, Body: resp.Body}
 	body, err := readWhole(ans)
 	if err != nil {
 		return retry.Unknown, err
@@ -121,7 +121,7 @@
 	}
 	w.WriteHeader(resp.StatusCode)
 	_, _ = w.Write(body)
-	return retry.Run, nil
+	return retry.Completed, nil
 }
 
 // relayStream passes a stream back event by event; a break is told to the caller.
--- a/transport/caller/service.go
+++ b/transport/caller/service.go
@@ -32,7 +32,7 @@
 		return notRun(http.StatusBadRequest, CodeKeyRequired, "a call that may not be repeated needs an Idempotency-Key (a UUIDv7 or a ticket)")
 	}
 	pool := core.ServicePool(name)
-	byTicket := !repeatable && ticket.Is(q.key)
+	byTicket := !repeatable && ticket.IsTicket(q.key)
 	here, f := s.placeFor(ctx, w, q, pool, byTicket)
 	if !here {
 		return f
@@ -42,7 +42,7 @@
 		return f
 	}
 	defer done()
-	s.c.Budget.Attempt()
+	s.c.Budget.RecordAttempt()
 	switch {
 	case repeatable:
 		return s.answered(ctx, w, q, pool)
@@ -86,16 +86,16 @@
 	return context.WithTimeout(context.WithoutCancel(ctx), s.c.Clock.Until(q.deadline))
 }
 
-// settler records how a call that may not be repeated ended; the result is set for retry.Run.
+// settler records how a call that may not be repeated ended; the result is set for retry.Completed.
 type settler interface {
-	settle(o retry.Outcome, result *state.Result)
+	settle(o retry.Outcome, result *state.ClaimResult)
 }
 
 // unsettled is the settler of a call whose target checks keys itself.
 type unsettled struct{}
 
 // settle implements settler.
-func (unsettled) settle(retry.Outcome, *state.Result) {}
+func (unsettled) settle(retry.Outcome, *state.ClaimResult) {}
 
 // held is a claim that the request holds.
 type held struct {
@@ -105,33 +105,33 @@
 }
 
 // settle implements settler.
-func (h *held) settle(o retry.Outcome, result *state.Result) {
+func (h *held) settle(o retry.Outcome, result *state.ClaimResult) {
 	switch o {
 	case retry.NotRun:
-		h.claims.GiveBack(h.key, h.holder)
-	case retry.Run:
-		h.claims.Finish(h.key, h.holder, result)
+		h.claims.Release(h.key, h.holder)
+	case retry.Completed:
+		h.claims.RecordResult(h.key, h.holder, result)
 	}
 }
 
 // resultOf returns what is kept of an answer.
-func resultOf(ans *target.Answer, body []byte) *state.Result {
+func resultOf(ans *target.Response, body []byte) *state.ClaimResult {
 	if len(body) > maxResultBytes {
-		return &state.Result{Status: ans.Status, Dropped: true}
+		return &state.ClaimResult{Status: ans.Status, BodyDropped: true}
 	}
-	return &state.Result{Status: ans.Status, ContentType: ans.ContentType, Body: body}
+	return &state.ClaimResult{Status: ans.Status, ContentType: ans.ContentType, Body: body}
 }
 
 // repeated answers from the recorded result of an earlier attempt.
-func (s *Server) repeated(w http.ResponseWriter, q *request, result *state.Result) *Failure {
+func (s *Server) repeated(w http.ResponseWriter, q *request, result *state.ClaimResult) *Failure {
 	s.note(q, "answered from the recorded result of key %s", q.key)
 	s.c.Count("claims.repeated")
-	if result.Dropped {
+	if result.BodyDropped {
 		f := notRun(http.StatusConflict, CodeResultDropped, "the call was run; its answer of status %d was too large to keep", result.Status)
-		f.Outcome = retry.Run
+		f.Outcome = retry.Completed
 		return f
 	}
-	writeAnswer(w, q.id, &target.Answer{Status: result.Status, ContentType: result.ContentType}, result.Body)
+	writeAnswer(w, q.id, &target.Response{Status: result.Status, ContentType: result.ContentType}, result.Body)
 	return nil
 }
 
@@ -149,7 +149,7 @@
 		d.End()
 		s.learn(q, outcome, err)
 		if err == nil {
-			h.settle(retry.Run, resultOf(ans, body))
+			h.settle(retry.Completed, resultOf(ans, body))
 			writeAnswer(w, q.id, ans, body)
 			return nil
 		}
@@ -166,11 +166,11 @@
 //
 // The answer of a target that has run the call is let out even if the target
 // went missing meanwhile: the call took effect, and the caller must know.
-func (s *Server) sendOnce(ctx context.Context, q *request, d *routing.Dispatch) (*target.Answer, []byte, retry.Outcome, error) {
+func (s *Server) sendOnce(ctx context.Context, q *request, d *routing.Dispatch) (*target.Response, []byte, retry.Outcome, error) {
 	call, err := s.call(q, d)
 	if err != nil {
 		return nil, nil, retry.NotRun, err
 	}
-	call.Once, call.Key = true, q.key
+	call.NewConnection, call.IdempotencyKey = true, q.key
 	return s.fetch(ctx, q, d, call)
 }
--- a/transport/core/core.go
+++ b/transport/core/core.go
@@ -41,7 +41,7 @@
 	Teams     *admission.Teams
 	Budget    *retry.Budget
 	Claims    *claim.Manager
-	Tickets   *ticket.Book
+	Tickets   *ticket.Store
 	Targets   *target.Client
 	Peers     *peer.Client
 	Platform  *platform.Client
@@ -54,7 +54,7 @@
 	// Doubted holds a token when a request broke off, so that its instances are asked whether they live.
 	Doubted chan struct{}
 	// Cooldowns are the instances that asked this node to send them nothing for a while.
-	Cooldowns *cooldown.Book
+	Cooldowns *cooldown.Tracker
 
 	// Routed is the offset of the state that the routing table shows.
 	Routed   atomic.Uint64
@@ -74,12 +74,12 @@
 	n.Applied = c.InForce()
 	n.Ready = c.Ready() == nil
 	n.Stopping = c.Stopping.Load()
-	n.Held = int(c.Held.Load())
-	n.Demand = int(c.Demand.Load())
-	n.SaidAt = c.Clock.Now()
-	n.LogAge = time.Hour
+	n.InFlight = int(c.Held.Load())
+	n.RequestRate = int(c.Demand.Load())
+	n.RequestedAt = c.Clock.Now()
+	n.LogLag = time.Hour
 	if age, ok := c.Follower.HeadAge(); ok {
-		n.LogAge = age
+		n.LogLag = age
 	}
 	n.Models = c.OpenModels()
 	return n
--- a/transport/entry/backpressure.go
+++ b/transport/entry/backpressure.go
@@ -12,16 +12,16 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Told implements gateway.Backpressure: it heeds what an instance said in any answer, to a
-// request, a question or an order that was sent at a time.
-func (n *Node) Told(in *fleet.Instance, notice fleet.Notice, request string, sent time.Time) {
-	n.toldLimit(in, notice.RateLimit, request, sent)
+// RecordNotice implements gateway.Backpressure. It records the notice in an instance's answer to a
+// request, probe or order sent at a time.
+func (n *Node) RecordNotice(in *fleet.Instance, notice fleet.Notice, request string, sent time.Time) {
+	n.recordLimit(in, notice.RateLimit, request, sent)
 	if notice.Leaving {
-		n.leaving(in.Incarnation(), "")
+		n.recordLeaving(in.Incarnation(), "")
 	}
 	if notice.CooldownFault != nil {
 		n.Count("cooldown.unreadable")
-		if _, known := n.garbled.LoadOrStore(badCooldown(in.ID), true); !known {
+		if _, known := n.loggedOnce.LoadOrStore(unreadableCooldownKey(in.ID), true); !known {
 			n.log.WithError(notice.CooldownFault).WithField("instance", in.ID).Warn("cooldown not read")
 		}
 	}
@@ -30,58 +30,59 @@
 	}
 	n.Count("cooldown.asked")
 	now := n.clock.Now()
-	until, began := n.cooldowns.Ask(in.Incarnation(), notice.Cooldown, now)
+	until, began := n.cooldowns.Record(in.Incarnation(), notice.Cooldown, now)
 	if !began {
 		return
 	}
 	n.Count("cooldown.began")
-	left := 0
+	available := 0
 	for _, c := range n.table.Candidates(in.Service, in.Model) {
-		if _, cooling := n.CoolingDown(&c.Instance); !cooling {
-			left++
+		if _, cooling := n.CooldownUntil(&c.Instance); !cooling {
+			available++
 		}
 	}
 	n.log.WithFields(log.Fields{
 		"instance": in.ID, "service": in.Service, "group": in.Membership.Group, "asked_ms": notice.Cooldown.Milliseconds(),
-		"ms": until.Sub(now).Milliseconds(), "request": request, "left": left,
+		"ms": until.Sub(now).Milliseconds(), "request": request, "left": available,
 	}).Info("cooldown began")
 }
 
-// badCooldown keys the instances whose cooldowns cannot be read.
-type badCooldown state.InstanceID
+// unreadableCooldownKey is the key in Node.loggedOnce for an instance whose cooldown cannot be read.
+type unreadableCooldownKey state.InstanceID
 
-// CoolingDown implements gateway.Backpressure.
-func (n *Node) CoolingDown(in *fleet.Instance) (time.Time, bool) {
+// CooldownUntil implements gateway.Backpressure.
+func (n *Node) CooldownUntil(in *fleet.Instance) (time.Time, bool) {
 	return n.cooldowns.Until(in.Incarnation(), n.clock.Now())
 }
 
-// Leaving implements gateway.Backpressure.
-func (n *Node) Leaving(in *fleet.Instance) bool { return n.roster.Leaving(in.Incarnation()) }
+// IsLeaving implements gateway.Backpressure.
+func (n *Node) IsLeaving(in *fleet.Instance) bool { return n.roster.IsLeaving(in.Incarnation()) }
 
-// leaving records that a life of an instance said that it will end soon, to this node or to
-// the one named, and has the leader told at once.
-func (n *Node) leaving(in fleet.Incarnation, toldBy string) {
+// recordLeaving records that an incarnation of an instance announced its shutdown, to this node or to the
+// node reportedBy, and requests an immediate status report.
+func (n *Node) recordLeaving(in fleet.Incarnation, reportedBy string) {
 	if !n.roster.MarkLeaving(in) {
 		return
 	}
 	n.Count("leaving.learned")
-	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life, "told_by": toldBy}).Info("instance leaving")
+	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life, "told_by": reportedBy}).Info("instance leaving")
 	n.mu.Lock()
-	n.leavers[in] = n.clock.Now()
+	n.leavingSince[in] = n.clock.Now()
 	n.mu.Unlock()
-	n.touch()
-	n.placer.stir()
-	n.tellSoon()
+	n.requestRebuild()
+	n.placement.wakePlanner()
+	n.requestStatusReport()
 }
 
-// leavingTold returns the lives of instances that the leader is told to be leaving.
-func (n *Node) leavingTold(now time.Time) []fleet.Incarnation {
+// recentlyLeaving returns the incarnations recorded as leaving within NodePolicy.LeavingTTL, for the
+// status report to the leader, and removes older ones.
+func (n *Node) recentlyLeaving(now time.Time) []fleet.Incarnation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var list []fleet.Incarnation
-	for in, at := range n.leavers {
-		if now.Sub(at) > n.policy.LeavingFor {
-			delete(n.leavers, in)
+	for in, at := range n.leavingSince {
+		if now.Sub(at) > n.policy.LeavingTTL {
+			delete(n.leavingSince, in)
 			continue
 		}
 		list = append(list, in)
@@ -89,7 +90,7 @@
 	return list
 }
 
-// instance returns what is known of an instance, or no more than its id.
+// instance returns an instance from the roster, or one with only its ID set if it is unknown.
 func (n *Node) instance(id state.InstanceID) fleet.Instance {
 	v, known := n.roster.Get(id, n.clock.Now())
 	if !known {
@@ -98,32 +99,32 @@
 	return v.Instance
 }
 
-// logCooldowns logs the cooldowns that have ended and counts those that last.
+// logCooldowns logs the cooldowns that have ended and updates the gauge of those in force.
 func (n *Node) logCooldowns() {
 	now := n.clock.Now()
 	for _, c := range n.cooldowns.Sweep(now) {
 		n.Count("cooldown.ended")
 		n.log.WithFields(log.Fields{"instance": c.Instance.ID, "ms": c.Until.Sub(c.Since).Milliseconds()}).Info("cooldown ended")
 	}
-	metrics.GetOrRegisterGauge("cooldown.active", n.metrics).Update(int64(len(n.cooldowns.List(now))))
+	metrics.GetOrRegisterGauge("cooldown.active", n.metrics).Update(int64(len(n.cooldowns.Active(now))))
 }
 
-// cooling is one instance that is cooling down, as an operator sees it.
-type cooling struct {
+// cooldownState is an instance that is cooling down in the response to an operator.
+type cooldownState struct {
 	Instance state.InstanceID `json:"instance"`
 	SinceMS  int64            `json:"since_ms"`
 	LeftMS   int64            `json:"left_ms"`
 }
 
-// serveCooldowns lists the instances that asked this node to send them nothing.
+// serveCooldowns lists the instances that are cooling down.
 func (n *Node) serveCooldowns(w http.ResponseWriter, _ *http.Request) {
 	now := n.clock.Now()
-	list := []cooling{}
-	for _, c := range n.cooldowns.List(now) {
-		list = append(list, cooling{Instance: c.Instance.ID, SinceMS: now.Sub(c.Since).Milliseconds(), LeftMS: c.Until.Sub(now).Milliseconds()})
+	list := []cooldownState{}
+	for _, c := range n.cooldowns.Active(now) {
+		list = append(list, cooldownState{Instance: c.Instance.ID, SinceMS: now.Sub(c.Since).Milliseconds(), LeftMS: c.Until.Sub(now).Milliseconds()})
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(list); err != nil {
-		n.log.WithError(err).Info("list of cooldowns not written")
+		n.log.WithError(err).Info("failed to write cooldown response")
 	}
 }
--- a/transport/entry/backpressure_test.go
+++ b/transport/entry/backpressure_test.go
@@ -20,44 +20,44 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// noticing answers each question and order with a notice, and counts them.
+// noticing answers every probe and every order with the same notice and error, and counts the probes.
 type noticing struct {
 	notice fleet.Notice
 	err    error
 	asked  int
 }
 
-func (n *noticing) Report(context.Context, netip.AddrPort, state.InstanceID, Connection) (fleet.Report, error) {
+func (n *noticing) Report(context.Context, netip.AddrPort, state.InstanceID, ConnectionReuse) (fleet.Report, error) {
 	n.asked++
 	return fleet.Report{Notice: n.notice}, n.err
 }
 
-func (n *noticing) Order(context.Context, placement.Order, Connection) (OrderAnswer, error) {
-	return OrderAnswer{Notice: n.notice, Reply: placement.Refused}, n.err
+func (n *noticing) Order(context.Context, placement.Order, ConnectionReuse) (OrderResult, error) {
+	return OrderResult{Notice: n.notice, Reply: placement.Refused}, n.err
 }
 
-// observed is a node that knows one instance, with its clock and its log.
-type observed struct {
+// observedNode is a node that knows one instance, with its clock and its log entries.
+type observedNode struct {
 	*Node
 	in    fleet.Instance
 	clock *clockwork.FakeClock
-	lines *memory.Handler
+	logs  *memory.Handler
 }
 
-// observe returns a node that knows one instance, which answers by the targets given.
-func observe(targets Targets) *observed {
-	clock, lines := clockwork.NewFakeClock(), memory.New()
-	set := &Settings{Name: "own", Peer: testAddress(1), BeatInterval: time.Second, Policy: DefaultPolicy()}
-	n := New(set, Ports{Decoder: anyConfiguration{}, Targets: targets}, clock, &log.Logger{Handler: lines, Level: log.InfoLevel})
+// observe returns a node that knows one instance, whose probes and orders targets answers.
+func observe(targets TargetClient) *observedNode {
+	clock, logs := clockwork.NewFakeClock(), memory.New()
+	set := &Settings{Name: "own", PeerAddress: testAddress(1), HeartbeatInterval: time.Second, Policy: DefaultPolicy()}
+	n := New(set, Ports{Decoder: anyConfiguration{}, Target: targets}, clock, &log.Logger{Handler: logs, Level: log.InfoLevel})
 	in := fleet.Instance{ID: "i", Born: time.UnixMilli(5000).UTC(), Service: "lm", Address: testAddress(9)}
-	n.roster.Listed(in, clock.Now())
-	return &observed{n, in, clock, lines}
+	n.roster.ApplyFreshEntry(in, clock.Now())
+	return &observedNode{n, in, clock, logs}
 }
 
-// logged returns how often a line was logged.
-func (o *observed) logged(message string) int {
+// logged returns how many log entries have a message.
+func (o *observedNode) logged(message string) int {
 	n := 0
-	for _, e := range o.lines.Entries {
+	for _, e := range o.logs.Entries {
 		if e.Message == message {
 			n++
 		}
@@ -65,129 +65,130 @@
 	return n
 }
 
-func TestAnyAnswerOfAnInstanceMaySayWhenItWantsToBeCalled(t *testing.T) {
+func TestAnyAnswerMayCarryCooldownAndLeaving(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		call func(n *observed)
+		call func(n *observedNode)
 		err  error
 	}{
-		{"to a request", func(n *observed) {
-			n.Told(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
+		{"answer to a request", func(n *observedNode) {
+			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, "r1", time.Time{})
 		}, nil},
-		{"to a question", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, nil},
-		{"to a question, with a failure", func(n *observed) { n.report(context.Background(), n.in, n.clock.Now()) }, placement.ErrUnreadable},
-		{"to an order", func(n *observed) {
-			n.placer.order(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.Ordering("i"))
+		{"answer to a probe", func(n *observedNode) { n.probeAndRecord(context.Background(), n.in, n.clock.Now()) }, nil},
+		{"answer to a probe that failed", func(n *observedNode) { n.probeAndRecord(context.Background(), n.in, n.clock.Now()) }, placement.ErrInvalidReport},
+		{"answer to an order", func(n *observedNode) {
+			n.placement.sendOrder(context.Background(), placement.Order{Instance: "i", Address: n.in.Address}, n.roster.BeginOrder("i"))
 		}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			n := observe(&noticing{notice: fleet.Notice{Cooldown: 3 * time.Second, Leaving: true}, err: c.err})
 			c.call(n)
-			until, cooling := n.CoolingDown(&n.in)
-			g.Expect(cooling).To(BeTrue())
+			until, inCooldown := n.CooldownUntil(&n.in)
+			g.Expect(inCooldown).To(BeTrue())
 			g.Expect(until).To(Equal(n.clock.Now().Add(3 * time.Second)))
-			g.Expect(n.Leaving(&n.in)).To(BeTrue())
+			g.Expect(n.IsLeaving(&n.in)).To(BeTrue())
 			c.call(n)
 			g.Expect(n.logged("cooldown began")).To(Equal(1))
 			g.Expect(n.logged("instance leaving")).To(Equal(1))
 			n.clock.Advance(3 * time.Second)
 			n.logCooldowns()
-			_, cooling = n.CoolingDown(&n.in)
-			g.Expect(cooling).To(BeFalse())
+			_, inCooldown = n.CooldownUntil(&n.in)
+			g.Expect(inCooldown).To(BeFalse())
 			g.Expect(n.logged("cooldown ended")).To(Equal(1))
-			g.Expect(n.Leaving(&n.in)).To(BeTrue())
+			g.Expect(n.IsLeaving(&n.in)).To(BeTrue())
 		})
 	}
 }
 
-// Two questions show that an instance no longer answers; more would only keep it from recovering.
-func TestAnInstanceThatIsCoolingDownIsAskedTwiceAtMost(t *testing.T) {
+// Two probes are enough to find that an instance no longer answers. More of them would only keep
+// it from recovering.
+func TestInstanceInCooldownIsProbedAtMostTwice(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		err  error
-		lost bool
+		name        string
+		err         error
+		unreachable bool
 	}{
-		{"it answers", nil, false},
-		{"it does not answer", context.DeadlineExceeded, true},
+		{"instance answers", nil, false},
+		{"instance does not answer", context.DeadlineExceeded, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			targets := &noticing{err: c.err}
 			n := observe(targets)
-			n.Told(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
+			n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
 			for range 20 {
 				n.clock.Advance(100 * time.Millisecond)
-				n.report(context.Background(), n.in, n.clock.Now())
+				n.probeAndRecord(context.Background(), n.in, n.clock.Now())
 			}
 			g.Expect(targets.asked).To(Equal(2))
 			v, _ := n.roster.Get("i", n.clock.Now())
-			g.Expect(v.Lost).To(Equal(c.lost))
+			g.Expect(v.Unreachable).To(Equal(c.unreachable))
 			n.clock.Advance(time.Second)
-			n.report(context.Background(), n.in, n.clock.Now())
+			n.probeAndRecord(context.Background(), n.in, n.clock.Now())
 			g.Expect(targets.asked).To(Equal(3))
 		})
 	}
 }
 
-func TestACooldownThatCannotBeReadIsLoggedOnce(t *testing.T) {
+func TestUnreadableCooldownIsLoggedOnce(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	for range 3 {
-		n.Told(&n.in, fleet.Notice{CooldownFault: retryafter.ErrValue}, "r1", time.Time{})
+		n.RecordNotice(&n.in, fleet.Notice{CooldownFault: retryafter.ErrValue}, "r1", time.Time{})
 	}
-	_, cooling := n.CoolingDown(&n.in)
-	g.Expect(cooling).To(BeFalse())
+	_, inCooldown := n.CooldownUntil(&n.in)
+	g.Expect(inCooldown).To(BeFalse())
 	g.Expect(n.logged("cooldown not read")).To(Equal(1))
 }
 
-func TestALaterLifeIsNeitherCoolingDownNorLeaving(t *testing.T) {
+func TestLaterIncarnationIsNeitherInCooldownNorLeaving(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
-	n.Told(&n.in, fleet.Notice{Cooldown: time.Minute, Leaving: true}, "r1", time.Time{})
+	n.RecordNotice(&n.in, fleet.Notice{Cooldown: time.Minute, Leaving: true}, "r1", time.Time{})
 	next := n.in
 	next.Born, next.Position = next.Born.Add(time.Second), next.Position+1
-	n.roster.Listed(next, n.clock.Now())
-	_, cooling := n.CoolingDown(&next)
-	g.Expect(cooling).To(BeFalse())
-	g.Expect(n.Leaving(&next)).To(BeFalse())
-	n.Told(&n.in, fleet.Notice{Leaving: true}, "r2", time.Time{}) // a late answer of the earlier life
-	g.Expect(n.Leaving(&next)).To(BeFalse())
+	n.roster.ApplyFreshEntry(next, n.clock.Now())
+	_, inCooldown := n.CooldownUntil(&next)
+	g.Expect(inCooldown).To(BeFalse())
+	g.Expect(n.IsLeaving(&next)).To(BeFalse())
+	n.RecordNotice(&n.in, fleet.Notice{Leaving: true}, "r2", time.Time{}) // a late answer of the earlier incarnation
+	g.Expect(n.IsLeaving(&next)).To(BeFalse())
 }
 
-func TestOperatorsSeeWhichInstancesAreCoolingDown(t *testing.T) {
+func TestOperatorListsInstancesInCooldown(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
-	n.Told(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
+	n.RecordNotice(&n.in, fleet.Notice{Cooldown: 3 * time.Second}, "r1", time.Time{})
 	n.clock.Advance(time.Second)
 	mux := http.NewServeMux()
-	n.handleOperators(mux)
+	n.registerOperatorHandlers(mux)
 	w := httptest.NewRecorder()
 	mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/cooldowns", nil))
-	var list []cooling
+	var list []cooldownState
 	g.Expect(json.Unmarshal(w.Body.Bytes(), &list)).To(Succeed())
-	g.Expect(list).To(Equal([]cooling{{Instance: "i", SinceMS: 1000, LeftMS: 2000}}))
+	g.Expect(list).To(Equal([]cooldownState{{Instance: "i", SinceMS: 1000, LeftMS: 2000}}))
 }
 
-// One node was told by an instance that it leaves; the leader hands its group over, and
-// no node sends it further requests, whatever entries of the list they have read.
-func TestAllNodesKnowThatAnInstanceLeaves(t *testing.T) {
+// One node receives the notice of an instance that it leaves. The leader hands its group over, and no
+// node sends it further requests, whatever entry of the list the node has read.
+func TestLeaveNoticeOfOneNodeReachesAllNodes(t *testing.T) {
 	g := NewWithT(t)
 	leader, a, b := numbered(g, "leader", 1), numbered(g, "a", 2), numbered(g, "b", 3)
 	in := fleet.Instance{ID: "i", Born: time.UnixMilli(5000).UTC(), Service: "lm", Position: 5, Address: testAddress(9)}
 	for _, n := range []*Node{leader, a, b} {
-		n.roster.Listed(in, n.clock.Now())
+		n.roster.ApplyFreshEntry(in, n.clock.Now())
 	}
-	exchange(g, b, leader)
-	a.Told(&in, fleet.Notice{Leaving: true}, "r1", time.Time{})
-	exchange(g, a, leader)
+	exchangeReport(g, b, leader)
+	a.RecordNotice(&in, fleet.Notice{Leaving: true}, "r1", time.Time{})
+	exchangeReport(g, a, leader)
 	newer := in
 	newer.Position = 7
-	b.roster.Listed(newer, b.clock.Now())
-	exchange(g, b, leader)
+	b.roster.ApplyFreshEntry(newer, b.clock.Now())
+	exchangeReport(g, b, leader)
 	for _, n := range []*Node{leader, a, b} {
-		g.Expect(n.Leaving(&in)).To(BeTrue(), n.set.Name)
+		g.Expect(n.IsLeaving(&in)).To(BeTrue(), n.settings.Name)
 		v, _ := n.roster.Get("i", n.clock.Now())
-		g.Expect(v.Draining).To(BeTrue(), n.set.Name)
+		g.Expect(v.Draining).To(BeTrue(), n.settings.Name)
 	}
 }
--- a/transport/entry/cooldown_test.go
+++ b/transport/entry/cooldown_test.go
@@ -21,33 +21,36 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// An overloaded instance turned nodes away with 503 and asked each of them for 3 s without
-// requests. Within that time it got a third one from two of the nodes, and could not recover.
-// A refusal only raised the instance's cost for a while, and since it held nothing it looked
-// like the emptiest: it was drawn again and again, by first sends as by repeats.
+// These tests guard against requests to an instance within the cooldown that it asked for. An
+// overloaded instance refuses requests with 503 and asks each node for, say, 3 s without requests.
+// If a refusal only raises the cost of the instance for a while, the instance still looks like the
+// least loaded one, since it has no requests in progress. Nodes then select it again and again, for
+// first attempts as well as for retries, and it cannot recover: two nodes sent it a third request
+// within the 3 s.
 //
-// Evidence: 37 refusals of one instance in 8 s, from all nodes, spaced by chance alone;
-// 130 of 144 refused attempts of the day were the first of their request.
+// Such an instance refused 37 requests within 8 s, from all nodes and at random intervals. Of 144
+// refused attempts, 130 were the first of their request, so retries alone are not the cause.
 
 // Times of the test.
 const (
-	// askedCooldown is how long an instance that sheds asks to be left alone.
-	askedCooldown = 2 * time.Second
-	// underWay is how long after a refusal requests that had left before may still arrive.
-	underWay = 500 * time.Millisecond
-	// shedTime is how long instances shed.
-	shedTime = 5 * time.Second
-	// requestEvery is the time between two requests of callers.
-	requestEvery = 4 * time.Millisecond
+	// requestedCooldown is the cooldown that a shedding instance asks for.
+	requestedCooldown = 2 * time.Second
+	// inFlightTime is how long after a refusal requests that were sent before it may still arrive.
+	inFlightTime = 500 * time.Millisecond
+	// shedDuration is how long instances shed load.
+	shedDuration = 5 * time.Second
+	// requestInterval is the interval between two requests of callers.
+	requestInterval = 4 * time.Millisecond
 )
 
-// leavingID is the instance that leaves.
-const leavingID = "i0"
+// leavingInstanceID is the ID of the instance that announces that it leaves.
+const leavingInstanceID = "i0"
 
-// mostInCooldown is how many requests of one node may reach an instance in its cooldown.
-const mostInCooldown = 2
+// maxRequestsInCooldown is the maximum number of requests of one node that may reach an instance during
+// its cooldown.
+const maxRequestsInCooldown = 2
 
-// Headers of the stand-in's dialect.
+// Headers of nodeCodec.
 const (
 	headerNode     = "Node"
 	headerNotRun   = "Not-Run"
@@ -55,40 +58,41 @@
 	headerLeaving  = "Leaving"
 )
 
-// nodeDialect is the dialect of a named node.
-type nodeDialect struct {
-	dialect
-	node string
+// nodeCodec is a codec that sends the name of its node to instances.
+type nodeCodec struct {
+	codec
+	id string
 }
 
-func (d nodeDialect) Forward(h http.Header, _ gateway.Forward) { h.Set(headerNode, d.node) }
+func (d nodeCodec) SetForwardHeaders(h http.Header, _ gateway.ForwardInfo) { h.Set(headerNode, d.id) }
 
-func (d nodeDialect) Verdict(_ int, h http.Header) gateway.Verdict {
+func (d nodeCodec) ParseReply(_ int, h http.Header) gateway.ReplyInfo {
 	seconds, _ := strconv.ParseFloat(h.Get(headerCooldown), 64)
-	return gateway.Verdict{Sealed: true, NotRun: h.Get(headerNotRun) != "", Notice: fleet.Notice{
+	return gateway.ReplyInfo{HasSeal: true, NotRun: h.Get(headerNotRun) != "", Notice: fleet.Notice{
 		Cooldown: time.Duration(seconds * float64(time.Second)), Leaving: h.Get(headerLeaving) != "",
 	}}
 }
 
-// shedding is a set of plain instances of which some turn all requests away for a while.
-type shedding struct {
-	mu       sync.Mutex
-	until    time.Time
-	leaves   bool
-	arrivals map[sender][]time.Time
-	refusals map[sender][]time.Time
-	// farewells are the answers in which an instance said that it leaves.
-	farewells map[sender][]time.Time
+// sheddingInstances is a set of instances of the plain service, some of which refuse all requests for a while.
+type sheddingInstances struct {
+	mu        sync.Mutex
+	shedUntil time.Time
+	isLeaving bool
+	arrivals  map[sender][]time.Time
+	refusals  map[sender][]time.Time
+	// leaveNotices holds the times of the answers in which an instance announced that it leaves.
+	leaveNotices map[sender][]time.Time
 }
 
-// sender is a node that sends to an instance.
+// sender is a pair of an instance and a node that sends to it.
 type sender struct {
 	instance, node string
 }
 
-// newShedding starts instances of which the first few shed until a time, and lists them.
-func newShedding(t *testing.T, s *store, instances, shed int) *shedding {
-	set := &shedding{arrivals: map[sender][]time.Time{}, refusals: map[sender][]time.Time{}, farewells: map[sender][]time.Time{}}
+// newSheddingInstances starts instances and adds them to the instance list. The first ones, as many as shed
+// says, refuse requests after beginShedding.
+func newSheddingInstances(t *testing.T, s *store, instances, shed int) *sheddingInstances {
+	set := &sheddingInstances{arrivals: map[sender][]time.Time{}, refusals: map[sender][]time.Time{}, leaveNotices: map[sender][]time.Time{}}
 	for i := range instances {
 		id := fmt.Sprintf("i%d", i)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { set.serve(w, r, id, i < shed) }))
@@ -100,41 +104,42 @@
 	return set
 }
 
-// begin has the instances shed from now on for a time.
-func (s *shedding) begin(d time.Duration) {
+// beginShedding makes the shedding instances refuse requests for d from now on.
+func (s *sheddingInstances) beginShedding(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = time.Now().Add(d)
+	s.shedUntil = time.Now().Add(d)
 }
 
-// serve answers a request, or turns it away and asks for a cooldown.
-func (s *shedding) serve(w http.ResponseWriter, r *http.Request, id string, sheds bool) {
+// serve answers a request, or refuses it and asks for a cooldown.
+func (s *sheddingInstances) serve(w http.ResponseWriter, r *http.Request, id string, sheds bool) {
 	body, _ := io.ReadAll(r.Body)
 	from := sender{id, r.Header.Get(headerNode)}
 	now := time.Now()
 	s.mu.Lock()
 	s.arrivals[from] = append(s.arrivals[from], now)
-	if sheds = sheds && now.Before(s.until); sheds {
+	if sheds = sheds && now.Before(s.shedUntil); sheds {
 		s.refusals[from] = append(s.refusals[from], now)
 	}
-	if s.leaves && id == leavingID {
-		s.farewells[from] = append(s.farewells[from], now)
+	if s.isLeaving && id == leavingInstanceID {
+		s.leaveNotices[from] = append(s.leaveNotices[from], now)
 		w.Header().Set(headerLeaving, "1")
 	}
 	s.mu.Unlock()
 	w.Header().Set("Id", r.Header.Get("Id"))
 	if sheds {
 		w.Header().Set(headerNotRun, "1")
-		w.Header().Set(headerCooldown, strconv.FormatFloat(askedCooldown.Seconds(), 'f', -1, 64))
+		w.Header().Set(headerCooldown, strconv.FormatFloat(requestedCooldown.Seconds(), 'f', -1, 64))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = w.Write(body)
 }
 
-// worst returns the most arrivals of one node within the cooldown after one of its refusals,
-// without those that may have been under way, and the number of refusals.
-func (s *shedding) worst() (most, refusals int) {
+// maxInCooldown returns the maximum number of requests that one node sent to an instance within the
+// cooldown after one of its refusals, and the total number of refusals. Requests that may have been
+// in flight at the refusal do not count.
+func (s *sheddingInstances) maxInCooldown() (most, refusals int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for from, list := range s.refusals {
@@ -142,7 +147,7 @@
 		for _, at := range list {
 			n := 0
 			for _, a := range s.arrivals[from] {
-				if d := a.Sub(at); d > underWay && d <= askedCooldown {
+				if d := a.Sub(at); d > inFlightTime && d <= requestedCooldown {
 					n++
 				}
 			}
@@ -152,31 +157,31 @@
 	return most, refusals
 }
 
-// leave has one instance say from now on that it leaves.
-func (s *shedding) leave() {
+// announceLeaving makes the instance leavingInstanceID announce in its answers from now on that it leaves.
+func (s *sheddingInstances) announceLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaves = true
+	s.isLeaving = true
 }
 
-// afterFarewell returns how many nodes were told that the instance leaves, and how many
-// requests it got from one of them later than what was under way.
-func (s *shedding) afterFarewell() (told, late int) {
+// afterLeaveNotice returns how many nodes received the announcement that the instance leaves, and how
+// many requests they sent to it afterwards, without those that may have been in flight.
+func (s *sheddingInstances) afterLeaveNotice() (notified, late int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for from, list := range s.farewells {
-		told++
+	for from, list := range s.leaveNotices {
+		notified++
 		for _, a := range s.arrivals[from] {
-			if a.Sub(list[0]) > underWay {
+			if a.Sub(list[0]) > inFlightTime {
 				late++
 			}
 		}
 	}
-	return told, late
+	return notified, late
 }
 
-// arrivedSince returns which instances got requests after a time.
-func (s *shedding) arrivedSince(at time.Time) map[string]int {
+// arrivalsSince returns the number of requests after a time for each instance that got any.
+func (s *sheddingInstances) arrivalsSince(at time.Time) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := map[string]int{}
@@ -190,14 +195,14 @@
 	return counts
 }
 
-// startNamedNodes starts nodes that tell instances their names, and waits until all of them serve.
+// startNamedNodes starts nodes that send their names to instances, and waits until all of them serve.
 func startNamedNodes(t *testing.T, s *store, count int) []*running {
 	return startServing(t, s, count, func(name string) entry.Ports {
-		return entry.Ports{Decoder: crashDecoder{}, Targets: dialTargets{}, Dialect: nodeDialect{node: name}}
+		return entry.Ports{Decoder: crashDecoder{}, Target: dialTargets{}, HeaderCodec: nodeCodec{id: name}}
 	})
 }
 
-// startServing starts nodes whose ports a function returns, and waits until all of them serve.
+// startServing starts nodes with the ports that a function returns, and waits until all of them serve.
 func startServing(t *testing.T, s *store, count int, ports func(name string) entry.Ports) []*running {
 	var nodes []*running
 	var seeds []netip.AddrPort
@@ -205,11 +210,11 @@
 		name := fmt.Sprintf("n%d", i)
 		n := startWith(t, s, ports(name), name, seeds...)
 		nodes = append(nodes, n)
-		seeds = append(seeds, n.set.Peer)
+		seeds = append(seeds, n.set.PeerAddress)
 	}
 	for _, n := range nodes {
 		serves := func() int {
-			code, _ := post(http.DefaultClient, n.set.Callers, "ready", "sound")
+			code, _ := post(http.DefaultClient, n.set.CallerAddress, "ready", "sound")
 			return code
 		}
 		NewWithT(t).Eventually(serves, 10*time.Second).Should(Equal(http.StatusOK))
@@ -217,81 +222,81 @@
 	return nodes
 }
 
-// callNodes has callers send requests to all nodes for a time and returns how many of each status came back.
-func callNodes(nodes []*running, d time.Duration) map[int]int {
+// sendRequests sends requests to randomly selected nodes for d and returns the number of responses by status.
+func sendRequests(nodes []*running, d time.Duration) map[int]int {
 	client := &http.Client{Timeout: 2 * time.Second}
 	var mu sync.Mutex
 	counts := map[int]int{}
 	var callers sync.WaitGroup
 	end := time.Now().Add(d)
 	for n := 0; time.Now().Before(end); n++ {
-		at := nodes[rand.N(len(nodes))].set.Callers
+		at := nodes[rand.N(len(nodes))].set.CallerAddress
 		callers.Go(func() {
 			code, _ := post(client, at, fmt.Sprintf("r%d", n), "x")
 			mu.Lock()
 			defer mu.Unlock()
 			counts[code]++
 		})
-		time.Sleep(requestEvery)
+		time.Sleep(requestInterval)
 	}
 	callers.Wait()
 	return counts
 }
 
-func TestAnInstanceThatAskedForACooldownIsLeftAlone(t *testing.T) {
+func TestInstanceGetsNoRequestsDuringCooldown(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		instances, shed int
 	}{
-		{"one of three", 3, 1},
-		{"two of three", 3, 2},
-		{"all of three", 3, 3},
-		{"the only one", 1, 1},
-		{"one of twelve", 12, 1},
+		{"one of three instances", 3, 1},
+		{"two of three instances", 3, 2},
+		{"all of three instances", 3, 3},
+		{"the only instance", 1, 1},
+		{"one of twelve instances", 12, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			s := &store{topics: map[source.Topic][]source.Item{}}
 			s.add(source.Configuration, "config", 1)
-			instances := newShedding(t, s, c.instances, c.shed)
+			instances := newSheddingInstances(t, s, c.instances, c.shed)
 			nodes := startNamedNodes(t, s, 3)
-			instances.begin(shedTime)
-			counts := callNodes(nodes, shedTime)
-			most, refusals := instances.worst()
-			t.Logf("%d refusals, at most %d arrivals in a cooldown, answers %v", refusals, most, counts)
+			instances.beginShedding(shedDuration)
+			counts := sendRequests(nodes, shedDuration)
+			most, refusals := instances.maxInCooldown()
+			t.Logf("%d refusals, at most %d requests of one node in a cooldown, responses by status: %v", refusals, most, counts)
 			g.Expect(refusals).To(BeNumerically(">", 0), "no instance asked for a cooldown")
-			g.Expect(most).To(BeNumerically("<=", mostInCooldown))
+			g.Expect(most).To(BeNumerically("<=", maxRequestsInCooldown))
 			if c.shed < c.instances {
 				g.Expect(counts[http.StatusOK]).To(BeNumerically(">", 0))
-				g.Expect(counts).To(HaveLen(1), "the others take all that comes")
+				g.Expect(counts).To(HaveLen(1), "the other instances serve all requests")
 			}
 
 			// Afterwards all instances serve again.
-			time.Sleep(askedCooldown)
+			time.Sleep(requestedCooldown)
 			began := time.Now()
-			g.Expect(callNodes(nodes, time.Second)).To(HaveLen(1))
-			g.Expect(instances.arrivedSince(began)).To(HaveLen(c.instances))
+			g.Expect(sendRequests(nodes, time.Second)).To(HaveLen(1))
+			g.Expect(instances.arrivalsSince(began)).To(HaveLen(c.instances))
 		})
 	}
 }
 
-// An instance says in its answers that it leaves, while its entry in the list goes on saying
-// that it is ready. Nodes read the list alone, and one that could not read it sent on until
-// the process ended.
-func TestAnInstanceThatSaysItIsLeavingGetsNoFurtherRequests(t *testing.T) {
+// An instance may announce in its answers that it leaves while its entry in the list still says
+// that it is ready. A node that relies on the list alone, and cannot read it, sends requests until
+// the process of the instance ends.
+func TestInstanceThatAnnouncesLeavingGetsNoFurtherRequests(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{topics: map[source.Topic][]source.Item{}}
 	s.add(source.Configuration, "config", 1)
-	instances := newShedding(t, s, 3, 0)
+	instances := newSheddingInstances(t, s, 3, 0)
 	nodes := startNamedNodes(t, s, 3)
-	callNodes(nodes, time.Second)
+	sendRequests(nodes, time.Second)
 	nodes[0].view.setCut(true)
-	instances.leave()
-	counts := callNodes(nodes, 3*time.Second)
-	told, late := instances.afterFarewell()
-	t.Logf("%d nodes were told, %d late requests, answers %v", told, late, counts)
-	g.Expect(told).To(BeNumerically(">", 0))
+	instances.announceLeaving()
+	counts := sendRequests(nodes, 3*time.Second)
+	notified, late := instances.afterLeaveNotice()
+	t.Logf("%d nodes got the announcement, %d late requests, responses by status: %v", notified, late, counts)
+	g.Expect(notified).To(BeNumerically(">", 0))
 	g.Expect(late).To(BeZero())
 	g.Expect(counts).To(HaveLen(1))
 }
--- a/transport/entry/endings.go
+++ b/transport/entry/endings.go
@@ -17,101 +17,104 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// endProof names what proved that an instance ended.
+// endProof is the evidence that an instance ended.
 type endProof string
 
-// The proofs that a process has ended. Silence is none: a cut looks alike.
+// The proofs that a process has ended. A time-out is no proof, since a network partition causes
+// time-outs too.
 const (
-	proofRefused  endProof = "its address refuses connections"
-	proofReplaced endProof = "another process answers at its address"
-	proofReborn   endProof = "it has started again"
+	proofRefused   endProof = "its address refuses connections"
+	proofReplaced  endProof = "another process answers at its address"
+	proofRestarted endProof = "it has started again"
 )
 
-// Broken implements gateway.Quarantine.
-func (n *Node) Broken(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time) {
-	var lives []fleet.Incarnation
+// RecordInterruption implements gateway.Quarantine.
+func (n *Node) RecordInterruption(f quarantine.Fingerprint, instances []fleet.Instance, began time.Time) {
+	var incarnations []fleet.Incarnation
 	for i := range instances {
-		// The members of a group that stands still have just been asked: only those that did
-		// not answer may have ended, one or two of 16.
-		if len(instances) == 1 || n.roster.Failures(instances[i].ID) > 0 {
-			lives = append(lives, instances[i].Incarnation())
+		// The members of a stalled group have just been probed. Only those that did not answer may
+		// have ended, usually one or two of 16.
+		if len(instances) == 1 || n.roster.ConsecutiveFailures(instances[i].ID) > 0 {
+			incarnations = append(incarnations, instances[i].Incarnation())
 		}
 	}
-	n.ledger.Broken(f, lives, began, n.clock.Now())
+	n.ledger.RecordInterruption(f, incarnations, began, n.clock.Now())
 }
 
-// Refused implements gateway.Quarantine.
-func (n *Node) Refused(c *dispatch.Candidate) { go n.refused(c.Incarnation()) }
+// RecordConnectionRefused implements gateway.Quarantine.
+func (n *Node) RecordConnectionRefused(c *dispatch.Candidate) { go n.onRefusal(c.Incarnation()) }
 
-// refused judges a refused connection to an instance on which requests broke off. A hall that is cut
-// off by resets refuses on behalf of instances that live: it proves an ending only if another
-// instance of the hall answers, and the connection is refused still.
-func (n *Node) refused(in fleet.Incarnation) {
-	if !n.ledger.Examine(in, n.clock.Now()) {
+// onRefusal decides whether a refused connection proves that an instance ended, if requests were
+// interrupted on it. A network partition that resets connections to a hall looks like refusals by
+// instances that are alive. If the hall has other instances, a refusal is therefore a proof only if
+// one of them answers and the instance then still refuses connections.
+func (n *Node) onRefusal(in fleet.Incarnation) {
+	if !n.ledger.BeginInvestigation(in, n.clock.Now()) {
 		return
 	}
 	v, known := n.roster.Get(in.ID, n.clock.Now())
 	if !known {
-		n.ended(in, proofRefused)
+		n.recordEnding(in, proofRefused)
 		return
 	}
 	neighbors := n.neighbors(&v.Instance)
 	switch {
-	case len(neighbors) == 0, n.answered(neighbors) && n.refusesStill(v.Instance):
-		n.ended(in, proofRefused)
+	case len(neighbors) == 0, n.anyResponds(neighbors) && n.stillRefuses(v.Instance):
+		n.recordEnding(in, proofRefused)
 	default:
 		n.Count("quarantine.unproven")
-		n.log.WithField("instance", in.ID).Debug("refused connection proves nothing")
+		n.log.WithField("instance", in.ID).Debug("refused connection is inconclusive")
 	}
 }
 
-// refusesStill reports whether an instance refuses a connection once more.
-func (n *Node) refusesStill(m fleet.Instance) bool {
-	_, err := n.tryQuestion(m)
+// stillRefuses probes an instance again and reports whether it refuses the connection.
+func (n *Node) stillRefuses(m fleet.Instance) bool {
+	_, err := n.probeOnly(m)
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// answered reports whether one of some instances answers a question, of which a few are asked.
-func (n *Node) answered(list []fleet.Instance) bool {
-	for _, m := range list[:min(len(list), mostNeighbors)] {
-		rep, err := n.tryQuestion(m)
+// anyResponds probes the first instances of a list, at most maxNeighborProbes, and reports whether one answered.
+func (n *Node) anyResponds(list []fleet.Instance) bool {
+	for _, m := range list[:min(len(list), maxNeighborProbes)] {
+		rep, err := n.probeOnly(m)
 		if err == nil {
-			n.reported(m, rep)
+			n.recordReport(m, rep)
 			return true
 		}
-		if errors.Is(err, placement.ErrUnreadable) || errors.Is(err, placement.ErrReplaced) {
-			return true // what is no report, or another process's, came over the same link
+		if errors.Is(err, placement.ErrInvalidReport) || errors.Is(err, placement.ErrAddressReused) {
+			return true // an invalid report, or one of another process, also proves that the link works
 		}
 	}
 	return false
 }
 
-// tryQuestion asks an instance for its report, without any conclusion.
-func (n *Node) tryQuestion(m fleet.Instance) (fleet.Report, error) {
+// probeOnly sends one probe to an instance and records nothing about the result.
+func (n *Node) probeOnly(m fleet.Instance) (fleet.Report, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), n.policy.ProbeTimeout)
 	defer cancel()
-	return n.question(ctx, m, n.clock.Now())
+	return n.probe(ctx, m, n.clock.Now())
 }
 
-// mostNeighbors bounds the instances that are asked for whether the link to their hall works.
-const mostNeighbors = 2
+// maxNeighborProbes is the maximum number of instances to probe to find out whether their hall is reachable.
+const maxNeighborProbes = 2
 
-// neighbors returns the other instances in the hall of one: first those that failed no call, and of
-// these those of other domains, since a domain may be lost as a whole.
-func (n *Node) neighbors(of *fleet.Instance) []fleet.Instance {
+// neighbors returns the other instances in an instance's hall in random order, except that those
+// whose last call succeeded come first, and then those of other domains, since a domain may fail as a
+// whole.
+func (n *Node) neighbors(instance *fleet.Instance) []fleet.Instance {
 	var list []fleet.Instance
 	for _, v := range n.roster.All(n.clock.Now()) {
-		if v.ID != of.ID && v.Hall == of.Hall {
+		if v.ID != instance.ID && v.Hall == instance.Hall {
 			list = append(list, v.Instance)
 		}
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	rank := func(m *fleet.Instance) int {
 		r := 0
-		if n.roster.Failures(m.ID) > 0 {
+		if n.roster.ConsecutiveFailures(m.ID) > 0 {
 			r += 2
 		}
-		if m.Domain == of.Domain {
+		if m.Domain == instance.Domain {
 			r++
 		}
 		return r
@@ -120,54 +123,54 @@
 	return list
 }
 
-// ended records that an instance has ended, and has the leader told at once of the
-// requests that it had under way.
-func (n *Node) ended(in fleet.Incarnation, proof endProof) {
-	requests := n.ledger.Ended(in, n.clock.Now())
+// recordEnding records that an instance has ended. If it had requests in flight, it requests an immediate
+// status report about them.
+func (n *Node) recordEnding(in fleet.Incarnation, proof endProof) {
+	requests := n.ledger.RecordEnding(in, n.clock.Now())
 	if len(requests) == 0 {
 		return
 	}
 	n.Count("quarantine.endings")
 	n.log.WithFields(log.Fields{"instance": in.ID, "proof": proof, "requests": requests}).Info("instance ended under requests")
-	n.tellSoon()
+	n.requestStatusReport()
 }
 
-// alive records that an instance answered a question.
-func (n *Node) alive(in fleet.Incarnation, asked time.Time) {
-	if !n.ledger.Alive(in, asked) {
+// recordProbeResponse records that an instance answered a probe sent at a time.
+func (n *Node) recordProbeResponse(in fleet.Incarnation, probedAt time.Time) {
+	if !n.ledger.RecordProbeResponse(in, probedAt) {
 		return
 	}
 	n.Count("quarantine.back")
-	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life}).Info("ended instance is back")
-	n.tellSoon()
+	n.log.WithFields(log.Fields{"instance": in.ID, "life": in.Life}).Info("ended instance responds again")
+	n.requestStatusReport()
 }
 
-// judgeReport concludes from the answer to a question, or the lack of one, whether
-// the instance has ended since requests broke off on it.
-func (n *Node) judgeReport(in fleet.Incarnation, asked time.Time, rep fleet.Report, err error) {
+// evaluateProbe decides from the result of a probe whether the instance has ended since requests were
+// interrupted on it.
+func (n *Node) evaluateProbe(in fleet.Incarnation, probedAt time.Time, rep fleet.Report, err error) {
 	switch {
-	case errors.Is(err, placement.ErrReplaced):
-		n.ended(in, proofReplaced)
+	case errors.Is(err, placement.ErrAddressReused):
+		n.recordEnding(in, proofReplaced)
 	case errors.Is(err, syscall.ECONNREFUSED):
-		n.refused(in)
-	case err == nil && !rep.Born.IsZero() && in.Life != "" && fleet.LifeSince(in.ID, rep.Born) != in:
-		n.ended(in, proofReborn)
+		n.onRefusal(in)
+	case err == nil && !rep.Born.IsZero() && in.Life != "" && fleet.NewIncarnation(in.ID, rep.Born) != in:
+		n.recordEnding(in, proofRestarted)
 	case err == nil:
-		// An answer that is no report may be that of another process at the address.
-		n.alive(in, asked)
+		// An invalid report is excluded: it may come from another process at the address.
+		n.recordProbeResponse(in, probedAt)
 	}
 }
 
-// askDoubted asks the instances on which requests broke off whether they live.
-func (n *Node) askDoubted() {
-	for _, in := range n.ledger.Due(n.clock.Now()) {
+// probeInterrupted probes the instances on which requests were interrupted and whose probe is due.
+func (n *Node) probeInterrupted() {
+	for _, in := range n.ledger.NextProbes(n.clock.Now()) {
 		v, known := n.roster.Get(in.ID, n.clock.Now())
 		switch {
 		case !known:
 		case in.Life != "" && v.Incarnation() != in:
-			n.ended(in, proofReborn)
+			n.recordEnding(in, proofRestarted)
 		default:
-			go n.report(context.Background(), v.Instance, n.clock.Now())
+			go n.probeAndRecord(context.Background(), v.Instance, n.clock.Now())
 		}
 	}
 }
--- a/transport/entry/era_test.go
+++ b/transport/entry/era_test.go
@@ -11,7 +11,7 @@
 	"github.com/troutmast/troutmast/coordination/source"
 )
 
-// eraStore answers each read in an era, with the records that it is given.
+// eraStore is a store without records that answers each read and write in its current era.
 type eraStore struct {
 	Store
 	era    int64
@@ -19,22 +19,23 @@
 	writes int
 }
 
-func (s *eraStore) Newest(context.Context, source.Topic) (source.Tail, error) {
-	return source.Tail{Era: s.era, End: s.next}, nil
+func (s *eraStore) Newest(context.Context, source.Topic) (source.ReadResult, error) {
+	return source.ReadResult{Era: s.era, NextOffset: s.next}, nil
 }
 
-func (s *eraStore) Read(_ context.Context, _ source.Topic, from int64, _ time.Duration) (source.Tail, error) {
-	return source.Tail{Era: s.era, End: from, Whole: true}, nil
+func (s *eraStore) Read(_ context.Context, _ source.Topic, from int64, _ time.Duration) (source.ReadResult, error) {
+	return source.ReadResult{Era: s.era, NextOffset: from, AtEnd: true}, nil
 }
 
-func (s *eraStore) Append(context.Context, source.Topic, string, []byte) (source.Place, error) {
+func (s *eraStore) Append(context.Context, source.Topic, string, []byte) (source.RecordPosition, error) {
 	s.writes++
 	s.next++
-	return source.Place{Era: s.era, Offset: s.next - 1}, nil
+	return source.RecordPosition{Era: s.era, Offset: s.next - 1}, nil
 }
 
-// The number of a node is the place of its entry: an offset alone was given to two lives.
-func TestNodesThatRegisterBeforeAndAfterARestorationHaveDifferentNumbers(t *testing.T) {
+// The number of a node is the era and the offset of its entry: after a restoration the store
+// may assign one offset to two incarnations.
+func TestNodeNumbersDifferAcrossRestorations(t *testing.T) {
 	g := NewWithT(t)
 	store := &eraStore{era: 1, next: 12}
 	before, after := newTestNode(), newTestNode()
@@ -42,58 +43,58 @@
 	before.register(t.Context())
 	store.era, store.next = 2, 12
 	after.register(t.Context())
-	g.Expect(after.number.Load()).NotTo(Equal(before.number.Load()))
-	g.Expect(before.placer.nextEpoch(0)).NotTo(Equal(after.placer.nextEpoch(0)))
+	g.Expect(after.incarnationNumber.Load()).NotTo(Equal(before.incarnationNumber.Load()))
+	g.Expect(before.placement.nextEpoch(0)).NotTo(Equal(after.placement.nextEpoch(0)))
 }
 
-// The answer of an older copy confirms nothing: a key that was taken away stands in it still.
-func TestAnOlderCopyConfirmsNoKeysUntilAllIsWrittenAgain(t *testing.T) {
+// A read from a backup does not confirm keys: the backup may still hold a revoked key.
+func TestBackupDoesNotConfirmKeysUntilSettled(t *testing.T) {
 	g := NewWithT(t)
 	n := observe(&noticing{})
 	store := &eraStore{era: 1, next: 5}
 	n.ports.Store = store
 	cursor := n.newCursor()
-	read := func() bool {
-		tail, reading, err := n.follow(t.Context(), source.Configuration, cursor, 0)
+	confirmed := func() bool {
+		tail, reading, err := n.readNew(t.Context(), source.Configuration, cursor, 0)
 		g.Expect(err).NotTo(HaveOccurred())
-		return tail.Whole && reading != source.Restored && n.eras.confirms(n.clock.Now())
+		return tail.AtEnd && reading != source.ReadRestored && n.eras.isCurrent(n.clock.Now())
 	}
-	read()
-	g.Expect(read()).To(BeTrue())
-	for range 2 { // twice in a row, the second during the first
+	confirmed()
+	g.Expect(confirmed()).To(BeTrue())
+	for range 2 { // a second restoration, before the first has settled
 		store.era++
 		go func() { _ = n.clock.BlockUntilContext(t.Context(), 1); n.clock.Advance(staleRetry) }()
-		g.Expect(read()).To(BeFalse(), "an answer of another era than the question was for")
-		g.Expect(read()).To(BeFalse(), "all of an older copy")
-		g.Expect(read()).To(BeFalse(), "what was written since")
+		g.Expect(confirmed()).To(BeFalse(), "the read began in the previous era")
+		g.Expect(confirmed()).To(BeFalse(), "the read returns only the backup")
+		g.Expect(confirmed()).To(BeFalse(), "the records that the backup lacks may not be written again yet")
 		n.clock.Advance(n.policy.RestoreSettle / 2)
-		g.Expect(read()).To(BeFalse())
+		g.Expect(confirmed()).To(BeFalse())
 	}
 	n.clock.Advance(n.policy.RestoreSettle)
-	read()
-	g.Expect(read()).To(BeTrue())
+	confirmed()
+	g.Expect(confirmed()).To(BeTrue())
 	g.Expect(n.logged("store came back from an older copy")).To(Equal(2))
 }
 
-// A node that reads nothing of the store itself hears of a restoration from the others.
-func TestNodesTellEachOtherOfARestoration(t *testing.T) {
+// A node that does not read the store itself learns of a restoration from the other nodes.
+func TestNodesReportRestorationToEachOther(t *testing.T) {
 	g := NewWithT(t)
 	leader, other := numbered(g, "leader", 1), numbered(g, "other", 2)
 	for _, n := range []*Node{leader, other} {
-		n.observeEra(1, "store")
+		n.recordEra(1, "store")
 	}
-	leader.observeEra(2, "store")
-	g.Expect(other.eras.confirms(other.clock.Now())).To(BeTrue())
-	resp, err := leader.peers.answer(context.Background(), connect.NewRequest(other.peers.word()))
+	leader.recordEra(2, "store")
+	g.Expect(other.eras.isCurrent(other.clock.Now())).To(BeTrue())
+	resp, err := leader.peers.handleStatusReport(context.Background(), connect.NewRequest(other.peers.statusReport()))
 	g.Expect(err).NotTo(HaveOccurred())
-	other.observeEra(resp.Msg.Era, "leader")
-	g.Expect(other.eras.confirms(other.clock.Now())).To(BeFalse())
-	g.Expect(other.writeAgain).To(HaveLen(1))
+	other.recordEra(resp.Msg.Era, "leader")
+	g.Expect(other.eras.isCurrent(other.clock.Now())).To(BeFalse())
+	g.Expect(other.rewriteRequested).To(HaveLen(1))
 
-	// One that speaks of the era before changes nothing.
+	// A status report with an earlier era changes nothing.
 	third := numbered(g, "third", 3)
-	third.observeEra(1, "store")
-	_, err = leader.peers.answer(context.Background(), connect.NewRequest(third.peers.word()))
+	third.recordEra(1, "store")
+	_, err = leader.peers.handleStatusReport(context.Background(), connect.NewRequest(third.peers.statusReport()))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(leader.eras.current()).To(BeEquivalentTo(2))
 }
--- a/transport/entry/health.go
+++ b/transport/entry/health.go
@@ -15,167 +15,167 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// Heard implements gateway.Health.
-func (n *Node) Heard(id state.InstanceID, at time.Time) { n.roster.Heard(id, at) }
+// RecordResponse implements gateway.FailureDetector.
+func (n *Node) RecordResponse(id state.InstanceID, at time.Time) { n.roster.RecordResponse(id, at) }
 
-// Failed implements gateway.Health.
-func (n *Node) Failed(id state.InstanceID, at time.Time) {
-	n.roster.Failed(id, at)
-	n.suspect(id, at)
-	n.touch()
+// RecordFailure implements gateway.FailureDetector.
+func (n *Node) RecordFailure(id state.InstanceID, at time.Time) {
+	n.roster.RecordFailure(id, at)
+	n.recordSuspicion(id, at)
+	n.requestRebuild()
 }
 
-// Replaced implements gateway.Health.
-func (n *Node) Replaced(id state.InstanceID) {
-	n.roster.Replaced(id, n.clock.Now())
-	n.touch()
+// RecordReplaced implements gateway.FailureDetector.
+func (n *Node) RecordReplaced(id state.InstanceID) {
+	n.roster.RecordReplaced(id, n.clock.Now())
+	n.requestRebuild()
 }
 
-// Suspect implements gateway.Health: it asks all members of a group whether they
-// live, and gives the group's requests up if one does not.
-func (n *Node) Suspect(c *dispatch.Candidate) {
+// ProbeGroup implements gateway.FailureDetector. It probes all members of a group in the background
+// and cancels the group's requests if one does not answer.
+func (n *Node) ProbeGroup(c *dispatch.Candidate) {
 	go func() {
-		silent := n.askAll(c.Members)
-		if len(silent) == 0 {
+		unresponsive := n.probeAll(c.Members)
+		if len(unresponsive) == 0 {
 			return
 		}
 		n.Count("group.stalled")
 		n.log.WithFields(log.Fields{
-			"group": c.Membership.Group, "epoch": c.Membership.Epoch, "head": c.ID, "silent": silent, "held": c.Held(),
-		}).Warn("group stands still")
-		n.touch()
-		n.gate.Watch.CutStalled(c.ID)
+			"group": c.Membership.Group, "epoch": c.Membership.Epoch, "head": c.ID, "silent": unresponsive, "held": c.InFlight(),
+		}).Warn("group stalled")
+		n.requestRebuild()
+		n.gateway.StallDetector.CancelGroup(c.ID)
 	}()
 }
 
-// askAll asks instances for their reports and returns those that did not answer.
-func (n *Node) askAll(members []fleet.Instance) []state.InstanceID {
+// probeAll probes instances concurrently and returns those that did not answer.
+func (n *Node) probeAll(members []fleet.Instance) []state.InstanceID {
 	var mu sync.Mutex
-	var silent []state.InstanceID
+	var unresponsive []state.InstanceID
 	var wg sync.WaitGroup
 	for _, m := range members {
 		wg.Go(func() {
-			if n.ask(context.Background(), m) {
+			if n.probeWithRetry(context.Background(), m) {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			silent = append(silent, m.ID)
+			unresponsive = append(unresponsive, m.ID)
 		})
 	}
 	wg.Wait()
-	return silent
+	return unresponsive
 }
 
-// ask asks an instance for its report and reports whether it answered. One that
-// does not is asked once more.
-func (n *Node) ask(ctx context.Context, m fleet.Instance) bool {
+// probeWithRetry probes an instance, with one retry, and reports whether it answered.
+func (n *Node) probeWithRetry(ctx context.Context, m fleet.Instance) bool {
 	for range 2 {
-		asked := n.clock.Now()
-		if n.report(ctx, m, asked) {
+		probedAt := n.clock.Now()
+		if n.probeAndRecord(ctx, m, probedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// errNotAsked means that an instance was not to be asked now: one that wants no calls for a while is
-// asked only until it can have shown that it is lost, one that takes few only now and then.
-var errNotAsked = errors.New("entry: the instance takes no question now")
+// errProbeSkipped means that a probe was not sent because of a cooldown or a rate limit. An instance that
+// is cooling down is probed only as often as is needed to detect its loss, a rate-limited one seldom.
+var errProbeSkipped = errors.New("entry: probe skipped: instance is cooling down or rate limited")
 
-// question asks an instance for its report once.
-func (n *Node) question(ctx context.Context, m fleet.Instance, asked time.Time) (fleet.Report, error) {
-	if !n.cooldowns.Question(m.Incarnation(), asked) {
+// probe sends one probe to an instance and returns its report.
+func (n *Node) probe(ctx context.Context, m fleet.Instance, probedAt time.Time) (fleet.Report, error) {
+	if !n.cooldowns.TryProbe(m.Incarnation(), probedAt) {
 		n.Count("probes.cooling-down")
-		return fleet.Report{}, errNotAsked
+		return fleet.Report{}, errProbeSkipped
 	}
-	if !n.limits.Question(m.Incarnation(), n.asker(m.ID), asked) {
+	if !n.limits.TryProbe(m.Incarnation(), n.probeRequest(m.ID), probedAt) {
 		n.Count("probes.rate-limited")
-		return fleet.Report{}, errNotAsked
+		return fleet.Report{}, errProbeSkipped
 	}
 	n.Count("probes")
-	rep, err := n.ports.Targets.Report(ctx, m.Address, m.ID, n.connectionTo(m.ID))
-	rep.Asked = asked
+	rep, err := n.ports.Target.Report(ctx, m.Address, m.ID, n.connectionTo(m.ID))
+	rep.Asked = probedAt
 	return rep, err
 }
 
-// told records what an instance asks for in the answer to a question.
-func (n *Node) told(m fleet.Instance, rep fleet.Report) {
+// recordProbeNotice records the notice in the answer to a probe.
+func (n *Node) recordProbeNotice(m fleet.Instance, rep fleet.Report) {
 	if !rep.Born.IsZero() {
 		m.Born = rep.Born
 	}
-	n.Told(&m, rep.Notice, "", rep.Asked)
+	n.RecordNotice(&m, rep.Notice, "", rep.Asked)
 }
 
-// reported records the report of an instance, and then what it asks for: the roster knows of a
-// later life by then.
-func (n *Node) reported(m fleet.Instance, rep fleet.Report) {
-	n.roster.Reported(m.ID, rep)
-	n.told(m, rep)
+// recordReport records the report of an instance and then its notice, so that the roster already knows
+// a later incarnation when the notice is recorded.
+func (n *Node) recordReport(m fleet.Instance, rep fleet.Report) {
+	n.roster.RecordReport(m.ID, rep)
+	n.recordProbeNotice(m, rep)
 }
 
-// report asks an instance for its report once and reports whether it answered, or need not.
-func (n *Node) report(ctx context.Context, m fleet.Instance, asked time.Time) bool {
+// probeAndRecord sends one probe to an instance, records the result, and reports whether the instance may be
+// assumed alive: it answered, or the probe was skipped or inconclusive.
+func (n *Node) probeAndRecord(ctx context.Context, m fleet.Instance, probedAt time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.policy.ProbeTimeout)
 	defer cancel()
-	rep, err := n.question(ctx, m, asked)
-	if errors.Is(err, errNotAsked) {
+	rep, err := n.probe(ctx, m, probedAt)
+	if errors.Is(err, errProbeSkipped) {
 		return true
 	}
-	defer n.told(m, rep) // after the roster knows of a later life
-	n.judgeReport(m.Incarnation(), asked, rep, err)
-	if errors.Is(err, placement.ErrReplaced) {
-		n.Replaced(m.ID)
+	defer n.recordProbeNotice(m, rep) // deferred until the roster knows a later incarnation
+	n.evaluateProbe(m.Incarnation(), probedAt, rep, err)
+	if errors.Is(err, placement.ErrAddressReused) {
+		n.RecordReplaced(m.ID)
 		return false
 	}
-	if errors.Is(err, placement.ErrUnreadable) {
-		n.unreadable(m.ID, asked, err)
+	if errors.Is(err, placement.ErrInvalidReport) {
+		n.recordUnreadableReport(m.ID, probedAt, err)
 		return true
 	}
-	late := err != nil && n.delayed(ctx, asked, n.policy.ProbeTimeout)
-	n.load.probe(err != nil, late)
-	if late {
+	inconclusive := err != nil && n.isInconclusive(ctx, probedAt, n.policy.ProbeTimeout)
+	n.leaderLoad.recordProbe(err != nil, inconclusive)
+	if inconclusive {
 		n.Count("probes.inconclusive")
 		return true
 	}
 	if err != nil {
-		n.Failed(m.ID, asked)
-		n.logFailedProbe(m.ID, asked, err)
+		n.RecordFailure(m.ID, probedAt)
+		n.logFailedProbe(m.ID, probedAt, err)
 		return false
 	}
-	n.roster.Reported(m.ID, rep)
+	n.roster.RecordReport(m.ID, rep)
 	return true
 }
 
-// connectionTo returns over which connection an instance is called next: a new one if its
-// last call failed.
-func (n *Node) connectionTo(id state.InstanceID) Connection {
-	return Connection(n.roster.Failures(id) > 0)
+// connectionTo returns the connection for the next call to an instance: a new one if the last
+// call failed.
+func (n *Node) connectionTo(id state.InstanceID) ConnectionReuse {
+	return ConnectionReuse(n.roster.ConsecutiveFailures(id) > 0)
 }
 
-// logFailedProbe logs a failed probe as long as the instance does not yet count as
-// lost for it, so that a dead instance is logged once or twice.
-func (n *Node) logFailedProbe(id state.InstanceID, asked time.Time, err error) {
-	failures := n.roster.Failures(id)
-	if failures > n.set.Policy.Roster.LostFailures {
+// logFailedProbe logs a failed probe until the instance has failed often enough to be lost, so that
+// a dead instance is logged only a few times.
+func (n *Node) logFailedProbe(id state.InstanceID, probedAt time.Time, err error) {
+	failures := n.roster.ConsecutiveFailures(id)
+	if failures > n.settings.Policy.Roster.LostFailures {
 		return
 	}
 	n.log.WithError(err).WithFields(log.Fields{
-		"instance": id, "failures": failures, "ms": n.clock.Since(asked).Milliseconds(),
+		"instance": id, "failures": failures, "ms": n.clock.Since(probedAt).Milliseconds(),
 	}).Info("probe failed")
 }
 
-// delayed reports whether a call begun at a time ran out of time while this process
-// itself ran late, so that its end says nothing of the other side.
-func (n *Node) delayed(ctx context.Context, began time.Time, timeout time.Duration) bool {
+// isInconclusive reports whether a call that began at a time timed out while this process itself was
+// delayed, so that the time-out is no evidence about the other side.
+func (n *Node) isInconclusive(ctx context.Context, began time.Time, timeout time.Duration) bool {
 	if ctx.Err() == nil {
 		return false
 	}
 	now := n.clock.Now()
-	return n.health.Delayed(began, now) || localhealth.Overran(began.Add(timeout), now)
+	return n.localHealth.DelayedSince(began, now) || localhealth.DetectedLate(began.Add(timeout), now)
 }
 
-// watchHealth measures how late the node's own timers are.
+// watchHealth measures how late the node's own timers fire, and runs the checks due at each interval.
 func (n *Node) watchHealth(ctx context.Context) {
 	for {
 		began := n.clock.Now()
@@ -184,60 +184,61 @@
 		}
 		now := n.clock.Now()
 		delay := now.Sub(began) - n.policy.HealthInterval
-		n.health.Observe(delay, now)
-		n.load.timer(delay)
-		n.gate.Watch.Look()
-		n.dealLimits(now)
-		n.askDoubted()
+		n.localHealth.RecordDelay(delay, now)
+		n.leaderLoad.recordTimerDelay(delay)
+		n.gateway.StallDetector.Check()
+		n.allocateRates(now)
+		n.probeInterrupted()
 	}
 }
 
-// Woke records that the machine was suspended for a time. All ages that the node knows
-// have grown by it; the list and the leader are asked anew at once.
-func (n *Node) Woke(d time.Duration) {
+// RecordResume records that the machine was suspended for d. All data that the node holds is older by d, so
+// the node reads the instance list and sends a status report to the leader at once.
+func (n *Node) RecordResume(d time.Duration) {
 	n.Count("wakeups")
 	n.log.WithField("ms", d.Milliseconds()).Warn("the machine was suspended")
-	n.readListNow()
-	n.tellSoon()
+	n.requestListRead()
+	n.requestStatusReport()
 }
 
-// unreadable takes in that an instance answered no report: it lives, and what was
-// known of it stays. The first such answer of an instance is logged.
-func (n *Node) unreadable(id state.InstanceID, asked time.Time, err error) {
+// recordUnreadableReport records that an instance answered with an invalid report. The instance is alive, and
+// its last report stays in force. Only the first such answer of an instance is logged.
+func (n *Node) recordUnreadableReport(id state.InstanceID, probedAt time.Time, err error) {
 	n.Count("reports.unreadable")
-	n.roster.Heard(id, asked)
-	if _, known := n.garbled.LoadOrStore(id, true); !known {
-		n.log.WithError(err).WithField("instance", id).Warn("report not read")
+	n.roster.RecordResponse(id, probedAt)
+	if _, known := n.loggedOnce.LoadOrStore(id, true); !known {
+		n.log.WithError(err).WithField("instance", id).Warn("invalid instance report")
 	}
 }
 
-// suspect remembers that an instance did not answer, and has the placing node told at once.
-func (n *Node) suspect(id state.InstanceID, at time.Time) {
+// recordSuspicion records that an instance did not answer, and requests an immediate status report.
+func (n *Node) recordSuspicion(id state.InstanceID, at time.Time) {
 	n.mu.Lock()
-	n.suspects[id] = at
+	n.suspectedAt[id] = at
 	n.mu.Unlock()
-	n.tellSoon()
+	n.requestStatusReport()
 }
 
-// tellSoon has the leader told at once what this node knows.
-func (n *Node) tellSoon() {
+// requestStatusReport requests an immediate status report to the leader.
+func (n *Node) requestStatusReport() {
 	select {
-	case n.news <- struct{}{}:
+	case n.statusRequested <- struct{}{}:
 	default:
 	}
 }
 
-// suspected returns the instances that did not answer lately.
-func (n *Node) suspected(now time.Time) []Suspicion {
+// suspicions returns the instances that did not answer this node within NodePolicy.SuspectTTL, and
+// removes older suspicions.
+func (n *Node) suspicions(now time.Time) []Suspicion {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var list []Suspicion
-	for id, at := range n.suspects {
-		if now.Sub(at) > n.policy.SuspectFor {
-			delete(n.suspects, id)
+	for id, at := range n.suspectedAt {
+		if now.Sub(at) > n.policy.SuspectTTL {
+			delete(n.suspectedAt, id)
 			continue
 		}
-		list = append(list, Suspicion{Instance: id, AgeMS: age(now.Sub(at))})
+		list = append(list, Suspicion{Instance: id, AgeMS: ceilMS(now.Sub(at))})
 	}
 	return list
 }
--- a/transport/entry/knowledge.go
+++ b/transport/entry/knowledge.go
@@ -11,57 +11,58 @@
 	"github.com/troutmast/troutmast/state/catalog"
 )
 
-// keysMargin is taken off the time for which keys are trusted, for the way of a request to its instance.
-const keysMargin = 400 * time.Millisecond
+// keyTransitMargin is subtracted from the time for which keys are trusted, to allow for the transit of a
+// request to its instance.
+const keyTransitMargin = 400 * time.Millisecond
 
-// Knowledge is the configuration in force at a node, and how old the node's
-// knowledge of it may be; safe for concurrent use.
+// ConfigState holds the configuration in force at a node and the time at which it was last confirmed
+// to be current. It is safe for concurrent use.
 //
-// The age counts from the moment at which the question was asked that was last
-// answered with this configuration, so that a pause anywhere makes it look
-// older, never younger.
-type Knowledge struct {
+// The age counts from the start of the last read that was answered with this configuration, so
+// that a pause anywhere makes it look older, never younger.
+type ConfigState struct {
 	clock   clockwork.Clock
 	decoder Decoder
-	// within is for how long keys are trusted, in nanoseconds; 0 is without bound.
-	within atomic.Int64
+	// maxKeyAge is the time for which keys are trusted, in nanoseconds; 0 means no limit.
+	maxKeyAge atomic.Int64
 
-	mu      sync.Mutex
-	raw     []byte
-	catalog atomic.Pointer[catalog.Catalog]
-	fresh   atomic.Int64
+	mu          sync.Mutex
+	encoded     []byte
+	catalog     atomic.Pointer[catalog.Catalog]
+	confirmedAt atomic.Int64
 }
 
-// NewKnowledge returns a Knowledge without configuration.
-func NewKnowledge(decoder Decoder, strict bool, within time.Duration, clock clockwork.Clock) *Knowledge {
-	k := &Knowledge{clock: clock, decoder: decoder}
-	k.SetBound(strict, within)
+// NewConfigState returns a ConfigState without a configuration.
+func NewConfigState(decoder Decoder, strict bool, maxAge time.Duration, clock clockwork.Clock) *ConfigState {
+	k := &ConfigState{clock: clock, decoder: decoder}
+	k.SetMaxKeyAge(strict, maxAge)
 	return k
 }
 
-// SetBound changes for how long keys are trusted; without strict, they always are.
-func (k *Knowledge) SetBound(strict bool, within time.Duration) {
+// SetMaxKeyAge sets the time for which keys are trusted. If strict is false, they always are.
+func (k *ConfigState) SetMaxKeyAge(strict bool, maxAge time.Duration) {
 	if !strict {
-		within = 0
+		maxAge = 0
 	}
-	k.within.Store(int64(within))
+	k.maxKeyAge.Store(int64(maxAge))
 }
 
-// Catalog returns the configuration, or nil while none is known.
-func (k *Knowledge) Catalog() *catalog.Catalog { return k.catalog.Load() }
+// Catalog returns the configuration in force, or nil if there is none yet.
+func (k *ConfigState) Catalog() *catalog.Catalog { return k.catalog.Load() }
 
-// Raw returns the configuration as the store holds it, and its version.
-func (k *Knowledge) Raw() ([]byte, int64) {
+// Encoded returns the encoded configuration, as it is in the store, and its version.
+func (k *ConfigState) Encoded() ([]byte, int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if c := k.catalog.Load(); c != nil {
-		return k.raw, c.Version
+		return k.encoded, c.Version
 	}
 	return nil, 0
 }
 
-// Learn puts a configuration in force, unless that one or a newer one already is, and reports whether it did.
-func (k *Knowledge) Learn(raw []byte) (bool, error) {
+// Apply decodes a configuration and puts it in force, unless the same or a newer version already
+// is. It reports whether the configuration changed.
+func (k *ConfigState) Apply(raw []byte) (bool, error) {
 	c, err := k.decoder.Catalog(raw)
 	if err != nil {
 		return false, err
@@ -71,36 +72,37 @@
 	if old := k.catalog.Load(); old != nil && old.Version >= c.Version {
 		return false, nil
 	}
-	k.raw = raw
+	k.encoded = raw
 	k.catalog.Store(c)
 	return true, nil
 }
 
-// Confirm takes in that no newer configuration was there when a question was asked.
-func (k *Knowledge) Confirm(asked time.Time) {
+// RecordConfirmation records that there was no newer configuration at the start of a read.
+func (k *ConfigState) RecordConfirmation(startedAt time.Time) {
 	for {
-		old := k.fresh.Load()
-		if steady.Nanos(asked) <= old || k.fresh.CompareAndSwap(old, steady.Nanos(asked)) {
+		old := k.confirmedAt.Load()
+		if steady.Nanos(startedAt) <= old || k.confirmedAt.CompareAndSwap(old, steady.Nanos(startedAt)) {
 			return
 		}
 	}
 }
 
-// Age returns how old the knowledge may be; false when none was ever had.
-func (k *Knowledge) Age() (time.Duration, bool) {
-	at := k.fresh.Load()
+// Age returns the time since the configuration was last confirmed to be current, and false if it
+// never was.
+func (k *ConfigState) Age() (time.Duration, bool) {
+	at := k.confirmedAt.Load()
 	if at == 0 {
 		return 0, false
 	}
 	return time.Duration(steady.Nanos(k.clock.Now()) - at), true
 }
 
-// KeysFresh reports whether keys can still be trusted.
-func (k *Knowledge) KeysFresh() bool {
-	within := time.Duration(k.within.Load())
-	if within == 0 {
+// KeysFresh reports whether the configuration is recent enough for its keys to be trusted.
+func (k *ConfigState) KeysFresh() bool {
+	maxAge := time.Duration(k.maxKeyAge.Load())
+	if maxAge == 0 {
 		return true
 	}
 	age, ok := k.Age()
-	return ok && age < within-keysMargin
+	return ok && age < maxAge-keyTransitMargin
 }
--- a/transport/entry/node.go
+++ b/transport/entry/node.go
@@ -26,122 +26,125 @@
 	"github.com/troutmast/troutmast/transport/gateway"
 )
 
-// Bounds of connections.
+// Connection timeouts.
 const (
-	// dialTimeout bounds the time to connect to an instance.
+	// dialTimeout is the maximum time to connect to an instance.
 	dialTimeout = 400 * time.Millisecond
-	// silence is how long sent bytes may stay unacknowledged.
-	silence = 2 * time.Second
-	// headerTime bounds the reading of a request's head.
-	headerTime = 10 * time.Second
-	// idleTime is how long a caller's connection may rest.
-	idleTime = 90 * time.Second
+	// ackTimeout is the maximum time for which sent bytes may remain unacknowledged.
+	ackTimeout = 2 * time.Second
+	// readHeaderTimeout is the maximum time to read a request's headers.
+	readHeaderTimeout = 10 * time.Second
+	// idleTimeout is how long a caller's connection may be idle.
+	idleTimeout = 90 * time.Second
 )
 
-// Node is one entry node.
+// Node is an entry node: it accepts requests from callers and forwards them to instances.
 type Node struct {
-	set    *Settings
-	policy NodePolicy
-	clock  clockwork.Clock
-	ports  Ports
-	know   *Knowledge
-	roster *roster.Roster
-	table  *dispatch.Table
-	gate   *gateway.Gateway
-	demand *demand.Meter
-	ledger *quarantine.Ledger
-	// cooldowns are the instances that asked this node to send them nothing for a while.
-	cooldowns *cooldown.Book
-	// limits are the instances that take only so many requests a second from all nodes together.
-	limits  *ratelimit.Book
-	dealer  *ratelimit.Dealer
-	pool    *direct.Pool
-	metrics metrics.Registry
-	log     *log.Logger
-	peers   *peers
-	placer  *placer
-	health  localhealth.Monitor
-	load    leaderLoad
-	feed    feed
-	started time.Time
+	settings    *Settings
+	policy      NodePolicy
+	clock       clockwork.Clock
+	ports       Ports
+	configState *ConfigState
+	roster      *roster.Roster
+	table       *dispatch.Table
+	gateway     *gateway.Gateway
+	demand      *demand.Meter
+	ledger      *quarantine.Ledger
+	// cooldowns tracks the instances that asked this node to send them nothing for some time.
+	cooldowns *cooldown.Tracker
+	// limits tracks the instances that limit the requests per second from all nodes together.
+	limits        *ratelimit.Tracker
+	rateAllocator *ratelimit.Allocator
+	pool          *direct.Pool
+	metrics       metrics.Registry
+	log           *log.Logger
+	peers         *peers
+	placement     *placementController
+	localHealth   localhealth.Monitor
+	leaderLoad    leaderLoad
+	feed          feed
+	started       time.Time
 
-	// number names this life of the node among all: the place of its first entry in the store, plus one.
-	number  atomic.Int64
-	eras    eras
-	storeAt atomic.Int64
-	// storeFailed tells that the last read of the store failed: only the first of a row is logged.
+	// incarnationNumber identifies this incarnation of the node: the offset of its first entry in the store, plus one.
+	incarnationNumber atomic.Int64
+	eras              eraTracker
+	storeReadAt       atomic.Int64
+	// storeFailed reports whether the last read of the store failed. Only the first of consecutive
+	// failures is logged.
 	storeFailed atomic.Bool
 	stopping    atomic.Bool
-	// listSoon asks for frequent reads of the list.
-	listSoon atomic.Bool
-	listNow  chan struct{}
-	// writeAgain asks for the node's entry to be written again.
-	writeAgain chan struct{}
-	// changed asks for the candidates to be built anew.
-	changed chan struct{}
+	// fastListPolling requests frequent reads of the instance list.
+	fastListPolling atomic.Bool
+	// listRequested requests one read of the instance list.
+	listRequested chan struct{}
+	// rewriteRequested requests that the node's entry is written again.
+	rewriteRequested chan struct{}
+	// rebuildRequested requests a rebuild of the candidates.
+	rebuildRequested chan struct{}
 
-	// garbled are the instances that answered something that is no report.
-	garbled sync.Map
+	// loggedOnce holds a key for each invalid or unexpected message that was already logged, so that it
+	// is logged only once.
+	loggedOnce sync.Map
 
 	mu sync.Mutex
-	// avoid are formations that the placing node takes apart.
-	avoid map[fleet.GroupKey]bool
-	// suspects are instances that did not answer this node, with when they were asked.
-	suspects map[state.InstanceID]time.Time
-	// leavers are lives of instances that told this node that they will end soon, with when.
-	leavers map[fleet.Incarnation]time.Time
-	// news asks for a word to the placing node at once.
-	news chan struct{}
+	// excludedGroups holds the groups, each at one epoch, that receive no new requests by decision of the leader.
+	excludedGroups map[fleet.GroupKey]bool
+	// suspectedAt maps each instance that did not answer this node to the time of the unanswered call.
+	suspectedAt map[state.InstanceID]time.Time
+	// leavingSince maps each incarnation known to be leaving to the time at which this node recorded it.
+	leavingSince map[fleet.Incarnation]time.Time
+	// statusRequested requests an immediate status report to the leader.
+	statusRequested chan struct{}
 }
 
-// New returns a Node that is not yet running.
+// New returns a Node. Run starts it.
 func New(set *Settings, ports Ports, clock clockwork.Clock, logger *log.Logger) *Node {
 	n := &Node{
-		set:     set,
-		policy:  set.Policy.Node,
-		clock:   clock,
-		ports:   ports,
-		know:    NewKnowledge(ports.Decoder, set.StrictKeys, set.KeysWithin, clock),
-		roster:  roster.New(roster.Config{Beat: set.BeatInterval, Stall: set.StallTime, Indirect: true, Policy: set.Policy.Roster}),
-		table:   dispatch.NewTable(set.Hall, set.Policy.Dispatch),
-		pool:    direct.NewPool(direct.Dialer{Timeout: dialTimeout, Silence: silence}, clock.Now),
-		metrics: metrics.NewRegistry(),
-		demand:  demand.NewMeter(set.Policy.Demand),
-		ledger:  quarantine.NewLedger(set.Policy.Quarantine),
+		settings:    set,
+		policy:      set.Policy.Node,
+		clock:       clock,
+		ports:       ports,
+		configState: NewConfigState(ports.Decoder, set.StrictKeys, set.MaxKeyAge, clock),
+		roster:      roster.New(roster.Config{HeartbeatInterval: set.HeartbeatInterval, StallTimeout: set.StallTimeout, IndirectProbes: true, Policy: set.Policy.Roster}),
+		table:       dispatch.NewTable(set.Hall, set.Policy.Dispatch),
+		pool:        direct.NewPool(direct.Dialer{Timeout: dialTimeout, AckTimeout: ackTimeout}, clock.Now),
+		metrics:     metrics.NewRegistry(),
+		demand:      demand.NewMeter(set.Policy.Demand),
+		ledger:      quarantine.NewLedger(set.Policy.Quarantine),
 
-		writeAgain: make(chan struct{}, 1),
-		cooldowns:  cooldown.NewBook(set.Policy.Cooldown),
-		limits:     ratelimit.NewBook(set.Policy.RateLimit),
-		dealer:     ratelimit.NewDealer(set.Policy.RateLimit, rand.Float64),
-		log:        logger,
-		started:    clock.Now(),
-		changed:    make(chan struct{}, 1),
-		news:       make(chan struct{}, 1),
-		listNow:    make(chan struct{}, 1),
-		avoid:      map[fleet.GroupKey]bool{},
-		suspects:   map[state.InstanceID]time.Time{},
-		leavers:    map[fleet.Incarnation]time.Time{},
+		rewriteRequested: make(chan struct{}, 1),
+		cooldowns:        cooldown.NewTracker(set.Policy.Cooldown),
+		limits:           ratelimit.NewTracker(set.Policy.RateLimit),
+		rateAllocator:    ratelimit.NewAllocator(set.Policy.RateLimit, rand.Float64),
+		log:              logger,
+		started:          clock.Now(),
+		rebuildRequested: make(chan struct{}, 1),
+		statusRequested:  make(chan struct{}, 1),
+		listRequested:    make(chan struct{}, 1),
+		excludedGroups:   map[fleet.GroupKey]bool{},
+		suspectedAt:      map[state.InstanceID]time.Time{},
+		leavingSince:     map[fleet.Incarnation]time.Time{},
 	}
-	n.gate = gateway.New(gateway.Options{
-		Clock: clock, Dialect: ports.Dialect, Catalogs: n.know, Table: n.table, Health: n, Recorder: n, Quarantine: n, Backpressure: n, Pool: n.pool, Demand: n.demand, Policy: set.Policy.Gateway,
+	n.gateway = gateway.New(gateway.Options{
+		Clock: clock, Codec: ports.HeaderCodec, Catalogs: n.configState, Table: n.table, FailureDetector: n, Recorder: n, Quarantine: n, Backpressure: n, Pool: n.pool, Demand: n.demand, Policy: set.Policy.Gateway,
 		Retry: set.Retry,
 	})
 	n.peers = newPeers(n)
-	n.placer = newPlacer(n)
+	n.placement = newPlacementController(n)
 	return n
 }
 
 // Count implements gateway.Recorder.
 func (n *Node) Count(name string) { metrics.GetOrRegisterCounter(name, n.metrics).Inc(1) }
 
-// sampleSize and sampleAlpha are go-metrics' customary reservoir for histograms.
+// Parameters of the histogram reservoirs: the values that go-metrics recommends.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// Time implements gateway.Recorder: histograms are in microseconds.
-func (n *Node) Time(name string, d time.Duration) {
+// ObserveDuration implements gateway.Recorder. Histograms are in microseconds.
+func (n *Node) ObserveDuration(name string, d time.Duration) {
 	h := n.metrics.GetOrRegister(name+".us", func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	})
@@ -150,31 +153,31 @@
 	}
 }
 
-// Decide implements gateway.Recorder.
-func (n *Node) Decide(d event.Decision) { n.log.WithFields(d).Info(d.Name()) }
+// LogDecision implements gateway.Recorder.
+func (n *Node) LogDecision(d event.Decision) { n.log.WithFields(d).Info(d.Name()) }
 
-// Run runs the node until ctx ends, then stops it within the time for a planned stop.
+// Run runs the node until ctx is done, then shuts it down within Settings.StopTimeout.
 func (n *Node) Run(ctx context.Context) error {
-	n.log.WithFields(log.Fields{"node": n.set.Name, "hall": n.set.Hall}).Info("start")
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	n.log.WithFields(log.Fields{"node": n.settings.Name, "hall": n.settings.Hall}).Info("start")
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	servers, err := n.listen()
 	if err != nil {
 		return err
 	}
 	var loops sync.WaitGroup
 	for _, loop := range n.loops() {
-		loops.Go(func() { loop(life) })
+		loops.Go(func() { loop(runCtx) })
 	}
 	<-ctx.Done()
 	n.stop(servers)
-	end()
+	cancel()
 	loops.Wait()
 	n.log.Info("stopped")
 	return nil
 }
 
-// every returns a loop that calls a function again and again.
+// every returns a loop that calls f after each interval until its context is done.
 func (n *Node) every(interval time.Duration, f func(context.Context)) func(context.Context) {
 	return func(ctx context.Context) {
 		for n.sleep(ctx, interval) {
@@ -183,7 +186,7 @@
 	}
 }
 
-// sleep waits and reports whether the node still runs.
+// sleep waits for d and reports whether it elapsed before ctx was done.
 func (n *Node) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -193,26 +196,26 @@
 	}
 }
 
-// rebuild builds the candidates anew whenever something has changed.
-func (n *Node) rebuild(ctx context.Context) {
-	var version uint64
-	var known *catalog.Catalog
+// rebuildCandidates rebuilds the candidates when the catalog, an instance or the time changes them.
+func (n *Node) rebuildCandidates(ctx context.Context) {
+	var lastVersion uint64
+	var lastCatalog *catalog.Catalog
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.changed:
+		case <-n.rebuildRequested:
 		case <-n.clock.After(100 * time.Millisecond):
 		}
-		c := n.know.Catalog()
+		c := n.configState.Catalog()
 		now := n.clock.Now()
 		views := n.roster.All(now)
 		v := n.roster.Version()
-		if c == nil || (v == version && c == known && !n.timed(views)) {
+		if c == nil || (v == lastVersion && c == lastCatalog && !n.needsTimedRebuild(views)) {
 			continue
 		}
-		version, known = v, c
-		n.table.Update(c, views, n.avoided)
+		lastVersion, lastCatalog = v, c
+		n.table.Update(c, views, n.isExcluded)
 		n.Count("candidates.rebuilt")
 		if !n.sleep(ctx, n.policy.RebuildPause) {
 			return
@@ -220,45 +223,46 @@
 	}
 }
 
-// timed reports whether an instance may have come to count as lost by time alone.
-func (n *Node) timed(views []roster.View) bool {
+// needsTimedRebuild reports whether the candidates may change by the passage of time alone, since an instance
+// may become lost without a further event.
+func (n *Node) needsTimedRebuild(views []roster.View) bool {
 	for i := range views {
-		if views[i].Lost || views[i].Draining || views[i].Unlisted {
+		if views[i].Unreachable || views[i].Draining || views[i].Unlisted {
 			return true
 		}
 	}
 	return false
 }
 
-// touch asks for the candidates to be built anew.
-func (n *Node) touch() {
+// requestRebuild requests a rebuild of the candidates.
+func (n *Node) requestRebuild() {
 	select {
-	case n.changed <- struct{}{}:
+	case n.rebuildRequested <- struct{}{}:
 	default:
 	}
 }
 
-// avoided reports whether a formation takes no new requests.
-func (n *Node) avoided(key fleet.GroupKey) bool {
+// isExcluded reports whether a group at one epoch receives no new requests.
+func (n *Node) isExcluded(key fleet.GroupKey) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.avoid[key]
+	return n.excludedGroups[key]
 }
 
-// setAvoid takes in the formations that take no new requests.
-func (n *Node) setAvoid(list []Formation) {
+// setExcluded replaces the groups that receive no new requests, and requests a rebuild if they changed.
+func (n *Node) setExcluded(list []GroupEpoch) {
 	next := make(map[fleet.GroupKey]bool, len(list))
 	for _, f := range list {
 		next[fleet.GroupKey{Group: f.Group, Epoch: f.Epoch}] = true
 	}
 	n.mu.Lock()
-	same := len(next) == len(n.avoid)
+	same := len(next) == len(n.excludedGroups)
 	for key := range next {
-		same = same && n.avoid[key]
+		same = same && n.excludedGroups[key]
 	}
-	n.avoid = next
+	n.excludedGroups = next
 	n.mu.Unlock()
 	if !same {
-		n.touch()
+		n.requestRebuild()
 	}
 }
--- a/transport/entry/past_test.go
+++ b/transport/entry/past_test.go
@@ -15,15 +15,15 @@
 	"github.com/troutmast/troutmast/coordination/source"
 )
 
-// Messages and records of earlier builds, by their commits, as these builds encoded them. Nodes
-// of such a build may run beside this one, and find in the store what it writes.
-const pastMessages = "testdata/messages"
+// earlierMessages is the folder of messages and records as earlier builds encoded them, by commit.
+// Nodes of such a build may run next to nodes of this one, and read its records from the store.
+const earlierMessages = "testdata/messages"
 
-// past returns the examples of a message, by commit.
-func past(tb testing.TB, name string) map[string][]byte {
-	paths, err := filepath.Glob(filepath.Join(pastMessages, "*", name+".json"))
+// loadExamples returns the stored examples of a message, by commit.
+func loadExamples(tb testing.TB, name string) map[string][]byte {
+	paths, err := filepath.Glob(filepath.Join(earlierMessages, "*", name+".json"))
 	if err != nil || len(paths) < 2 {
-		tb.Fatalf("%d examples of %s: %v", len(paths), name, err)
+		tb.Fatalf("found %d examples of %s, want at least 2: %v", len(paths), name, err)
 	}
 	examples := map[string][]byte{}
 	for _, path := range paths {
@@ -36,9 +36,9 @@
 	return examples
 }
 
-// lacks returns the path of a part of an older JSON value that a newer one has not, or has
-// otherwise, or nothing.
-func lacks(older, newer any) string {
+// missingPath returns the path of a part of an older JSON value that is missing from a newer one
+// or differs there, or "" if there is none.
+func missingPath(older, newer any) string {
 	switch o := older.(type) {
 	case map[string]any:
 		n, ok := newer.(map[string]any)
@@ -46,7 +46,7 @@
 			return "."
 		}
 		for key, value := range o {
-			if path := lacks(value, n[key]); path != "" {
+			if path := missingPath(value, n[key]); path != "" {
 				return "." + key + path
 			}
 		}
@@ -57,7 +57,7 @@
 			return "[]"
 		}
 		for i := range o {
-			if path := lacks(o[i], n[i]); path != "" {
+			if path := missingPath(o[i], n[i]); path != "" {
 				return "[]" + path
 			}
 		}
@@ -69,74 +69,74 @@
 	return ""
 }
 
-// Each field that an earlier build knows is still there, under its name and with its type: what
-// that build says is understood, and what this one says is read by it as it was meant.
-func TestMessagesOfEarlierBuildsKeepTheirMeaning(t *testing.T) {
+// Each field that an earlier build knows must keep its name and type, so that builds can read
+// each other's messages in both directions.
+func TestMessagesOfEarlierBuildsAreCompatible(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		into func() any
+		name     string
+		newValue func() any
 	}{
-		{"report", func() any { return &Word{} }},
-		{"answer", func() any { return &Answer{} }},
+		{"report", func() any { return &StatusReport{} }},
+		{"answer", func() any { return &StatusAnswer{} }},
 		{"node", func() any { return &NodeEntry{} }},
-		{"quarantine", func() any { return &[]keptEnding{} }},
+		{"quarantine", func() any { return &[]persistedEnding{} }},
 	} {
-		for commit, raw := range past(t, c.name) {
+		for commit, raw := range loadExamples(t, c.name) {
 			t.Run(c.name+" of "+commit, func(t *testing.T) {
 				g := NewWithT(t)
-				v := c.into()
+				v := c.newValue()
 				strict := json.NewDecoder(bytes.NewReader(raw))
 				strict.DisallowUnknownFields()
 				g.Expect(strict.Decode(v)).To(Succeed())
-				again, err := json.Marshal(v)
+				encoded, err := json.Marshal(v)
 				g.Expect(err).NotTo(HaveOccurred())
 				var older, newer any
 				g.Expect(json.Unmarshal(raw, &older)).To(Succeed())
-				g.Expect(json.Unmarshal(again, &newer)).To(Succeed())
-				g.Expect(lacks(older, newer)).To(BeEmpty())
+				g.Expect(json.Unmarshal(encoded, &newer)).To(Succeed())
+				g.Expect(missingPath(older, newer)).To(BeEmpty())
 			})
 		}
 	}
 }
 
-// Whatever another node says, this one goes on.
+// No message from another node may crash this one.
 func FuzzStatusReport(f *testing.F) {
-	for _, raw := range past(f, "report") {
+	for _, raw := range loadExamples(f, "report") {
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var w Word
+		var w StatusReport
 		if json.Unmarshal(raw, &w) != nil {
 			return
 		}
 		n := ableNode(NewWithT(t))
-		n.peers.setPlacing(true)
-		if _, err := n.peers.answer(context.Background(), connect.NewRequest(&w)); err != nil {
+		n.peers.setLeader(true)
+		if _, err := n.peers.handleStatusReport(context.Background(), connect.NewRequest(&w)); err != nil {
 			t.Fatal(err)
 		}
-		n.dealLimits(n.clock.Now())
+		n.allocateRates(n.clock.Now())
 	})
 }
 
 func FuzzStatusAnswer(f *testing.F) {
-	for _, raw := range past(f, "answer") {
+	for _, raw := range loadExamples(f, "answer") {
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var a Answer
+		var a StatusAnswer
 		if json.Unmarshal(raw, &a) != nil {
 			return
 		}
 		n := ableNode(NewWithT(t))
-		n.peers.takeLedger(&a, 0)
-		n.peers.take(&a, n.clock.Now())
-		n.dealLimits(n.clock.Now())
-		n.peers.word()
+		n.peers.mergeLedger(&a, 0)
+		n.peers.applyAnswer(&a, n.clock.Now())
+		n.allocateRates(n.clock.Now())
+		n.peers.statusReport()
 	})
 }
 
 func FuzzNodeEntry(f *testing.F) {
-	for _, raw := range past(f, "node") {
+	for _, raw := range loadExamples(f, "node") {
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -145,31 +145,31 @@
 			return
 		}
 		n := ableNode(NewWithT(t))
-		n.peers.learn(e)
-		n.peers.candidates(n.clock.Now())
-		if got := n.peers.possible(n.clock.Now()); got < 1 {
-			t.Fatalf("%d nodes may run", got)
+		n.peers.recordNode(e)
+		n.peers.leaderCandidates(n.clock.Now())
+		if got := n.peers.possibleNodes(n.clock.Now()); got < 1 {
+			t.Fatalf("possible() = %d nodes, want at least 1", got)
 		}
 	})
 }
 
-// keptStore is a store that holds one record of held requests.
-type keptStore struct {
+// singleRecordStore is a store that holds one record of quarantined requests.
+type singleRecordStore struct {
 	Store
 	item source.Item
 }
 
-func (s keptStore) Newest(context.Context, source.Topic) (source.Tail, error) {
-	return source.Tail{Items: []source.Item{s.item}, End: 1}, nil
+func (s singleRecordStore) Newest(context.Context, source.Topic) (source.ReadResult, error) {
+	return source.ReadResult{Items: []source.Item{s.item}, NextOffset: 1}, nil
 }
 
 func FuzzKeptQuarantine(f *testing.F) {
-	for _, raw := range past(f, "quarantine") {
+	for _, raw := range loadExamples(f, "quarantine") {
 		f.Add("0102030405060708090a0b0c0d0e0f10", raw)
 	}
 	f.Fuzz(func(t *testing.T, key string, raw []byte) {
 		n := ableNode(NewWithT(t))
-		n.ports.Store = keptStore{item: source.Item{Key: key, Value: raw}}
+		n.ports.Store = singleRecordStore{item: source.Item{Key: key, Value: raw}}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		n.restoreQuarantine(ctx)
