--- a/transport/entry/quarantine.go
+++ b/transport/entry/quarantine.go
@@ -16,71 +16,71 @@
 	"github.com/troutmast/troutmast/state/fleet"
 )
 
-// HeldUntil implements gateway.Quarantine.
-func (n *Node) HeldUntil(f quarantine.Fingerprint) (time.Time, bool) {
+// QuarantinedUntil implements gateway.Quarantine.
+func (n *Node) QuarantinedUntil(f quarantine.Fingerprint) (time.Time, bool) {
 	now := n.clock.Now()
 	v := n.ledger.Verdict(f, now)
-	return v.Until, v.Held(now)
+	return v.Until, v.Quarantined(now)
 }
 
-// Suspected implements gateway.Quarantine.
-func (n *Node) Suspected(f quarantine.Fingerprint) bool {
-	return n.ledger.Verdict(f, n.clock.Now()).Endings >= n.set.Policy.Quarantine.Endings-1
+// IsSuspected implements gateway.Quarantine.
+func (n *Node) IsSuspected(f quarantine.Fingerprint) bool {
+	return n.ledger.Verdict(f, n.clock.Now()).IndependentEndings >= n.settings.Policy.Quarantine.Endings-1
 }
 
-// Answered implements gateway.Quarantine.
-func (n *Node) Answered(f quarantine.Fingerprint) { n.ledger.Answered(f, n.clock.Now()) }
+// RecordComplete implements gateway.Quarantine.
+func (n *Node) RecordComplete(f quarantine.Fingerprint) { n.ledger.RecordComplete(f, n.clock.Now()) }
 
-// Times of keeping the quarantine in the store.
+// Bounds of persisting the quarantine in the store.
 const (
-	// keepInterval is the time between two looks for requests to keep in the store.
-	keepInterval = 500 * time.Millisecond
-	// restoreTries bounds the reads of what is kept: a node that cannot read the store
-	// when it starts hears the same from the leader.
-	restoreTries = 20
+	// persistInterval is the time between two checks for quarantined requests that are not yet stored.
+	persistInterval = 500 * time.Millisecond
+	// maxRestoreAttempts is the maximum number of attempts to read the stored quarantine. A node that
+	// cannot read the store at startup receives the same records from the leader.
+	maxRestoreAttempts = 20
 )
 
-// keptEnding is an ending as the store keeps it.
-type keptEnding struct {
+// persistedEnding is an ending in its stored form.
+type persistedEnding struct {
 	Instance fleet.Incarnation `json:"instance"`
 	UnixMS   int64             `json:"unix_ms"`
-	// Apart tells that the request had broken off elsewhere just before, as in quarantine.Ending.
+	// Apart reports whether the request had been interrupted elsewhere just before, as in quarantine.Ending.
 	Apart bool `json:"apart,omitempty"`
 }
 
-// keepQuarantine writes the requests that are held back into the store while this
-// node leads, so that they outlive the loss of all nodes at once. One record a
-// request is written, and one more for each further ending.
-func (n *Node) keepQuarantine(ctx context.Context) {
+// persistQuarantine writes the quarantined requests to the store while this node is the leader, so that
+// the quarantine survives the simultaneous loss of all nodes. It writes one record per request, and
+// another for each further independent ending.
+func (n *Node) persistQuarantine(ctx context.Context) {
 	n.restoreQuarantine(ctx)
-	kept := map[quarantine.Fingerprint]int{}
+	storedEndings := map[quarantine.Fingerprint]int{}
 	era := n.eras.current()
-	for n.sleep(ctx, keepInterval) {
+	for n.sleep(ctx, persistInterval) {
 		if now := n.eras.current(); now != era {
 			era = now
-			clear(kept) // the copy may lack what was kept
+			clear(storedEndings) // the store was restored from a backup that may lack these records
 		}
-		if leading, _ := n.peers.isPlacing(); !leading {
+		if leading, _ := n.peers.leadership(); !leading {
 			continue
 		}
 		now := n.clock.Now()
 		for f, v := range n.ledger.Verdicts(now) {
-			if v.Held(now) && kept[f] < v.Endings && n.keep(ctx, f, v, now) {
-				kept[f] = v.Endings
+			if v.Quarantined(now) && storedEndings[f] < v.IndependentEndings && n.persistVerdict(ctx, f, v, now) {
+				storedEndings[f] = v.IndependentEndings
 			}
 		}
 	}
 }
 
-// keep writes one request that is held back into the store and reports whether it is there.
-func (n *Node) keep(ctx context.Context, f quarantine.Fingerprint, v quarantine.Verdict, now time.Time) bool {
-	var list []keptEnding
-	for _, e := range v.Under {
-		list = append(list, keptEnding{Instance: e.Instance, UnixMS: n.clock.Now().Add(-now.Sub(e.At)).UnixMilli(), Apart: len(e.Apart) > 0})
+// persistVerdict writes a quarantined request to the store and reports whether it succeeded.
+func (n *Node) persistVerdict(ctx context.Context, f quarantine.Fingerprint, v quarantine.Verdict, now time.Time) bool {
+	var list []persistedEnding
+	for _, e := range v.Evidence {
+		list = append(list, persistedEnding{Instance: e.Instance, UnixMS: n.clock.Now().Add(-now.Sub(e.At)).UnixMilli(), Apart: len(e.Apart) > 0})
 	}
 	value, err := json.Marshal(list)
 	if err != nil {
-		n.log.WithError(err).Error("quarantine not kept")
+		n.log.WithError(err).Error("failed to encode quarantine record")
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.policy.StoreTimeout)
@@ -93,13 +93,13 @@
 	return true
 }
 
-// restoreQuarantine reads what the store keeps.
+// restoreQuarantine reads the stored quarantine, with backoff, and merges it into the ledger.
 func (n *Node) restoreQuarantine(ctx context.Context) {
 	pause := n.policy.StoreRetry
-	for range restoreTries {
+	for range maxRestoreAttempts {
 		tail, err := n.readTail(ctx, source.Quarantine, -1, 0)
 		if err == nil {
-			n.takeKept(tail.Items)
+			n.mergePersisted(tail.Items)
 			return
 		}
 		if !n.sleep(ctx, pause) {
@@ -107,21 +107,21 @@
 		}
 		pause = min(2*pause, n.policy.StoreRetryMax)
 	}
-	n.log.Warn("quarantine not read from the store")
+	n.log.Warn("failed to read quarantine from the store")
 }
 
-// takeKept joins what the store keeps with what is known.
-func (n *Node) takeKept(items []source.Item) {
+// mergePersisted merges stored records into the ledger. It skips records that it cannot decode.
+func (n *Node) mergePersisted(items []source.Item) {
 	now := n.clock.Now()
 	for _, item := range items {
 		if len(item.Value) == 0 {
 			continue
 		}
 		var f quarantine.Fingerprint
-		var list []keptEnding
+		var list []persistedEnding
 		if err := errors.Join(f.UnmarshalText([]byte(item.Key)), json.Unmarshal(item.Value, &list)); err != nil {
 			n.Count("quarantine.unreadable")
-			n.log.WithError(err).WithField("key", item.Key).Warn("kept quarantine not read")
+			n.log.WithError(err).WithField("key", item.Key).Warn("failed to decode stored quarantine record")
 			continue
 		}
 		var d quarantine.Delta
@@ -133,63 +133,65 @@
 			}
 			d.Endings = append(d.Endings, e)
 		}
-		n.ledger.Merge(d, quarantine.Kept)
+		n.ledger.Merge(d, quarantine.StoreSource)
 	}
 }
 
-// logQuarantine logs each request that is newly held back, and each that no longer is.
-func (n *Node) logQuarantine(held map[quarantine.Fingerprint]time.Time) {
+// logQuarantine logs each request whose quarantine began, was extended or ended since the last call.
+// quarantinedUntil maps the quarantined requests to the ends of their quarantine. logQuarantine updates
+// it.
+func (n *Node) logQuarantine(quarantinedUntil map[quarantine.Fingerprint]time.Time) {
 	now := n.clock.Now()
 	verdicts := n.ledger.Verdicts(now)
 	for f, v := range verdicts {
-		if until, known := held[f]; !v.Held(now) || known && until.Equal(v.Until) {
+		if until, known := quarantinedUntil[f]; !v.Quarantined(now) || known && until.Equal(v.Until) {
 			continue
 		}
-		held[f] = v.Until
+		quarantinedUntil[f] = v.Until
 		n.Count("quarantine.held")
 		n.log.WithFields(log.Fields{
-			"fingerprint": f, "endings": v.Endings, "instances": v.Instances(), "hold_ms": v.Until.Sub(now).Milliseconds(),
-			"last_ms": now.Sub(v.Under[len(v.Under)-1].At).Milliseconds(),
+			"fingerprint": f, "endings": v.IndependentEndings, "instances": v.Instances(), "hold_ms": v.Until.Sub(now).Milliseconds(),
+			"last_ms": now.Sub(v.Evidence[len(v.Evidence)-1].At).Milliseconds(),
 		}).Warn("request quarantined")
 	}
-	for f, until := range held {
-		if !verdicts[f].Held(now) {
-			delete(held, f)
+	for f, until := range quarantinedUntil {
+		if !verdicts[f].Quarantined(now) {
+			delete(quarantinedUntil, f)
 			n.log.WithFields(log.Fields{"fingerprint": f, "expired": !until.After(now)}).Info("request released")
 		}
 	}
 }
 
-// quarantined is one request that is held back, as an operator sees it.
-type quarantined struct {
+// quarantineState is a quarantined request in the response to an operator.
+type quarantineState struct {
 	Fingerprint quarantine.Fingerprint `json:"fingerprint"`
 	Endings     int                    `json:"endings"`
 	Instances   []string               `json:"instances"`
 	HoldMS      int64                  `json:"hold_ms"`
 }
 
-// serveQuarantine lists the requests that are held back.
+// serveQuarantine lists the quarantined requests.
 func (n *Node) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	now := n.clock.Now()
-	list := []quarantined{}
+	list := []quarantineState{}
 	for f, v := range n.ledger.Verdicts(now) {
-		if !v.Held(now) {
+		if !v.Quarantined(now) {
 			continue
 		}
-		q := quarantined{Fingerprint: f, Endings: v.Endings, HoldMS: v.Until.Sub(now).Milliseconds()}
+		q := quarantineState{Fingerprint: f, Endings: v.IndependentEndings, HoldMS: v.Until.Sub(now).Milliseconds()}
 		for _, id := range v.Instances() {
 			q.Instances = append(q.Instances, string(id))
 		}
 		list = append(list, q)
 	}
-	slices.SortFunc(list, func(a, b quarantined) int { return strings.Compare(a.Fingerprint.String(), b.Fingerprint.String()) })
+	slices.SortFunc(list, func(a, b quarantineState) int { return strings.Compare(a.Fingerprint.String(), b.Fingerprint.String()) })
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(list); err != nil {
-		n.log.WithError(err).Info("list of the quarantine not written")
+		n.log.WithError(err).Info("failed to write quarantine response")
 	}
 }
 
-// serveRelease clears one request by its fingerprint, on all nodes.
+// serveRelease releases the request with the given fingerprint from quarantine, on all nodes.
 func (n *Node) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(r.PathValue("fingerprint"))); err != nil {
@@ -199,6 +201,6 @@
 	n.ledger.Clear(f, n.clock.Now())
 	n.Count("quarantine.cleared")
 	n.log.WithField("fingerprint", f).Info("request cleared by an operator")
-	n.tellSoon()
+	n.requestStatusReport()
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/transport/entry/serve.go
+++ b/transport/entry/serve.go
@@ -14,93 +14,93 @@
 	"github.com/troutmast/troutmast/protocol/peer"
 )
 
-// Bounds of a planned stop.
+// Timing of a graceful shutdown.
 const (
-	// leaveTime is how long new connections still come after the node is no longer ready.
-	leaveTime = 2900 * time.Millisecond
-	// stopMargin is kept of the time for a planned stop.
+	// unreadyPeriod is how long new connections may still arrive after the node is no longer ready.
+	unreadyPeriod = 2900 * time.Millisecond
+	// stopMargin is the part of Settings.StopTimeout that is reserved for the end of the shutdown.
 	stopMargin = 400 * time.Millisecond
 )
 
-// Reload takes in settings that were read anew. Addresses and names need a new
-// start; where they differ, the settings are refused and the old ones stay.
+// Reload applies changed settings. The name and the addresses can change only with a restart: if
+// one of them differs, Reload returns ErrNeedsRestart and applies nothing.
 func (n *Node) Reload(set *Settings) error {
-	if set.Name != n.set.Name || set.Callers != n.set.Callers || set.Ready != n.set.Ready || set.Peer != n.set.Peer || set.Store != n.set.Store {
+	if set.Name != n.settings.Name || set.CallerAddress != n.settings.CallerAddress || set.ReadyAddress != n.settings.ReadyAddress || set.PeerAddress != n.settings.PeerAddress || set.StoreAddress != n.settings.StoreAddress {
 		return ErrNeedsRestart
 	}
-	n.know.SetBound(set.StrictKeys, set.KeysWithin)
-	n.gate.SetRetry(set.Retry)
+	n.configState.SetMaxKeyAge(set.StrictKeys, set.MaxKeyAge)
+	n.gateway.SetRetryBounds(set.Retry)
 	n.log.Info("settings reloaded")
 	return nil
 }
 
-// ErrNeedsRestart means that changed settings take effect only with a new start.
-var ErrNeedsRestart = errors.New("entry: the name or an address differs, which needs a new start")
+// ErrNeedsRestart is returned by Reload for settings that take effect only after a restart.
+var ErrNeedsRestart = errors.New("entry: changed name or address requires a restart")
 
-// loops returns what runs for the life of the node.
+// loops returns the background loops that run until the node stops.
 func (n *Node) loops() []func(context.Context) {
 	return []func(context.Context){
 		n.followConfig,
 		n.followInstances,
 		n.register,
-		n.rewrite,
-		n.rebuild,
-		n.watchBeliefs,
+		n.rewriteEntries,
+		n.rebuildCandidates,
+		n.logStateChanges,
 		n.peers.run,
-		n.peers.follow,
-		n.placer.run,
+		n.peers.followNodes,
+		n.placement.run,
 		n.watchHealth,
-		n.keepQuarantine,
-		n.every(time.Second, func(context.Context) { n.pool.Sweep() }),
+		n.persistQuarantine,
+		n.every(time.Second, func(context.Context) { n.pool.CloseExpired() }),
 	}
 }
 
-// listener is one server of the node.
+// listener is an HTTP server of the node and its network listener.
 type listener struct {
 	srv *http.Server
 	ln  net.Listener
 }
 
-// listen opens all listeners and serves them.
+// listen opens all listeners and starts their servers. The server for callers is the first.
 func (n *Node) listen() ([]*http.Server, error) {
-	inner := http.NewServeMux()
-	inner.Handle(wordProcedure, connect.NewUnaryHandler(wordProcedure, n.peers.answer, connect.WithCodec(peer.JSONCodec{})))
-	inner.Handle(reachProcedure, connect.NewUnaryHandler(reachProcedure, n.peers.reach, connect.WithCodec(peer.JSONCodec{})))
-	ready := http.NewServeMux()
-	ready.HandleFunc("/", n.serveReady)
-	measures := http.NewServeMux()
-	n.handleOperators(measures)
-	plan := []struct {
+	peerMux := http.NewServeMux()
+	peerMux.Handle(statusReportProcedure, connect.NewUnaryHandler(statusReportProcedure, n.peers.handleStatusReport, connect.WithCodec(peer.JSONCodec{})))
+	peerMux.Handle(indirectProbeProcedure, connect.NewUnaryHandler(indirectProbeProcedure, n.peers.handleIndirectProbe, connect.WithCodec(peer.JSONCodec{})))
+	readyMux := http.NewServeMux()
+	readyMux.HandleFunc("/", n.serveReady)
+	operatorMux := http.NewServeMux()
+	n.registerOperatorHandlers(operatorMux)
+	endpoints := []struct {
 		at string
 		h  http.Handler
 	}{
-		{n.set.Callers.String(), n.gate},
-		{n.set.Ready.String(), ready},
-		{n.set.Peer.String(), inner},
-		{n.set.Metrics.String(), measures},
+		{n.settings.CallerAddress.String(), n.gateway},
+		{n.settings.ReadyAddress.String(), readyMux},
+		{n.settings.PeerAddress.String(), peerMux},
+		{n.settings.MetricsAddress.String(), operatorMux},
 	}
-	var list []*listener
-	for _, p := range plan {
+	var listeners []*listener
+	for _, p := range endpoints {
 		ln, err := net.Listen("tcp4", p.at)
 		if err != nil {
 			return nil, fmt.Errorf("entry: listen on %s: %w", p.at, err)
 		}
-		srv := &http.Server{Handler: p.h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ErrorLog: nil}
-		list = append(list, &listener{srv: srv, ln: ln})
+		srv := &http.Server{Handler: p.h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: nil}
+		listeners = append(listeners, &listener{srv: srv, ln: ln})
 	}
 	var servers []*http.Server
-	for _, l := range list {
+	for _, l := range listeners {
 		servers = append(servers, l.srv)
 		go func() {
 			if err := l.srv.Serve(l.ln); !errors.Is(err, http.ErrServerClosed) {
-				n.log.WithError(err).Error("listener ended")
+				n.log.WithError(err).Error("listener stopped unexpectedly")
 			}
 		}()
 	}
 	return servers, nil
 }
 
-// serveReady answers whether the node takes new connections.
+// serveReady serves the readiness probe: status 200 if the node accepts new connections, else 503.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !n.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -110,10 +110,9 @@
 }
 
 // isReady reports whether the node can answer callers.
-func (n *Node) isReady() bool { return !n.stopping.Load() && n.know.Catalog() != nil }
+func (n *Node) isReady() bool { return !n.stopping.Load() && n.configState.Catalog() != nil }
 
-// handleOperators adds what operators ask of the node.
-func (n *Node) handleOperators(mux *http.ServeMux) {
+func (n *Node) registerOperatorHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("/metrics", n.serveMetrics)
 	mux.HandleFunc("GET /quarantine", n.serveQuarantine)
 	mux.HandleFunc("GET /cooldowns", n.serveCooldowns)
@@ -121,20 +120,21 @@
 	mux.HandleFunc("DELETE /quarantine/{fingerprint}", n.serveRelease)
 }
 
-// serveMetrics writes all counters.
+// serveMetrics writes all metrics.
 func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) { metrics.WriteOnce(n.metrics, w) }
 
-// stop ends the node: it is no longer ready, answers on, then takes nothing new and finishes what it holds.
+// stop shuts the node down gracefully. The node first reports that it is not ready but still accepts
+// requests. It then refuses new requests and waits for those in flight.
 func (n *Node) stop(servers []*http.Server) {
 	began := n.clock.Now()
 	n.log.Info("stopping")
 	n.stopping.Store(true)
-	n.gate.Stop()
-	n.clock.Sleep(min(leaveTime, n.set.StopWithin/2))
-	n.gate.Refuse()
-	ctx, cancel := context.WithTimeout(context.Background(), n.set.StopWithin-stopMargin-n.clock.Since(began))
+	n.gateway.CloseConnections()
+	n.clock.Sleep(min(unreadyPeriod, n.settings.StopTimeout/2))
+	n.gateway.RefuseNew()
+	ctx, cancel := context.WithTimeout(context.Background(), n.settings.StopTimeout-stopMargin-n.clock.Since(began))
 	defer cancel()
 	if err := servers[0].Shutdown(ctx); err != nil {
-		n.log.WithError(err).WithField("held", n.gate.Watch.Active()).Warn("requests cut off by the stop")
+		n.log.WithError(err).WithField("held", n.gateway.StallDetector.ActiveCount()).Warn("requests interrupted by shutdown")
 	}
 }
--- a/transport/entry/shares.go
+++ b/transport/entry/shares.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// setComplete records that this node has read which other nodes there are.
-func (p *peers) setComplete() {
+// setNodesKnown records that this node knows the other nodes.
+func (p *peers) setNodesKnown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.complete = true
+	p.nodesKnown = true
 }
 
-// knowsAll reports whether this node has read which other nodes there are.
-func (p *peers) knowsAll() bool {
+// hasAllNodes reports whether this node knows the other nodes, from the store or from a leader.
+func (p *peers) hasAllNodes() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.complete
+	return p.nodesKnown
 }
 
-// shareBudgets divides what all nodes share by the nodes that there may be, once these are known.
+// shareBudgets divides the budgets that all nodes share by the number of nodes that may be running,
+// once that is known.
 func (p *peers) shareBudgets() {
-	if p.knowsAll() {
-		p.n.gate.SetNodes(p.possible(p.n.clock.Now()))
+	if p.hasAllNodes() {
+		p.n.gateway.SetNodes(p.possibleNodes(p.n.clock.Now()))
 	}
 }
 
-// possible returns how many nodes may be running, this one among them, by which what all
-// nodes share is divided: those that cannot be heard may be behind a cut. A leader leaves
-// out those that it has not heard of for long; another node goes by its word.
-func (p *peers) possible(now time.Time) int {
+// possibleNodes returns the number of nodes that may be running, including this one. It divides the
+// budgets that all nodes share. Nodes that do not report count too, since they may be behind a
+// network partition. The leader excludes those that have not reported within NodeRetention. The other
+// nodes use the number that the leader names.
+func (p *peers) possibleNodes(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.placing && p.told > 0 {
-		return p.told
+	if !p.isLeader && p.leaderNodeCount > 0 {
+		return p.leaderNodeCount
 	}
 	n := 1
 	for address, e := range p.known {
-		heard := p.contact[address]
-		if heard.Before(p.since) {
-			heard = p.since
+		lastContact := p.lastContact[address]
+		if lastContact.Before(p.leaderSince) {
+			lastContact = p.leaderSince
 		}
-		if e.Name != "" && (!p.placing || now.Sub(heard) < p.n.policy.ForgetNode) {
+		if e.Name != "" && (!p.isLeader || now.Sub(lastContact) < p.n.policy.NodeRetention) {
 			n++
 		}
 	}
 	return n
 }
 
-// count returns the number of nodes that ever registered, as far as is known, this
-// one among them: those that cannot be heard may still repeat requests.
-func (p *peers) count() int {
+// nodeCount returns the number of nodes that this node knows to have ever registered, including
+// itself. Nodes that do not report count too, since they may still retry requests.
+func (p *peers) nodeCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 1
--- a/transport/node/loops.go
+++ b/transport/node/loops.go
@@ -74,7 +74,7 @@
 	var built *statelog.View
 	for {
 		changed := n.Follower.Changed()
-		applied, view := n.Follower.Applied(), n.Follower.View()
+		applied, view := n.Follower.AppliedOffset(), n.Follower.View()
 		if view != built {
 			n.rebuild(view)
 			built = view
@@ -103,8 +103,8 @@
 		case <-n.Doubted:
 		case <-tick.Chan():
 		}
-		for _, in := range n.Quarantine.Due(n.Clock.Now()) {
-			n.prober.Ask(ctx, in.ID)
+		for _, in := range n.Quarantine.NextProbes(n.Clock.Now()) {
+			n.prober.ProbeInstance(ctx, in.ID)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 // look ends the time after the start in which the node would refuse all requests, since it finds
 // no group whole, once every instance of the hall has been asked what it is.
 func (n *Node) look() {
-	if _, listed := n.Places.Asked(); n.Looked.Load() || !listed || !n.HasState() || n.InForce() < n.Follower.Applied() {
+	if _, listed := n.Places.Asked(); n.Looked.Load() || !listed || !n.HasState() || n.InForce() < n.Follower.AppliedOffset() {
 		return
 	}
 	for id := range n.hallInstances() {
@@ -162,16 +162,16 @@
 }
 
 // sources returns what the prober works on.
-func (n *Node) sources() probe.Sources {
-	return probe.Sources{
+func (n *Node) sources() probe.Hooks {
+	return probe.Hooks{
 		Instances: n.hallInstances,
-		Mine: func(id state.InstanceID) bool {
-			return n.Directory.Mine("probe/"+string(id), n.Clock.Now())
+		Owns: func(id state.InstanceID) bool {
+			return n.Directory.Owns("probe/"+string(id), n.Clock.Now())
 		},
-		View:     n.Follower.View,
-		MayOrder: n.LogFresh,
-		Observed: n.observed,
-		Count:    n.Count,
+		StateView:        n.Follower.View,
+		MayOrder:         n.LogFresh,
+		OnReport:         n.observed,
+		IncrementCounter: n.Count,
 	}
 }
 
@@ -203,11 +203,11 @@
 		return
 	}
 	if c.Group().Members[0] == r.Instance {
-		c.Report(r.Load)
+		c.RecordLoad(r.Load)
 	}
-	was := c.Open(n.Clock.Now())
+	was := c.CanAccept(n.Clock.Now())
 	n.JudgeGroup(c)
-	if c.Open(n.Clock.Now()) != was {
+	if c.CanAccept(n.Clock.Now()) != was {
 		n.UpdateCapacity()
 	}
 }
@@ -224,9 +224,9 @@
 	down := e.Phase == evidence.PhaseDown
 	var requests []quarantine.Fingerprint
 	if down {
-		requests = n.Quarantine.Down(id, now)
+		requests = n.Quarantine.RecordDown(id, now)
 	} else {
-		requests = n.Quarantine.Current(fleet.Incarnation{ID: id, Life: e.Incarnation}, e.Asked, now)
+		requests = n.Quarantine.RecordIncarnation(fleet.Incarnation{ID: id, Life: e.Incarnation}, e.ProbedAt, now)
 	}
 	if len(requests) > 0 {
 		n.Count("quarantine.endings")
@@ -267,8 +267,8 @@
 			leaving = append(leaving, i.ID)
 		}
 	}
-	n.Evidence.SetListed(leaving)
-	n.prober.AskUnseen(ctx)
+	n.Evidence.SetLeavingByList(leaving)
+	n.prober.ProbeUnreported(ctx)
 	select {
 	case n.refresh <- struct{}{}:
 	default:
@@ -281,17 +281,17 @@
 	arrived := float64(n.Arrived.Swap(0)) / capacityInterval.Seconds()
 	n.Demand.Store(int64(keep*float64(n.Demand.Load()) + (1-keep)*arrived))
 	n.UpdateCapacity()
-	n.Claims.SetRate(n.Settings.AppendRate / float64(1+len(n.Directory.Live("", n.Clock.Now()))))
+	n.Claims.SetRate(n.Settings.AppendRate / float64(1+len(n.Directory.LivePeers("", n.Clock.Now()))))
 }
 
 // snapshotRound appends a snapshot when one is due and it falls to this node.
 func (n *Node) snapshotRound(ctx context.Context) {
-	due := n.Follower.SnapshotDue()
+	due := n.Follower.SnapshotLag()
 	if due == 0 || !n.LogFresh() {
 		return
 	}
 	names := []string{n.Settings.Name}
-	for _, p := range n.Directory.Live("", n.Clock.Now()) {
+	for _, p := range n.Directory.LivePeers("", n.Clock.Now()) {
 		names = append(names, p.Name)
 	}
 	late := due > state.Offset(2*n.Settings.SnapshotEvery)
--- a/transport/node/node.go
+++ b/transport/node/node.go
@@ -95,13 +95,13 @@
 		Directory: dir,
 		Routing:   routing.NewTable(),
 		Picker: &routing.LeastCost{Weights: routing.Weights{
-			Held: set.HeldCost, Tokens: set.TokenCost, Recent: set.RecentCost, Prefix: set.PrefixGain,
+			InFlight: set.HeldCost, TokensInFlight: set.TokenCost, PromptSinceReport: set.RecentCost, Prefix: set.PrefixGain,
 		}},
 		Pools:   core.NewPools(clock),
 		Teams:   &admission.Teams{},
 		Budget:  retry.NewBudget(retryRatio, retryMost),
 		Claims:  claim.NewManager(set.Name+"/"+self.Incarnation, follower, clock, set.AppendRate),
-		Tickets: ticket.NewBook(set.Name, self.Incarnation, clock),
+		Tickets: ticket.NewStore(set.Name, self.Incarnation, clock),
 		Targets: target.NewClient(control,
 			exchange.New(exchange.Options{DialTimeout: dialTimeout, KeepAlive: true, IdleConns: 64}),
 			exchange.New(exchange.Options{DialTimeout: dialTimeout})),
@@ -114,10 +114,10 @@
 
 		Quarantine: quarantine.NewLedger(quarantine.DefaultPolicy()),
 		Doubted:    make(chan struct{}, 1),
-		Cooldowns:  cooldown.NewBook(cooldown.DefaultPolicy()),
+		Cooldowns:  cooldown.NewTracker(cooldown.DefaultPolicy()),
 	}
 	n := &Node{Core: c, meter: meter, mirrors: newMirrors(), missing: newMissingSince(), refresh: make(chan struct{}, 1)}
-	n.prober = probe.New(probe.Config{Interval: set.ProbeInterval, Window: set.EvidenceWindow}, c.Targets, n.sources(), c.Evidence, c.Feed, clock)
+	n.prober = probe.New(probe.Config{Interval: set.ProbeInterval, EvidenceWindow: set.EvidenceWindow}, c.Targets, n.sources(), c.Evidence, c.Feed, clock)
 	n.caller = caller.NewServer(c, exchange.New(exchange.Options{
 		DialTimeout: dialTimeout, KeepAlive: true, IdleConns: 64, Source: set.Peer.Addr(), TLS: peerTLS,
 	}))
@@ -160,7 +160,7 @@
 	}
 	if s.Addr == n.Settings.Peer.String() {
 		l = n.meter.Listener(l)
-		s.Protocols = peer.Protocols()
+		s.Protocols = peer.HTTPProtocols()
 		s.Protocols.SetHTTP1(true)
 	}
 	if n.Settings.CertFile != "" {
--- a/transport/operator/show.go
+++ b/transport/operator/show.go
@@ -58,7 +58,7 @@
 		return "this node has never read the end of the log"
 	}
 	return fmt.Sprintf("no record with this id up to offset %d, the end of the log %s ago; it may still come, or be older than %s",
-		s.c.Follower.Applied(), age.Round(time.Millisecond), state.IDHorizon)
+		s.c.Follower.AppliedOffset(), age.Round(time.Millisecond), state.IDHorizon)
 }
 
 func (s *Server) showGroups(only state.GroupName) *table {
@@ -83,13 +83,13 @@
 	if g.Hall != s.c.Settings.Hall || c == nil {
 		return "not-known-here", 0
 	}
-	whole := c.Whole(s.c.Clock.Now())
+	whole := c.IsReady(s.c.Clock.Now())
 	switch {
 	case g.Releasing:
 		st = "releasing"
 	case g.Drained != 0:
 		st = "drained"
-	case whole && !c.Open(s.c.Clock.Now()):
+	case whole && !c.CanAccept(s.c.Clock.Now()):
 		st = "leaving"
 	case whole:
 		st = "whole"
@@ -113,9 +113,9 @@
 		}
 		reports, phase, age := "", "", "never"
 		if e, ok := s.c.Evidence.Get(id); ok {
-			reports, phase, age = string(e.Group), string(e.Phase), now.Sub(e.Asked).Round(time.Millisecond).String()
+			reports, phase, age = string(e.Group), string(e.Phase), now.Sub(e.ProbedAt).Round(time.Millisecond).String()
 		}
-		t.add(id, p.Hall, p.Domain, p.Address, s.c.Evidence.Leaving(id), ordered, epoch, reports, phase, age)
+		t.add(id, p.Hall, p.Domain, p.Address, s.c.Evidence.IsLeaving(id), ordered, epoch, reports, phase, age)
 	}
 	t.sort()
 	return t
@@ -149,8 +149,8 @@
 	s.c.Follower.Read(func(st *state.State) {
 		for _, svc := range st.Services() {
 			open := 0
-			for _, c := range s.c.Routing.Pool(core.ServicePool(svc.Name)) {
-				if c.Open(s.c.Clock.Now()) {
+			for _, c := range s.c.Routing.Candidates(core.ServicePool(svc.Name)) {
+				if c.CanAccept(s.c.Clock.Now()) {
 					open++
 				}
 			}
@@ -168,9 +168,9 @@
 	t := &table{columns: []string{"node", hallColumn, "address", "applied", "ready", "stopping", "held", "demand", "log-age", "heard"}}
 	now := s.c.Clock.Now()
 	self := s.c.Self()
-	t.add(self.Name, self.Hall, self.Address, self.Applied, self.Ready, self.Stopping, self.Held, self.Demand, self.LogAge.Round(time.Millisecond), "self")
-	for _, n := range s.c.Directory.Known() {
-		t.add(n.Name, n.Hall, n.Address, n.Applied, n.Ready, n.Stopping, n.Held, n.Demand, n.LogAge.Round(time.Millisecond), now.Sub(n.SaidAt).Round(time.Millisecond))
+	t.add(self.Name, self.Hall, self.Address, self.Applied, self.Ready, self.Stopping, self.InFlight, self.RequestRate, self.LogLag.Round(time.Millisecond), "self")
+	for _, n := range s.c.Directory.Peers() {
+		t.add(n.Name, n.Hall, n.Address, n.Applied, n.Ready, n.Stopping, n.InFlight, n.RequestRate, n.LogLag.Round(time.Millisecond), now.Sub(n.RequestedAt).Round(time.Millisecond))
 	}
 	t.sort()
 	return t
@@ -199,12 +199,12 @@
 	s.c.Follower.Read(func(st *state.State) {
 		for _, team := range st.Teams() {
 			share := team.Halls[s.c.Settings.Hall]
-			t.add("team", team.Name, s.c.TeamLimit(share), s.c.Teams.Held(team.Name), 0)
+			t.add("team", team.Name, s.c.TeamLimit(share), s.c.Teams.InUse(team.Name), 0)
 		}
 	})
 	for _, name := range s.c.Pools.Names() {
 		p := s.c.Pools.Get(name)
-		held, waiting := p.Held()
+		held, waiting := p.InUse()
 		t.add("pool", name, p.Capacity(), held, waiting)
 	}
 	t.sort()
--- a/transport/peerapi/peerapi.go
+++ b/transport/peerapi/peerapi.go
@@ -51,30 +51,30 @@
 func (s *Server) Exchange(_ context.Context, req *connect.Request[rpc.ExchangeRequest]) (*connect.Response[rpc.ExchangeResponse], error) {
 	now := s.c.Clock.Now()
 	if from, err := peer.DecodeNode(req.Msg.GetFrom(), now); err == nil {
-		s.c.Directory.Introduce(from)
+		s.c.Directory.AddCaller(from)
 	}
 	seen, seenLedger := req.Msg.GetSeenVersion(), req.Msg.GetSeenLedger()
 	if req.Msg.GetSeenIncarnation() != s.c.Directory.Self().Incarnation {
 		seen, seenLedger = 0, 0
 	}
-	d := s.c.Feed.Since(seen)
+	d := s.c.Feed.DeltaSince(seen)
 	resp := &rpc.ExchangeResponse{Self: peer.EncodeNode(s.c.Self(), 0), Version: d.Version}
-	if !d.Confirmed.IsZero() {
-		resp.ConfirmedAgeMs = peer.Milliseconds(now.Sub(d.Confirmed))
+	if !d.OldestProbe.IsZero() {
+		resp.ConfirmedAgeMs = peer.CeilMilliseconds(now.Sub(d.OldestProbe))
 	}
 	for _, e := range d.Changed {
-		resp.Changed = append(resp.Changed, peer.EncodeReport(e.Report, now.Sub(e.Asked)))
+		resp.Changed = append(resp.Changed, peer.EncodeReport(e.Report, now.Sub(e.ProbedAt)))
 	}
-	for _, id := range d.Lost {
+	for _, id := range d.Expired {
 		resp.Lost = append(resp.Lost, string(id))
 	}
 	for _, c := range s.c.Routing.All() {
-		if c.Held() > 0 {
-			resp.Held = append(resp.Held, &rpc.GroupHeld{Group: string(c.Name), Held: uint32(c.Held())})
+		if c.InFlight() > 0 {
+			resp.Held = append(resp.Held, &rpc.GroupHeld{Group: string(c.Name), Held: uint32(c.InFlight())})
 		}
 	}
-	endings, version := s.c.Quarantine.Since(seenLedger, quarantine.Kept)
-	peer.EncodeLedger(resp, endings, version, now)
+	endings, version := s.c.Quarantine.ChangesSince(seenLedger, quarantine.StoreSource)
+	peer.EncodeLedgerDelta(resp, endings, version, now)
 	if req.Msg.GetWantNodes() {
 		resp.Nodes = s.nodes(now)
 	}
@@ -84,8 +84,8 @@
 // nodes returns what this node knows of the others.
 func (s *Server) nodes(now time.Time) []*rpc.Node {
 	var list []*rpc.Node
-	for _, n := range s.c.Directory.Known() {
-		if age := now.Sub(n.SaidAt); age < maxNodeAge {
+	for _, n := range s.c.Directory.Peers() {
+		if age := now.Sub(n.RequestedAt); age < maxNodeAge {
 			list = append(list, peer.EncodeNode(n, age))
 		}
 	}
@@ -128,7 +128,7 @@
 		return nil, connect.NewError(connect.CodeInternal, err)
 	}
 	age := s.c.Clock.Since(asked)
-	return connect.NewResponse(&rpc.InstancesResponse{List: list, AgeMs: peer.Milliseconds(age)}), nil
+	return connect.NewResponse(&rpc.InstancesResponse{List: list, AgeMs: peer.CeilMilliseconds(age)}), nil
 }
 
 // Records implements rpcconnect.PeerHandler.
@@ -136,7 +136,7 @@
 	if !s.c.HasState() {
 		return nil, errNoState()
 	}
-	entries, held := s.c.Follower.Recent(state.Offset(req.Msg.GetFrom()), int(req.Msg.GetMost()))
+	entries, held := s.c.Follower.RecentEntries(state.Offset(req.Msg.GetFrom()), int(req.Msg.GetMost()))
 	if !held {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errors.New("these entries are not held here"))
 	}
