--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -59,7 +59,7 @@
 // Input holds everything that a plan depends on.
 type Input struct {
 	Policy state.Policy
-	// Incomplete are the groups with missing members, Ready the ready groups without any.
+	// Incomplete are the groups with missing members, Ready the groups that are complete and ready.
 	Incomplete []Group
 	Ready      []Group
 	// Spares are free instances with recent evidence that are not leaving.
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -45,7 +45,8 @@
 	// Priority ranks the route's requests; 0 is the highest.
 	Priority int
 	Shares   []WeightedService
-	// MaxAttempts is the maximum number of instances that one request may be sent to.
+	// MaxAttempts is the maximum number of instances that may run one request. The request may be
+	// sent to a few more that did not run it.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
